--- a/cmd/fleet/changes.go
+++ b/cmd/fleet/changes.go
@@ -131,7 +131,7 @@
 }
 
 // ruleOf names a rule and the part of the fleet that it bounds.
-func ruleOf(u rollout.Use) string { return strings.TrimSpace("rule " + u.Rule + " " + u.Where) }
+func ruleOf(u rollout.RuleUsage) string { return strings.TrimSpace("rule " + u.Rule + " " + u.Scope) }
 
 func printNote(n rollout.Note) {
 	fmt.Printf("%d  %s  %s %s\n", n.Seq, time.UnixMilli(n.At).Format(time.DateTime), n.By, n.What)
@@ -155,16 +155,16 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%v\t%v\t%.0f of %.0f\t%s\n", id, u.Kind, u.Site, u.Zone, u.Version, u.Up, u.Warm, u.Load, u.Capacity, permit)
 	}
 	w.Flush()
-	for _, u := range f.Budget.Uses() {
-		fmt.Printf("%s: %d of %d out", ruleOf(u), u.Out, u.Of)
+	for _, u := range f.Budget.Usage() {
+		fmt.Printf("%s: %d of %d out", ruleOf(u), u.Out, u.Total)
 		if u.Limit >= 0 {
 			fmt.Printf(", %d may be", u.Limit)
 		}
 		if u.Spare > 0 {
-			fmt.Printf(", what stays can serve %.0f a second of %.0f x %.2f", u.Stays, u.Load, u.Spare)
+			fmt.Printf(", what stays can serve %.0f a second of %.0f x %.2f", u.Remaining, u.Load, u.Spare)
 		}
-		if len(u.Who) > 0 {
-			fmt.Printf(": %s", strings.Join(u.Who, ", "))
+		if len(u.OutUnits) > 0 {
+			fmt.Printf(": %s", strings.Join(u.OutUnits, ", "))
 		}
 		fmt.Println()
 	}
@@ -193,7 +193,7 @@
 	for _, wave := range p.Waves {
 		n := 0
 		for _, unit := range wave {
-			if u := f.Budget.Units[unit]; u != nil && p.Runs(u) == p.To {
+			if u := f.Budget.Units[unit]; u != nil && p.RunningVersion(u) == p.To {
 				n++
 			}
 		}
@@ -254,7 +254,7 @@
 	}
 	all, load := 0.0, 0.0
 	for _, u := range f.Budget.Units {
-		if u.Kind == rollout.Gateways {
+		if u.Kind == rollout.KindGateway {
 			all, load = all+u.Capacity, load+u.Load
 		}
 	}
@@ -278,7 +278,7 @@
 // out is how many units of a wave the budget lets be out at once, when nothing else is.
 func out(f *rollout.Fleet, wave []string) int {
 	n := len(wave)
-	for _, u := range f.Budget.Uses() {
+	for _, u := range f.Budget.Usage() {
 		if u.Limit >= 0 {
 			n = min(n, u.Limit)
 		}
@@ -301,7 +301,7 @@
 	if p == nil {
 		return fmt.Errorf("there is no release %s", c.Name)
 	}
-	_, err = change(g, c.reach, rollout.Command{Op: rollout.Step, Move: &rollout.Move{Plan: c.Name, Stage: p.Stage, Wave: p.Wave, To: to, Why: strings.TrimSpace(me() + " " + c.Why)}})
+	_, err = change(g, c.reach, rollout.Command{Op: rollout.MoveRelease, Move: &rollout.Move{Plan: c.Name, Stage: p.Stage, Wave: p.Wave, To: to, Why: strings.TrimSpace(me() + " " + c.Why)}})
 	return err
 }
 
@@ -311,11 +311,11 @@
 
 type resumeCommand struct{ ofRelease }
 
-func (c resumeCommand) Run(g *globals) error { return c.move(g, rollout.Going) }
+func (c resumeCommand) Run(g *globals) error { return c.move(g, rollout.Updating) }
 
 type backCommand struct{ ofRelease }
 
-func (c backCommand) Run(g *globals) error { return c.move(g, rollout.Backing) }
+func (c backCommand) Run(g *globals) error { return c.move(g, rollout.RollingBack) }
 
 type budgetCommand struct {
 	reach
@@ -353,8 +353,8 @@
 	if len(f.Budget.Rules) == 0 {
 		fmt.Println("the budget has no rule: nothing may leave")
 	}
-	for _, u := range f.Budget.Uses() {
-		fmt.Printf("%s: %d of %d out, %d may be (-1: not counted) %s\n", ruleOf(u), u.Out, u.Of, u.Limit, strings.Join(u.Who, ", "))
+	for _, u := range f.Budget.Usage() {
+		fmt.Printf("%s: %d of %d out, %d may be (-1: not counted) %s\n", ruleOf(u), u.Out, u.Total, u.Limit, strings.Join(u.OutUnits, ", "))
 	}
 	return nil
 }
--- a/cmd/fleet/drains.go
+++ b/cmd/fleet/drains.go
@@ -95,7 +95,7 @@
 			units = append(units, word)
 		} else {
 			for _, id := range sorted(f.Budget.Units) {
-				if u := f.Budget.Units[id]; u.Kind == rollout.Tables && u.Zone == word {
+				if u := f.Budget.Units[id]; u.Kind == rollout.KindTable && u.Zone == word {
 					units = append(units, id)
 				}
 			}
@@ -118,13 +118,13 @@
 		alone.Units[id] = &whole
 	}
 	for _, id := range units {
-		if refused := alone.Room(id); refused != nil {
-			return fmt.Errorf("it could never be out as a whole: %s", refused.Rule)
+		if refused := alone.CheckLeave(id); refused != nil {
+			return fmt.Errorf("it could never be out as a whole: %s", refused.Reason)
 		}
 		alone.Permits[id] = &rollout.Permit{Change: "this drain"}
 	}
-	for _, u := range alone.Uses() {
-		fmt.Printf("%s: %d of %d out, what stays can serve %.0f a second at a load of %.0f now\n", ruleOf(u), u.Out, u.Of, u.Stays, u.Load)
+	for _, u := range alone.Usage() {
+		fmt.Printf("%s: %d of %d out, what stays can serve %.0f a second at a load of %.0f now\n", ruleOf(u), u.Out, u.Total, u.Remaining, u.Load)
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 	for _, unit := range d.Units {
 		if p := f.Budget.Permits[unit]; p == nil || p.Change != id || !p.Left {
 			waits = append(waits, unit)
-		} else if n, who := f.Busy(unit); n > 0 || len(who) > 0 {
+		} else if n, who := f.WorkInFlight(unit); n > 0 || len(who) > 0 {
 			if n > 0 {
 				held = append(held, fmt.Sprintf("%s (%d)", unit, n))
 			}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -304,7 +304,7 @@
 
 // sight is the unit as it is seen now.
 func (a *Agent) sight() rollout.Unit {
-	u := rollout.Unit{Kind: rollout.Gateways, Site: a.c.Site, Zone: a.c.Zone, Capacity: a.c.Capacity, Version: a.now.Version,
+	u := rollout.Unit{Kind: rollout.KindGateway, Site: a.c.Site, Zone: a.c.Zone, Capacity: a.c.Capacity, Version: a.now.Version,
 		Instance: fmt.Sprintf("%d-%s", a.now.PID, a.now.Began), Up: a.ready && !a.busy}
 	if a.now.configured {
 		u.Config = a.now.Config
@@ -350,7 +350,7 @@
 			w.said++
 		}
 		if tell {
-			if _, err := coordinator.Change(call, a.group, rollout.Command{Op: rollout.See, By: "agent:" + a.c.Name, Token: token, Unit: a.c.Name, Seen: &u, Figures: figures, Held: held}); err != nil {
+			if _, err := coordinator.Change(call, a.group, rollout.Command{Op: rollout.Observe, By: "agent:" + a.c.Name, Token: token, Unit: a.c.Name, Observed: &u, Figures: figures, Held: held}); err != nil {
 				a.log.Warn("the coordinators were not told", "err", err)
 				return
 			}
@@ -429,7 +429,7 @@
 		return // the ask stands
 	} else {
 		life := permitShare * (a.c.Program.Ready.Duration + a.c.Program.Drain.Duration + a.c.Program.Learn.Duration)
-		r, err := coordinator.Change(call, a.group, rollout.Command{Op: rollout.Want, By: a.c.Name, Unit: a.c.Name, Change: task.Change, Life: life})
+		r, err := coordinator.Change(call, a.group, rollout.Command{Op: rollout.RequestPermit, By: a.c.Name, Unit: a.c.Name, Change: task.Change, Life: life})
 		if err != nil || r.Error != "" {
 			return // it waits
 		}
--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -25,9 +25,9 @@
 		steps   []step
 		ends    rollout.Stage
 	}{
-		{"2", []step{{rollout.Going, rollout.Looking}, {rollout.Looking, rollout.Going}, {rollout.Looking, rollout.Done}}, rollout.Done},
-		{"fails-moves", []step{{rollout.Looking, rollout.Halted}, {rollout.Halted, rollout.Backing}, {rollout.Backing, rollout.Undone}}, rollout.Undone},
-		{"dies-later", []step{{rollout.Going, rollout.Halted}}, rollout.Done}, // the canary is back before the next conductor looks
+		{"2", []step{{rollout.Updating, rollout.Evaluating}, {rollout.Evaluating, rollout.Updating}, {rollout.Evaluating, rollout.Done}}, rollout.Done},
+		{"fails-moves", []step{{rollout.Evaluating, rollout.Halted}, {rollout.Halted, rollout.RollingBack}, {rollout.RollingBack, rollout.RolledBack}}, rollout.RolledBack},
+		{"dies-later", []step{{rollout.Updating, rollout.Halted}}, rollout.Done}, // the canary is back before the next conductor looks
 	} {
 		t.Run(c.version, func(t *testing.T) {
 			t.Parallel()
@@ -50,7 +50,7 @@
 			start()
 			f.release(c.version, true)
 			if c.version == "dies-later" { // the canary falls while the second wave is going out
-				v := f.Await("the second wave is going out", func(v *rollout.Fleet) bool { p := v.Plans["r"]; return p.Wave == 1 && p.Stage == rollout.Going })
+				v := f.Await("the second wave is going out", func(v *rollout.Fleet) bool { p := v.Plans["r"]; return p.Wave == 1 && p.Stage == rollout.Updating })
 				r, _, _ := loadRunning(f.configs[slices.IndexFunc(f.configs, func(o *Config) bool { return o.Name == v.Plans["r"].Waves[0][0] })].State)
 				syscall.Kill(r.PID, syscall.SIGKILL)
 				f.note("g0 dies-later crash")
@@ -87,9 +87,9 @@
 	f.release("2", false)
 	v := f.Await("the second wave has begun", func(v *rollout.Fleet) bool { p := v.Plans["r"]; return p.Wave == 1 && len(p.Begun) >= 2 })
 	p := v.Plans["r"]
-	f.Change(rollout.Command{Op: rollout.Step, Move: &rollout.Move{Plan: "r", Stage: p.Stage, Wave: p.Wave, To: rollout.Backing, Why: "by hand"}})
+	f.Change(rollout.Command{Op: rollout.MoveRelease, Move: &rollout.Move{Plan: "r", Stage: p.Stage, Wave: p.Wave, To: rollout.RollingBack, Why: "by hand"}})
 	f.Await("all run what they ran", func(v *rollout.Fleet) bool {
-		return v.Plans["r"].Stage == rollout.Undone && f.run(v, "1") == gateways
+		return v.Plans["r"].Stage == rollout.RolledBack && f.run(v, "1") == gateways
 	})
 	if atOnce, _ := f.judge("2"); atOnce > 1 {
 		t.Errorf("%d were replaced at once", atOnce)
@@ -118,7 +118,7 @@
 	})
 	f.Change(rollout.Command{Op: rollout.Begin, Change: "bad", Version: "c-bad", Config: true, Units: units, Settings: &s})
 	v := f.Await("it is turned down", func(v *rollout.Fleet) bool { return v.Plans["bad"].Over() })
-	if p := v.Plans["bad"]; p.Stage != rollout.Undone || !strings.Contains(p.Why, "class move-submit is missing") || has(v, "c2") != gateways {
+	if p := v.Plans["bad"]; p.Stage != rollout.RolledBack || !strings.Contains(p.Why, "class move-submit is missing") || has(v, "c2") != gateways {
 		t.Errorf("%s: %q; %d have the second", p.Stage, p.Why, has(v, "c2"))
 	}
 	// A process that ends by itself comes back with the configuration that it had.
@@ -144,7 +144,7 @@
 	})
 	f.Change(rollout.Command{Op: rollout.Drain, Change: "d2", Units: []string{"g2"}, Life: time.Minute})
 	v := f.Await("g2 waits", func(v *rollout.Fleet) bool { return len(v.Budget.Waiting) == 1 })
-	if no := v.Budget.Room("g2"); no == nil || !strings.Contains(no.Error(), "rule one: at most 1 of 4 may be out; out are: g1 (d1)") {
+	if no := v.Budget.CheckLeave("g2"); no == nil || !strings.Contains(no.Error(), "rule one: at most 1 of 4 may be out; out are: g1 (d1)") {
 		t.Errorf("why g2 waits: %v", no)
 	}
 	f.Change(rollout.Command{Op: rollout.Restore, Change: "d1"})
--- a/internal/agent/release_test.go
+++ b/internal/agent/release_test.go
@@ -327,7 +327,7 @@
 			f.release(c.version, true)
 			v := f.Await("the release is over", func(v *rollout.Fleet) bool { return v.Plans["r"].Over() && f.run(v, "1") == gateways })
 			p := v.Plans["r"]
-			if p.Stage != rollout.Undone || !strings.Contains(p.Why, c.why) {
+			if p.Stage != rollout.RolledBack || !strings.Contains(p.Why, c.why) {
 				t.Errorf("%s: %q", p.Stage, p.Why)
 			}
 			atOnce, ran := f.judge(c.version)
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -94,34 +94,34 @@
 			return
 		}
 		m.Token = token // a conductor that was stopped here is turned away by it
-		r, err := coordinator.Change(call, c.Group, rollout.Command{Op: rollout.Step, By: "conductor", Move: &m})
+		r, err := coordinator.Change(call, c.Group, rollout.Command{Op: rollout.MoveRelease, By: "conductor", Move: &m})
 		c.Log.Info("moves", "release", id, "from", m.Stage, "to", m.To, "wave", m.Wave+1, "why", m.Why, "refused", r.Error, "err", err)
 	}
 }
 
 // see is what the gateways' figures say since this stage and wave were first seen here.
-func (c *Conductor) see(id string, p *rollout.Plan, f *rollout.Fleet) rollout.Look {
+func (c *Conductor) see(id string, p *rollout.Plan, f *rollout.Fleet) rollout.Observation {
 	s := c.sights[id]
 	if s == nil || s.stage != p.Stage || s.wave != p.Wave {
 		s = &sight{stage: p.Stage, wave: p.Wave, since: time.Now(), base: map[string]map[string]rollout.Count{}, insts: map[string]string{}}
 		c.sights[id] = s
 	}
-	look := rollout.Look{Since: time.Since(s.since), Changed: map[string]rollout.Count{}, Others: map[string]rollout.Count{}, Sight: true}
+	look := rollout.Observation{Since: time.Since(s.since), Changed: map[string]rollout.Count{}, Others: map[string]rollout.Count{}, Fresh: true}
 	for unit, u := range f.Budget.Units {
 		_, mine := p.From[unit]
-		if mine && u.Lost && p.Runs(u) == p.To {
-			look.Sight = false
+		if mine && u.Lost && p.RunningVersion(u) == p.To {
+			look.Fresh = false
 		}
 		figures, known := f.Figures[unit]
 		if !known {
-			look.Sight = look.Sight && !(mine && p.Runs(u) == p.To)
+			look.Fresh = look.Fresh && !(mine && p.RunningVersion(u) == p.To)
 			continue
 		}
 		if s.insts[unit] != u.Instance {
 			s.insts[unit], s.base[unit] = u.Instance, figures
 		}
 		side := look.Others
-		if p.Runs(u) == p.To {
+		if p.RunningVersion(u) == p.To {
 			side = look.Changed
 		}
 		for class, n := range figures {
--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -151,7 +151,7 @@
 		if (c.Kind == lease.Silent || c.Kind == lease.Left) && (c.Member.Kind == AgentKind || c.Member.Kind == WardenKind) {
 			for unit, u := range n.g.Fleet.Budget.Units {
 				if u.By == c.Member.Name {
-					n.roll(rollout.Command{Op: rollout.Lose, Unit: unit}, nil)
+					n.roll(rollout.Command{Op: rollout.MarkLost, Unit: unit}, nil)
 				}
 			}
 		}
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -23,7 +23,7 @@
 	if err := c.Check(); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	if c.Op == rollout.Late || c.Op == rollout.Lose {
+	if c.Op == rollout.MarkOverdue || c.Op == rollout.MarkLost {
 		return nil, status.Errorf(codes.InvalidArgument, "%s is the coordinators' own word", c.Op)
 	}
 	return do(ctx, s, func(n *Node, done func(*leasepb.FleetReply, error)) {
--- a/internal/coordinator/fleet_test.go
+++ b/internal/coordinator/fleet_test.go
@@ -21,7 +21,7 @@
 	}
 	old := map[string]any{"o": "want", "b": "g1", "u": "g1", "c": "r", "l": time.Minute}
 	var c rollout.Command
-	if err := decode(raw(old), &c); err != nil || c.Check() != nil || c.Op != rollout.Want || c.Unit != "g1" || c.Change != "r" || c.Life != time.Minute {
+	if err := decode(raw(old), &c); err != nil || c.Check() != nil || c.Op != rollout.RequestPermit || c.Unit != "g1" || c.Change != "r" || c.Life != time.Minute {
 		t.Errorf("an older agent's: %+v (%v)", c, err)
 	}
 	old["zz"] = 1
--- a/internal/coordinator/proposals.go
+++ b/internal/coordinator/proposals.go
@@ -45,7 +45,7 @@
 			continue
 		} else if n.clock() >= l.at {
 			n.lates[unit] = late{p.Token, n.clock() + overdueAgain}
-			n.roll(rollout.Command{Op: rollout.Late, Unit: unit, Token: p.Token}, nil)
+			n.roll(rollout.Command{Op: rollout.MarkOverdue, Unit: unit, Token: p.Token}, nil)
 		}
 	}
 	for unit := range n.lates {
--- a/internal/lab/fleet/plays.go
+++ b/internal/lab/fleet/plays.go
@@ -304,7 +304,7 @@
 			o.Out++
 		}
 	}
-	if no := f.Budget.Room("t1"); no != nil {
+	if no := f.Budget.CheckLeave("t1"); no != nil {
 		o.Refused = no.Error()
 	}
 	if err := r.change(ctx, rollout.Command{Op: rollout.Restore, Change: "hall-1"}); err != nil {
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -129,7 +129,7 @@
 	if err := r.fleet(ctx); err != nil {
 		return r, err
 	}
-	rules := []rollout.Rule{{Name: "gateways", Kind: rollout.Gateways, Most: o.Most}, {Name: "tables", Kind: rollout.Tables, Most: o.Tables / zones}}
+	rules := []rollout.Rule{{Name: "gateways", Kind: rollout.KindGateway, Most: o.Most}, {Name: "tables", Kind: rollout.KindTable, Most: o.Tables / zones}}
 	if o.Spare > 0 {
 		rules = append(rules, rollout.Rule{Name: "room", Spare: o.Spare})
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -320,10 +320,10 @@
 	}
 	call, done := context.WithTimeout(ctx, agentWait)
 	defer done()
-	u := rollout.Unit{Kind: rollout.Gateways, Site: "here", Zone: fmt.Sprintf("zone-%d", h.number%h.Size.Zones), Capacity: 300, By: h.name(),
+	u := rollout.Unit{Kind: rollout.KindGateway, Site: "here", Zone: fmt.Sprintf("zone-%d", h.number%h.Size.Zones), Capacity: 300, By: h.name(),
 		Version: "1", Instance: h.name(), Up: true, Warm: true, Load: 260 + 10*rand.Float64()}
 	figures := map[string]rollout.Count{"view": {Asked: uint64(rand.IntN(1 << 20))}, "move": {Asked: uint64(rand.IntN(1 << 20))}}
-	_, err := coordinator.Change(call, group, rollout.Command{Op: rollout.See, By: "agent:" + h.name(), Token: token, Unit: h.name(), Seen: &u, Figures: figures})
+	_, err := coordinator.Change(call, group, rollout.Command{Op: rollout.Observe, By: "agent:" + h.name(), Token: token, Unit: h.name(), Observed: &u, Figures: figures})
 	return err
 }
 
--- a/internal/warden/warden.go
+++ b/internal/warden/warden.go
@@ -138,7 +138,7 @@
 		}
 	}
 	for id, u := range f.Budget.Units { // one that the registry doesn't list any more is missed until somebody forgets it
-		if u.Kind == rollout.Tables && u.Site == w.c.Site && !listed[id] && w.mine(f, id) {
+		if u.Kind == rollout.KindTable && u.Site == w.c.Site && !listed[id] && w.mine(f, id) {
 			gone := *u
 			gone.Up, gone.Warm, gone.By = false, false, w.me
 			if err := w.tell(call, l, id, gone); err != nil {
@@ -202,7 +202,7 @@
 	if k.misses++; alive {
 		k.misses = 0
 	}
-	u := rollout.Unit{Kind: rollout.Tables, Site: w.c.Site, Zone: s.Zone, Capacity: w.c.Capacity * s.Weight, By: w.me, Up: !draining && k.misses < missesOut}
+	u := rollout.Unit{Kind: rollout.KindTable, Site: w.c.Site, Zone: s.Zone, Capacity: w.c.Capacity * s.Weight, By: w.me, Up: !draining && k.misses < missesOut}
 	u.Warm = u.Up
 	if !s.Started.IsZero() {
 		u.Instance = s.Started.UTC().Format(time.RFC3339Nano)
@@ -243,7 +243,7 @@
 	if !may {
 		return fmt.Errorf("%s: the lease is lost", id)
 	}
-	r, err := coordinator.Change(ctx, w.group, rollout.Command{Op: rollout.See, By: w.c.Lease(), Token: token, Unit: id, Seen: &u})
+	r, err := coordinator.Change(ctx, w.group, rollout.Command{Op: rollout.Observe, By: w.c.Lease(), Token: token, Unit: id, Observed: &u})
 	if err == nil && r.Error != "" {
 		err = fmt.Errorf("%s: %s", id, r.Error)
 	}
--- a/internal/warden/warden_test.go
+++ b/internal/warden/warden_test.go
@@ -52,7 +52,7 @@
 	if h.c, err = LoadConfig(path); err != nil {
 		t.Fatal(err)
 	}
-	h.Change(rollout.Command{Op: rollout.SetRules, Rules: []rollout.Rule{{Name: "half", Kind: rollout.Tables, Most: 3}}})
+	h.Change(rollout.Command{Op: rollout.SetRules, Rules: []rollout.Rule{{Name: "half", Kind: rollout.KindTable, Most: 3}}})
 	h.says()
 	return h
 }
@@ -76,7 +76,7 @@
 // says has the gateway say what it has under way at the servers that drain.
 func (h *hall) says() {
 	h.t.Helper()
-	h.Change(rollout.Command{Op: rollout.See, Unit: "g1", Seen: &rollout.Unit{Kind: rollout.Gateways, Capacity: 100, Load: 20, Up: true, Warm: true}, Held: h.held})
+	h.Change(rollout.Command{Op: rollout.Observe, Unit: "g1", Observed: &rollout.Unit{Kind: rollout.KindGateway, Capacity: 100, Load: 20, Up: true, Warm: true}, Held: h.held})
 }
 
 func (h *hall) run(name string) (end func()) {
@@ -97,7 +97,7 @@
 // up lists the servers that are seen in order.
 func up(f *rollout.Fleet) (all []string) {
 	for id, u := range f.Budget.Units {
-		if u.Kind == rollout.Tables && u.Up && u.Warm {
+		if u.Kind == rollout.KindTable && u.Up && u.Warm {
 			all = append(all, id)
 		}
 	}
@@ -134,10 +134,10 @@
 	h.held = map[string]int{"t0": 2, "t2": 0}
 	h.says()
 	f := h.Await("the second one sees", func(f *rollout.Fleet) bool { return f.Budget.Units["t1"].By == "second" })
-	if n, who := f.Busy("t0"); f.Drains["zone-a"].Quiet || n != 2 || len(who) != 0 {
+	if n, who := f.WorkInFlight("t0"); f.Drains["zone-a"].Quiet || n != 2 || len(who) != 0 {
 		t.Errorf("t0: %d under way, %v unknown; quiet %v", n, who, f.Drains["zone-a"].Quiet)
 	}
-	if n, who := f.Busy("t4"); n != 0 || !is(who, "g1") {
+	if n, who := f.WorkInFlight("t4"); n != 0 || !is(who, "g1") {
 		t.Errorf("t4: %d under way, %v unknown", n, who)
 	}
 	h.held = map[string]int{"t0": 0, "t2": 0, "t4": 0}
@@ -186,7 +186,7 @@
 	h.Await("the zone is out", func(f *rollout.Fleet) bool { return is(up(f), "t0", "t2", "t4") })
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "zone-a", Units: []string{"t0", "t2", "t4"}, Life: time.Minute})
 	f := h.Await("it waits", func(f *rollout.Fleet) bool { return len(f.Budget.Waiting) == 3 })
-	if no := f.Budget.Room("t0"); no == nil || !strings.Contains(no.Error(), "at most 3 of 6 may be out; out are: t1 (not seen ready), t3 (not seen ready), t5 (not seen ready)") {
+	if no := f.Budget.CheckLeave("t0"); no == nil || !strings.Contains(no.Error(), "at most 3 of 6 may be out; out are: t1 (not seen ready), t3 (not seen ready), t5 (not seen ready)") {
 		t.Errorf("why: %v", no)
 	}
 	if d := drained(h); len(d) != 0 || len(up(f)) != 3 {
@@ -212,7 +212,7 @@
 	h.Await("both are out", func(f *rollout.Fleet) bool { return is(up(f), "t0", "t1", "t2", "t4") })
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "d", Units: []string{"t0"}, Life: 3 * time.Second})
 	f := h.Await("it is overdue", func(f *rollout.Fleet) bool { p := f.Budget.Permits["t0"]; return p != nil && p.Overdue })
-	if no := f.Budget.Room("t1"); no == nil || !strings.Contains(no.Error(), "a permit is overdue; out are: t0 (d, overdue)") {
+	if no := f.Budget.CheckLeave("t1"); no == nil || !strings.Contains(no.Error(), "a permit is overdue; out are: t0 (d, overdue)") {
 		t.Errorf("why t1 may not leave: %v", no)
 	}
 	if !is(drained(h), "t0", "t5") {
--- a/rollout/budget.go
+++ b/rollout/budget.go
@@ -31,7 +31,7 @@
 }
 
 // in tells whether a unit serves as it should.
-func (u Unit) in() bool { return u.Up && u.Warm }
+func (u Unit) inService() bool { return u.Up && u.Warm }
 
 // Rule is one bound on what may be out. A site or zone of "*" stands for each one by itself.
 type Rule struct {
@@ -58,7 +58,7 @@
 }
 
 // group is the part of the fleet that a rule bounds together with a unit; ok is false where it doesn't bound it.
-func (r *Rule) group(u *Unit) (key string, ok bool) {
+func (r *Rule) scope(u *Unit) (key string, ok bool) {
 	if r.Kind != "" && r.Kind != u.Kind || r.Site != "" && r.Site != "*" && r.Site != u.Site || r.Zone != "" && r.Zone != "*" && r.Zone != u.Zone {
 		return "", false
 	}
@@ -81,8 +81,8 @@
 	Overdue  bool   `msgpack:"o"` // its time has passed; nothing planned leaves until somebody ends it
 }
 
-// Ask is one wish for a permit that waits.
-type Ask struct {
+// PermitRequest is one wish for a permit that waits.
+type PermitRequest struct {
 	Change string `msgpack:"c"`
 	Unit   string `msgpack:"u"`
 }
@@ -92,25 +92,25 @@
 	Rules   []Rule             `msgpack:"r"`
 	Units   map[string]*Unit   `msgpack:"u"`
 	Permits map[string]*Permit `msgpack:"p"` // by unit
-	Waiting []Ask              `msgpack:"w"` // in the order of asking
+	Waiting []PermitRequest    `msgpack:"w"` // in the order of asking
 	Token   uint64             `msgpack:"k"`
 	Halted  string             `msgpack:"h"` // who halted all planned work, and why; empty: nobody
 
-	without guard
+	disabled guard
 }
 
 // guard names one of the guards, so that tests can take it out and see that their checks notice.
 type guard int
 
 const (
-	nothing guard = iota
-	crashesCount
-	seenNotTold
-	earlierFirst
-	overdueHalts
-	leaveAskedAgain
-	newestFirst
-	judgedOnEnough
+	guardNone guard = iota
+	guardCrashesCount
+	guardObservedReturn
+	guardRequestOrder
+	guardOverdueBlocks
+	guardLeaveRecheck
+	guardNewestFirst
+	guardMinRequests
 )
 
 // NewBudget is a budget with nothing in it; without a rule nothing may leave.
@@ -120,28 +120,28 @@
 
 // Refusal is why a unit may not leave now.
 type Refusal struct {
-	Rule string   // that stands against it, or what else does
-	Used []string // who uses the rule's room: units that are out, with the cause
-	room string   // rule and part of the fleet
+	Reason   string   // that stands against it, or what else does
+	OutUnits []string // who uses the rule's room: units that are out, with the cause
+	scope    string   // rule and part of the fleet
 }
 
 func (r *Refusal) Error() string {
-	if len(r.Used) == 0 {
-		return r.Rule
+	if len(r.OutUnits) == 0 {
+		return r.Reason
 	}
-	return fmt.Sprintf("%s; out are: %s", r.Rule, strings.Join(r.Used, ", "))
+	return fmt.Sprintf("%s; out are: %s", r.Reason, strings.Join(r.OutUnits, ", "))
 }
 
 // out tells whether a unit is out, or may be from now on.
-func (b *Budget) out(id string) bool {
+func (b *Budget) isOut(id string) bool {
 	if b.Permits[id] != nil {
 		return true
 	}
-	return !b.Units[id].in() && b.without != crashesCount
+	return !b.Units[id].inService() && b.disabled != guardCrashesCount
 }
 
 // cause is why a unit is out, in words for a person.
-func (b *Budget) cause(id string) string {
+func (b *Budget) describeOut(id string) string {
 	u, p := b.Units[id], b.Permits[id]
 	switch {
 	case p != nil && p.Overdue:
@@ -156,67 +156,67 @@
 	return id + " (not warm yet)"
 }
 
-// Room tells whether a unit may leave now, or what stands against it. One that is seen out uses room already, but no
+// CheckLeave tells whether a unit may leave now, or what stands against it. One that is seen out uses room already, but no
 // more may be out for its sake: it may be back before that is seen.
-func (b *Budget) Room(id string) *Refusal {
+func (b *Budget) CheckLeave(id string) *Refusal {
 	if b.Units[id] == nil {
-		return &Refusal{Rule: fmt.Sprintf("%s is not known", id)}
+		return &Refusal{Reason: fmt.Sprintf("%s is not known", id)}
 	}
-	if no := b.stands(); no != nil {
-		return no
+	if refusal := b.plannedWorkBlocked(); refusal != nil {
+		return refusal
 	}
-	return b.room(id, b.parts(b.out), b.out, true)
+	return b.checkRules(id, b.scopeTotals(b.isOut), b.isOut, true)
 }
 
 // stands is the refusal of all planned work; nil: it goes on.
-func (b *Budget) stands() *Refusal {
+func (b *Budget) plannedWorkBlocked() *Refusal {
 	switch {
 	case b.Halted != "":
-		return &Refusal{Rule: "planned work is halted: " + b.Halted}
+		return &Refusal{Reason: "planned work is halted: " + b.Halted}
 	case len(b.Rules) == 0:
-		return &Refusal{Rule: "the budget has no rule: nothing may leave"}
+		return &Refusal{Reason: "the budget has no rule: nothing may leave"}
 	}
-	return b.overdue()
+	return b.overduePermit()
 }
 
 // room looks at the rules that speak of a unit. Without words a refusal says only which room is lacking: to name who uses
 // it takes a walk over all units, too much for each of many that wait, with each entry of the log.
-func (b *Budget) room(id string, parts map[string]*part, out func(string) bool, words bool) *Refusal {
-	bounded := false
+func (b *Budget) checkRules(id string, totals map[string]*scopeTotal, isOut func(string) bool, detailed bool) *Refusal {
+	covered := false
 	for i := range b.Rules {
-		key, ok := b.Rules[i].group(b.Units[id])
+		key, ok := b.Rules[i].scope(b.Units[id])
 		if !ok {
 			continue
 		}
-		bounded = true
-		if refused := b.against(&b.Rules[i], key, id, parts, out, words); refused != nil {
+		covered = true
+		if refused := b.checkRule(&b.Rules[i], key, id, totals, isOut, detailed); refused != nil {
 			return refused
 		}
 	}
-	if !bounded {
-		return &Refusal{Rule: fmt.Sprintf("no rule of the budget speaks of %s: it may not leave", id)}
+	if !covered {
+		return &Refusal{Reason: fmt.Sprintf("no rule of the budget speaks of %s: it may not leave", id)}
 	}
 	return nil
 }
 
 // overdue is the refusal of all planned work while a permit's time has passed and nobody has ended it.
-func (b *Budget) overdue() *Refusal {
+func (b *Budget) overduePermit() *Refusal {
 	for _, id := range sortedKeys(b.Permits) {
-		if b.Permits[id].Overdue && b.without != overdueHalts {
-			return &Refusal{Rule: "a permit is overdue", Used: []string{b.cause(id)}}
+		if b.Permits[id].Overdue && b.disabled != guardOverdueBlocks {
+			return &Refusal{Reason: "a permit is overdue", OutUnits: []string{b.describeOut(id)}}
 		}
 	}
 	return nil
 }
 
 // part is one part of the fleet that a rule bounds, added up.
-type part struct {
-	n, out      int
-	load, stays map[string]float64 // by kind
+type scopeTotal struct {
+	total, out      int
+	load, remaining map[string]float64 // by kind
 }
 
 // asked is the load on a part: every request passes a unit of each kind, so kinds are not added up.
-func (p *part) asked() (load float64) {
+func (p *scopeTotal) maxLoad() (load float64) {
 	for _, l := range p.load {
 		load = max(load, l)
 	}
@@ -225,71 +225,71 @@
 
 // parts adds up all parts of the fleet, by rule and part. Units are gone through in order: sums of floats have to come
 // out alike at every coordinator.
-func (b *Budget) parts(out func(string) bool) map[string]*part {
-	all := map[string]*part{}
+func (b *Budget) scopeTotals(isOut func(string) bool) map[string]*scopeTotal {
+	totals := map[string]*scopeTotal{}
 	for _, id := range sortedKeys(b.Units) {
 		u := b.Units[id]
-		gone := out(id)
+		unitOut := isOut(id)
 		for i := range b.Rules {
-			key, ok := b.Rules[i].group(u)
+			key, ok := b.Rules[i].scope(u)
 			if !ok {
 				continue
 			}
-			room := b.Rules[i].Name + "\x00" + key
-			p := all[room]
+			scope := b.Rules[i].Name + "\x00" + key
+			p := totals[scope]
 			if p == nil {
-				p = &part{load: map[string]float64{}, stays: map[string]float64{}}
-				all[room] = p
+				p = &scopeTotal{load: map[string]float64{}, remaining: map[string]float64{}}
+				totals[scope] = p
 			}
-			p.n++
+			p.total++
 			p.load[u.Kind] += u.Load
-			p.stays[u.Kind] += 0 // a kind of which all are out stands at nothing
-			if gone {
+			p.remaining[u.Kind] += 0 // a kind of which all are out stands at nothing
+			if unitOut {
 				p.out++
 			} else {
-				p.stays[u.Kind] += u.Capacity
+				p.remaining[u.Kind] += u.Capacity
 			}
 		}
 	}
-	return all
+	return totals
 }
 
 // against looks at one rule with a unit out besides those that are.
-func (b *Budget) against(r *Rule, key, id string, parts map[string]*part, out func(string) bool, words bool) *Refusal {
-	room := r.Name + "\x00" + key
-	p, u := parts[room], b.Units[id]
-	after, leaves := p.out, 0.0
-	if !out(id) {
-		after, leaves = after+1, u.Capacity
+func (b *Budget) checkRule(r *Rule, key, id string, totals map[string]*scopeTotal, isOut func(string) bool, detailed bool) *Refusal {
+	scope := r.Name + "\x00" + key
+	p, u := totals[scope], b.Units[id]
+	outAfter, removed := p.out, 0.0
+	if !isOut(id) {
+		outAfter, removed = outAfter+1, u.Capacity
 	}
 	where := ""
 	if key != "" {
 		where = " in " + key
 	}
-	refused := func(why string, args ...any) *Refusal {
-		if !words {
-			return &Refusal{room: room}
+	refuse := func(format string, args ...any) *Refusal {
+		if !detailed {
+			return &Refusal{scope: scope}
 		}
-		no := &Refusal{room: room, Rule: fmt.Sprintf("rule %s: ", r.Name) + fmt.Sprintf(why, args...)}
+		refusal := &Refusal{scope: scope, Reason: fmt.Sprintf("rule %s: ", r.Name) + fmt.Sprintf(format, args...)}
 		for _, other := range sortedKeys(b.Units) {
-			if k, ok := r.group(b.Units[other]); ok && k == key && out(other) {
-				no.Used = append(no.Used, b.cause(other))
+			if k, ok := r.scope(b.Units[other]); ok && k == key && isOut(other) {
+				refusal.OutUnits = append(refusal.OutUnits, b.describeOut(other))
 			}
 		}
-		return no
+		return refusal
 	}
-	if limit := r.limit(p.n); limit >= 0 && after > limit {
-		return refused("at most %d of %d may be out%s", limit, p.n, where)
+	if limit := r.limit(p.total); limit >= 0 && outAfter > limit {
+		return refuse("at most %d of %d may be out%s", limit, p.total, where)
 	}
 	if r.Spare > 0 {
-		load := p.asked()
-		for _, kind := range sortedKeys(p.stays) {
-			stays := p.stays[kind]
+		load := p.maxLoad()
+		for _, kind := range sortedKeys(p.remaining) {
+			remaining := p.remaining[kind]
 			if kind == u.Kind {
-				stays -= leaves
+				remaining -= removed
 			}
-			if stays < r.Spare*load {
-				return refused("what would stay%s can serve %.0f a second (%ss), and %.0f is asked with %.2f times that to be kept", where, stays, kind, load, r.Spare)
+			if remaining < r.Spare*load {
+				return refuse("what would stay%s can serve %.0f a second (%ss), and %.0f is asked with %.2f times that to be kept", where, remaining, kind, load, r.Spare)
 			}
 		}
 	}
@@ -311,72 +311,72 @@
 	return limit
 }
 
-// Want asks for a permit. It is given when there is room and nobody waits before for the same room; else the ask
+// RequestPermit asks for a permit. It is given when there is room and nobody waits before for the same room; else the ask
 // waits, and is given a permit by Give in its turn. Asked twice, the same permit comes back.
-func (b *Budget) Want(a Ask) (p *Permit, refused *Refusal) {
+func (b *Budget) RequestPermit(a PermitRequest) (p *Permit, refused *Refusal) {
 	if p := b.Permits[a.Unit]; p != nil {
 		if p.Change == a.Change {
 			return p, nil
 		}
-		return nil, &Refusal{Rule: fmt.Sprintf("%s is out already", a.Unit), Used: []string{b.cause(a.Unit)}}
+		return nil, &Refusal{Reason: fmt.Sprintf("%s is out already", a.Unit), OutUnits: []string{b.describeOut(a.Unit)}}
 	}
 	if b.Units[a.Unit] == nil {
-		return nil, b.Room(a.Unit)
+		return nil, b.CheckLeave(a.Unit)
 	}
 	if !slices.Contains(b.Waiting, a) {
 		b.Waiting = append(b.Waiting, a)
 	}
-	b.Give()
+	b.GrantWaiting()
 	if p := b.Permits[a.Unit]; p != nil && p.Change == a.Change {
 		return p, nil
 	}
-	if refused = b.Room(a.Unit); refused == nil {
-		refused = &Refusal{Rule: "others asked before for the same room"}
+	if refused = b.CheckLeave(a.Unit); refused == nil {
+		refused = &Refusal{Reason: "others asked before for the same room"}
 	}
 	return nil, refused
 }
 
-// Give gives permits to those who wait, in their order. One that has to wait keeps those behind it from the room that
+// GrantWaiting gives permits to those who wait, in their order. One that has to wait keeps those behind it from the room that
 // it lacks, so that many small changes can't starve it, and from no other.
-func (b *Budget) Give() (given []Ask) {
+func (b *Budget) GrantWaiting() (granted []PermitRequest) {
 	if len(b.Waiting) == 0 {
 		return nil
 	}
-	kept := b.Waiting[:0:0]
-	lacked := map[string]bool{}
-	held := b.stands()
-	var parts map[string]*part
+	waiting := b.Waiting[:0:0]
+	blocked := map[string]bool{}
+	workBlocked := b.plannedWorkBlocked()
+	var totals map[string]*scopeTotal
 	for _, a := range b.Waiting {
 		u := b.Units[a.Unit]
 		if u == nil {
 			continue // it has left the fleet
 		}
 		if b.Permits[a.Unit] != nil {
-			kept = append(kept, a)
+			waiting = append(waiting, a)
 			continue
 		}
-		refused := held
+		refused := workBlocked
 		if refused == nil {
-			if parts == nil {
-				parts = b.parts(b.out)
+			if totals == nil {
+				totals = b.scopeTotals(b.isOut)
 			}
-			refused = b.room(a.Unit, parts, b.out, false)
+			refused = b.checkRules(a.Unit, totals, b.isOut, false)
 		}
 		for i := range b.Rules {
-			if key, ok := b.Rules[i].group(u); ok && refused == nil && lacked[b.Rules[i].Name+"\x00"+key] && b.without != earlierFirst {
-				refused = &Refusal{Rule: "others asked before", room: b.Rules[i].Name + "\x00" + key}
+			if key, ok := b.Rules[i].scope(u); ok && refused == nil && blocked[b.Rules[i].Name+"\x00"+key] && b.disabled != guardRequestOrder {
+				refused = &Refusal{Reason: "others asked before", scope: b.Rules[i].Name + "\x00" + key}
 			}
 		}
 		if refused != nil {
-			kept, lacked[refused.room] = append(kept, a), true
+			waiting, blocked[refused.scope] = append(waiting, a), true
 			continue
 		}
 		b.Token++
 		b.Permits[a.Unit] = &Permit{Change: a.Change, Token: b.Token}
-		given, parts = append(given, a), nil // added up anew, with this one out
+		granted, totals = append(granted, a), nil // added up anew, with this one out
 	}
-	b.Waiting = kept
-	return given
+	b.Waiting = waiting
+	return granted
 }
 
 // Leave is asked at the last moment before a unit leaves under its permit: what crashed since the permit was given
@@ -385,21 +385,21 @@
 	p := b.Permits[unit]
 	switch {
 	case p == nil || p.Token != token:
-		return &Refusal{Rule: fmt.Sprintf("%s: token %d is no permit in force", unit, token)}
+		return &Refusal{Reason: fmt.Sprintf("%s: token %d is no permit in force", unit, token)}
 	case p.Left:
 		return nil
 	case p.Returned || p.Overdue:
-		return &Refusal{Rule: fmt.Sprintf("%s: its permit was given back, or is overdue", unit)}
+		return &Refusal{Reason: fmt.Sprintf("%s: its permit was given back, or is overdue", unit)}
 	}
-	if no := b.stands(); no != nil {
-		return no
+	if refusal := b.plannedWorkBlocked(); refusal != nil {
+		return refusal
 	}
-	out := func(id string) bool {
+	isOut := func(id string) bool {
 		other := b.Permits[id]
-		return other != nil && other.Left || !b.Units[id].in() && b.without != crashesCount
+		return other != nil && other.Left || !b.Units[id].inService() && b.disabled != guardCrashesCount
 	}
-	if b.without != leaveAskedAgain {
-		if refused := b.room(unit, b.parts(out), out, true); refused != nil {
+	if b.disabled != guardLeaveRecheck {
+		if refused := b.checkRules(unit, b.scopeTotals(isOut), isOut, true); refused != nil {
 			return refused
 		}
 	}
@@ -409,7 +409,7 @@
 
 // Withdraw takes back what a change still waits for.
 func (b *Budget) Withdraw(change string) {
-	b.Waiting = slices.DeleteFunc(b.Waiting, func(a Ask) bool { return a.Change == change })
+	b.Waiting = slices.DeleteFunc(b.Waiting, func(a PermitRequest) bool { return a.Change == change })
 }
 
 // Return says that a unit is to serve again under a permit. A token that is not in force changes nothing.
@@ -419,14 +419,14 @@
 		return false
 	}
 	p.Returned = true
-	if b.without == seenNotTold {
+	if b.disabled == guardObservedReturn {
 		delete(b.Permits, unit)
 	}
 	return true
 }
 
-// Late notes that a permit's time has passed.
-func (b *Budget) Late(unit string, token uint64) bool {
+// MarkOverdue notes that a permit's time has passed.
+func (b *Budget) MarkOverdue(unit string, token uint64) bool {
 	p := b.Permits[unit]
 	if p == nil || p.Token != token || p.Overdue {
 		return false
@@ -435,11 +435,11 @@
 	return true
 }
 
-// See takes in what is seen of a unit. A permit whose unit was to serve again ends when it is seen to.
-func (b *Budget) See(id string, u Unit) {
+// Observe takes in what is seen of a unit. A permit whose unit was to serve again ends when it is seen to.
+func (b *Budget) Observe(id string, u Unit) {
 	now := u
 	b.Units[id] = &now
-	if p := b.Permits[id]; p != nil && p.Returned && now.in() {
+	if p := b.Permits[id]; p != nil && p.Returned && now.inService() {
 		delete(b.Permits, id)
 	}
 }
@@ -447,39 +447,39 @@
 // Forget takes a unit out of the fleet: it is not missed any more. One that is out under a permit stays.
 func (b *Budget) Forget(id string) error {
 	if b.Permits[id] != nil {
-		return fmt.Errorf("%s is out under a permit: end that first", b.cause(id))
+		return fmt.Errorf("%s is out under a permit: end that first", b.describeOut(id))
 	}
 	delete(b.Units, id)
 	return nil
 }
 
-// Use is what of one rule's room is used, for one part of the fleet.
-type Use struct {
-	Rule, Where string
-	Out, Of     int
-	Limit       int     // -1: not by count
-	Stays, Load float64 // a second; of the kind of which the least stays
-	Spare       float64
-	Who         []string
+// RuleUsage is what of one rule's room is used, for one part of the fleet.
+type RuleUsage struct {
+	Rule, Scope     string
+	Out, Total      int
+	Limit           int     // -1: not by count
+	Remaining, Load float64 // a second; of the kind of which the least stays
+	Spare           float64
+	OutUnits        []string
 }
 
-// Uses lists the room of all rules.
-func (b *Budget) Uses() (all []Use) {
-	parts := b.parts(b.out)
-	for _, room := range sortedKeys(parts) {
-		name, key, _ := strings.Cut(room, "\x00")
+// Usage lists the room of all rules.
+func (b *Budget) Usage() (all []RuleUsage) {
+	totals := b.scopeTotals(b.isOut)
+	for _, scope := range sortedKeys(totals) {
+		name, key, _ := strings.Cut(scope, "\x00")
 		r := &b.Rules[slices.IndexFunc(b.Rules, func(r Rule) bool { return r.Name == name })]
-		p := parts[room]
-		use := Use{Rule: name, Where: key, Out: p.out, Of: p.n, Limit: r.limit(p.n), Load: p.asked(), Spare: r.Spare, Stays: math.Inf(1)}
-		for _, kind := range sortedKeys(p.stays) {
-			use.Stays = min(use.Stays, p.stays[kind])
+		p := totals[scope]
+		usage := RuleUsage{Rule: name, Scope: key, Out: p.out, Total: p.total, Limit: r.limit(p.total), Load: p.maxLoad(), Spare: r.Spare, Remaining: math.Inf(1)}
+		for _, kind := range sortedKeys(p.remaining) {
+			usage.Remaining = min(usage.Remaining, p.remaining[kind])
 		}
 		for _, id := range sortedKeys(b.Units) {
-			if k, ok := r.group(b.Units[id]); ok && k == key && b.out(id) {
-				use.Who = append(use.Who, b.cause(id))
+			if k, ok := r.scope(b.Units[id]); ok && k == key && b.isOut(id) {
+				usage.OutUnits = append(usage.OutUnits, b.describeOut(id))
 			}
 		}
-		all = append(all, use)
+		all = append(all, usage)
 	}
 	return all
 }
--- a/rollout/check.go
+++ b/rollout/check.go
@@ -27,7 +27,7 @@
 
 // What a comparison may come to.
 const (
-	TooFew Verdict = iota // to tell
+	Inconclusive Verdict = iota // to tell
 	Good
 	Bad
 )
@@ -36,30 +36,30 @@
 // has too few requests leaves the whole undecided, unless another is worse.
 func (l Limits) Judge(changed, others map[string]Count) (v Verdict, why string) {
 	v = Good
-	seen := false
+	judged := false
 	for _, class := range sortedKeys(changed) {
 		a, b := changed[class], others[class]
 		if a.Asked < l.Enough || b.Asked < l.Enough {
 			if a.Asked > 0 && b.Asked > 0 && v == Good {
-				v, why = TooFew, fmt.Sprintf("%s: %d and %d requests, %d are enough", class, a.Asked, b.Asked, l.Enough)
+				v, why = Inconclusive, fmt.Sprintf("%s: %d and %d requests, %d are enough", class, a.Asked, b.Asked, l.Enough)
 			}
 			continue
 		}
-		seen = true
-		for _, part := range []struct {
+		judged = true
+		for _, metric := range []struct {
 			name string
 			a, b uint64
 		}{{"failed", a.Failed, b.Failed}, {"late", a.Late, b.Late}} {
-			p, q := float64(part.a)/float64(a.Asked), float64(part.b)/float64(b.Asked)
-			both := float64(part.a+part.b) / float64(a.Asked+b.Asked)
-			deviation := math.Sqrt(both * (1 - both) * (1/float64(a.Asked) + 1/float64(b.Asked)))
-			if p > q+l.More && p-q > l.Sure*deviation {
-				return Bad, fmt.Sprintf("%s: %.1f %% %s, and %.1f %% at the others", class, 100*p, part.name, 100*q)
+			changedShare, otherShare := float64(metric.a)/float64(a.Asked), float64(metric.b)/float64(b.Asked)
+			pooled := float64(metric.a+metric.b) / float64(a.Asked+b.Asked)
+			deviation := math.Sqrt(pooled * (1 - pooled) * (1/float64(a.Asked) + 1/float64(b.Asked)))
+			if changedShare > otherShare+l.More && changedShare-otherShare > l.Sure*deviation {
+				return Bad, fmt.Sprintf("%s: %.1f %% %s, and %.1f %% at the others", class, 100*changedShare, metric.name, 100*otherShare)
 			}
 		}
 	}
-	if !seen && v == Good {
-		return TooFew, "no class has enough requests on both sides"
+	if !judged && v == Good {
+		return Inconclusive, "no class has enough requests on both sides"
 	}
 	return v, why
 }
--- a/rollout/fleet.go
+++ b/rollout/fleet.go
@@ -13,23 +13,23 @@
 
 // The commands.
 const (
-	SetRules Op = "rules"    // the budget's rules
-	See      Op = "see"      // what is seen of a unit, by its agent
-	Lose     Op = "lose"     // a unit's agent is silent: the unit counts as out
-	Forget   Op = "forget"   // a unit left the fleet for good
-	Want     Op = "want"     // a permit
-	Leave    Op = "leave"    // asked at the last moment before a unit leaves
-	Return   Op = "return"   // a unit is to serve again
-	Withdraw Op = "withdraw" // what a change still waits for
-	Late     Op = "late"     // a permit's time has passed (the leader counts it)
-	Halt     Op = "halt"     // all planned work
-	Resume   Op = "resume"   // planned work
-	Begin    Op = "begin"    // a release
-	Step     Op = "move"     // of a release
-	Fail     Op = "fail"     // a unit could not be changed
-	Drain    Op = "drain"    // units are to be taken out, and stay so until restored
-	Restore  Op = "restore"  // drained units are to serve again
-	Claim    Op = "claim"    // an operator has looked after an overdue permit: it has time again
+	SetRules      Op = "rules"    // the budget's rules
+	Observe       Op = "see"      // what is seen of a unit, by its agent
+	MarkLost      Op = "lose"     // a unit's agent is silent: the unit counts as out
+	Forget        Op = "forget"   // a unit left the fleet for good
+	RequestPermit Op = "want"     // a permit
+	Leave         Op = "leave"    // asked at the last moment before a unit leaves
+	Return        Op = "return"   // a unit is to serve again
+	Withdraw      Op = "withdraw" // what a change still waits for
+	MarkOverdue   Op = "late"     // a permit's time has passed (the leader counts it)
+	Halt          Op = "halt"     // all planned work
+	Resume        Op = "resume"   // planned work
+	Begin         Op = "begin"    // a release
+	MoveRelease   Op = "move"     // of a release
+	Fail          Op = "fail"     // a unit could not be changed
+	Drain         Op = "drain"    // units are to be taken out, and stay so until restored
+	Restore       Op = "restore"  // drained units are to serve again
+	Claim         Op = "claim"    // an operator has looked after an overdue permit: it has time again
 )
 
 // Command is one entry of the fleet's log.
@@ -37,7 +37,7 @@
 	Op       Op               `msgpack:"o"`
 	By       string           `msgpack:"b,omitempty"` // who asks, for the log
 	Unit     string           `msgpack:"u,omitempty"`
-	Seen     *Unit            `msgpack:"s,omitempty"`
+	Observed *Unit            `msgpack:"s,omitempty"`
 	Figures  map[string]Count `msgpack:"f,omitempty"`
 	Held     map[string]int   `msgpack:"h,omitempty"` // See: work under way at servers that drain
 	Config   bool             `msgpack:"g,omitempty"` // Begin: the version is one of the configuration
@@ -55,28 +55,28 @@
 
 // Bounds of what one command may carry.
 const (
-	wordMost   = 200
-	unitsMost  = 10_000
-	rulesMost  = 100
-	notesMost  = 2_000
-	notesSlack = 200 // more, so that they are not copied with each one
-	plansMost  = 100
-	classMost  = 64
-	lifeLeast  = time.Second
-	lifeMost   = 24 * time.Hour
+	maxTextLen    = 200
+	maxUnits      = 10_000
+	maxRules      = 100
+	maxNotes      = 2_000
+	notesSlack    = 200 // more, so that they are not copied with each one
+	maxPlans      = 100
+	maxClasses    = 64
+	minPermitLife = time.Second
+	maxPermitLife = 24 * time.Hour
 )
 
 // Check names what is wrong with a command, whatever the state.
 func (c *Command) Check() error {
-	for what, word := range map[string]string{"by": c.By, "unit": c.Unit, "change": c.Change, "version": c.Version} {
-		if len(word) > wordMost {
-			return fmt.Errorf("%s: %.20q... has over %d bytes", what, word, wordMost)
+	for field, text := range map[string]string{"by": c.By, "unit": c.Unit, "change": c.Change, "version": c.Version} {
+		if len(text) > maxTextLen {
+			return fmt.Errorf("%s: %.20q... has over %d bytes", field, text, maxTextLen)
 		}
 	}
-	if len(c.Why) > 5*wordMost || len(c.Units) > unitsMost || len(c.Rules) > rulesMost || len(c.Figures) > classMost || len(c.Held) > unitsMost {
+	if len(c.Why) > 5*maxTextLen || len(c.Units) > maxUnits || len(c.Rules) > maxRules || len(c.Figures) > maxClasses || len(c.Held) > maxUnits {
 		return errors.New("the command is too large")
 	}
-	need := func(ok bool, what string) error {
+	require := func(ok bool, what string) error {
 		if !ok {
 			return fmt.Errorf("%s: %s", c.Op, what)
 		}
@@ -95,33 +95,33 @@
 			names[c.Rules[i].Name] = true
 		}
 		return nil
-	case See:
-		return need(c.Unit != "" && c.Seen != nil && c.Seen.Kind != "" && c.Seen.Capacity >= 0 && c.Seen.Load >= 0, "a unit with a kind, and capacity and load of 0 or more, are due")
-	case Lose, Forget, Claim:
-		return need(c.Unit != "", "a unit is due")
-	case Want:
-		return need(c.Unit != "" && c.Change != "" && c.Life >= lifeLeast && c.Life <= lifeMost, "a unit, a change, and a time from 1s to 24h are due")
-	case Leave, Return, Late:
-		return need(c.Unit != "" && c.Token != 0, "a unit and its permit's token are due")
+	case Observe:
+		return require(c.Unit != "" && c.Observed != nil && c.Observed.Kind != "" && c.Observed.Capacity >= 0 && c.Observed.Load >= 0, "a unit with a kind, and capacity and load of 0 or more, are due")
+	case MarkLost, Forget, Claim:
+		return require(c.Unit != "", "a unit is due")
+	case RequestPermit:
+		return require(c.Unit != "" && c.Change != "" && c.Life >= minPermitLife && c.Life <= maxPermitLife, "a unit, a change, and a time from 1s to 24h are due")
+	case Leave, Return, MarkOverdue:
+		return require(c.Unit != "" && c.Token != 0, "a unit and its permit's token are due")
 	case Withdraw:
-		return need(c.Change != "", "a change is due")
+		return require(c.Change != "", "a change is due")
 	case Halt:
-		return need(c.Why != "", "a reason is due")
+		return require(c.Why != "", "a reason is due")
 	case Resume:
 		return nil
 	case Begin:
-		if err := need(c.Change != "" && c.Version != "" && len(c.Units) > 0 && c.Settings != nil, "a name, a version, units and settings are due"); err != nil {
+		if err := require(c.Change != "" && c.Version != "" && len(c.Units) > 0 && c.Settings != nil, "a name, a version, units and settings are due"); err != nil {
 			return err
 		}
 		return c.Settings.Check()
-	case Step:
-		return need(c.Move != nil && c.Move.Plan != "", "a move of a release is due")
+	case MoveRelease:
+		return require(c.Move != nil && c.Move.Plan != "", "a move of a release is due")
 	case Fail:
-		return need(c.Change != "" && c.Unit != "" && c.Why != "", "a release, a unit and a reason are due")
+		return require(c.Change != "" && c.Unit != "" && c.Why != "", "a release, a unit and a reason are due")
 	case Drain:
-		return need(c.Change != "" && len(c.Units) > 0 && c.Life >= lifeLeast && c.Life <= lifeMost, "a name, units, and a time from 1s to 24h are due")
+		return require(c.Change != "" && len(c.Units) > 0 && c.Life >= minPermitLife && c.Life <= maxPermitLife, "a name, units, and a time from 1s to 24h are due")
 	case Restore:
-		return need(c.Change != "", "a drain's name is due")
+		return require(c.Change != "", "a drain's name is due")
 	}
 	return fmt.Errorf("there is no command %q", c.Op)
 }
@@ -141,8 +141,8 @@
 	What string `msgpack:"w"`
 }
 
-// Taken is a drain.
-type Taken struct {
+// DrainState is a drain.
+type DrainState struct {
 	Units []string      `msgpack:"u"`
 	By    string        `msgpack:"b"`
 	Life  time.Duration `msgpack:"l"`
@@ -152,49 +152,49 @@
 
 // The kinds of units that are spoken of by name.
 const (
-	Gateways = "gateway"
-	Tables   = "table"
+	KindGateway = "gateway"
+	KindTable   = "table"
 )
 
 // Fleet is all that the coordinators' log builds about changes of the fleet.
 type Fleet struct {
-	Budget  *Budget                     `msgpack:"b"`
-	Plans   map[string]*Plan            `msgpack:"p"`
-	Drains  map[string]*Taken           `msgpack:"d"`
-	Lives   map[string]time.Duration    `msgpack:"l"` // of the permits, by unit
-	Figures map[string]map[string]Count `msgpack:"f"` // by unit and class, since its process began
-	Held    map[string]map[string]int   `msgpack:"h"` // by gateway: work under way at servers that drain
-	Seers   map[string]uint64           `msgpack:"s"` // by lease: the highest token under which units were seen
-	Notes   []Note                      `msgpack:"n"`
-	Seq     uint64                      `msgpack:"q"`
-	at      int64
+	Budget      *Budget                     `msgpack:"b"`
+	Plans       map[string]*Plan            `msgpack:"p"`
+	Drains      map[string]*DrainState      `msgpack:"d"`
+	Lives       map[string]time.Duration    `msgpack:"l"` // of the permits, by unit
+	Figures     map[string]map[string]Count `msgpack:"f"` // by unit and class, since its process began
+	Held        map[string]map[string]int   `msgpack:"h"` // by gateway: work under way at servers that drain
+	Seers       map[string]uint64           `msgpack:"s"` // by lease: the highest token under which units were seen
+	Notes       []Note                      `msgpack:"n"`
+	Seq         uint64                      `msgpack:"q"`
+	commandTime int64
 }
 
 // NewFleet is a fleet of which nothing is known yet.
 func NewFleet() *Fleet {
-	return &Fleet{Budget: NewBudget(), Plans: map[string]*Plan{}, Drains: map[string]*Taken{}, Lives: map[string]time.Duration{},
+	return &Fleet{Budget: NewBudget(), Plans: map[string]*Plan{}, Drains: map[string]*DrainState{}, Lives: map[string]time.Duration{},
 		Figures: map[string]map[string]Count{}, Held: map[string]map[string]int{}}
 }
 
 func (f *Fleet) note(by, format string, args ...any) {
 	f.Seq++
-	f.Notes = append(f.Notes, Note{f.Seq, f.at, by, fmt.Sprintf(format, args...)})
-	if len(f.Notes) > notesMost+notesSlack {
-		f.Notes = slices.Clone(f.Notes[len(f.Notes)-notesMost:])
+	f.Notes = append(f.Notes, Note{f.Seq, f.commandTime, by, fmt.Sprintf(format, args...)})
+	if len(f.Notes) > maxNotes+notesSlack {
+		f.Notes = slices.Clone(f.Notes[len(f.Notes)-maxNotes:])
 	}
 }
 
-func refusal(err error) Reply { return Reply{Error: err.Error()} }
+func replyError(err error) Reply { return Reply{Error: err.Error()} }
 
 // Apply takes one command of the log in. It was checked before.
 func (f *Fleet) Apply(c Command) (r Reply) {
 	b := f.Budget
-	f.at = c.At
+	f.commandTime = c.At
 	switch c.Op {
 	case SetRules:
 		b.Rules = c.Rules
 		f.note(c.By, "sets %d rules", len(c.Rules))
-	case See:
+	case Observe:
 		if f.Seers == nil {
 			f.Seers = map[string]uint64{}
 		}
@@ -204,15 +204,15 @@
 		if c.Token != 0 {
 			f.Seers[c.By] = c.Token
 		}
-		seen := *c.Seen
+		observed := *c.Observed
 		if old := b.Units[c.Unit]; old == nil {
-			f.note(c.Unit, "is there: a %s at %s that runs %s", seen.Kind, seen.Site, seen.Version)
-		} else if old.Up != seen.Up || old.Version != seen.Version {
-			f.note(c.Unit, "is seen: ready %v, runs %s", seen.Up, seen.Version)
+			f.note(c.Unit, "is there: a %s at %s that runs %s", observed.Kind, observed.Site, observed.Version)
+		} else if old.Up != observed.Up || old.Version != observed.Version {
+			f.note(c.Unit, "is seen: ready %v, runs %s", observed.Up, observed.Version)
 		}
-		out := b.Permits[c.Unit]
-		if b.See(c.Unit, seen); out != nil && b.Permits[c.Unit] == nil {
-			f.note(c.Unit, "is back from %s", out.Change)
+		permit := b.Permits[c.Unit]
+		if b.Observe(c.Unit, observed); permit != nil && b.Permits[c.Unit] == nil {
+			f.note(c.Unit, "is back from %s", permit.Change)
 		}
 		f.Figures[c.Unit] = c.Figures
 		if f.Held == nil { // a snapshot of before there were any
@@ -221,33 +221,33 @@
 		if delete(f.Held, c.Unit); len(c.Held) > 0 {
 			f.Held[c.Unit] = c.Held
 		}
-	case Lose:
+	case MarkLost:
 		if u := b.Units[c.Unit]; u != nil && u.Up {
 			u.Up, u.Warm, u.Lost = false, false, true
 			f.note(c.Unit, "is silent: it counts as out")
 		}
 	case Forget:
 		if err := b.Forget(c.Unit); err != nil {
-			return refusal(err)
+			return replyError(err)
 		}
 		delete(f.Figures, c.Unit)
 		delete(f.Held, c.Unit)
 		f.note(c.By, "forgets %s", c.Unit)
-	case Want:
-		p, refused := b.Want(Ask{c.Change, c.Unit})
+	case RequestPermit:
+		p, refused := b.RequestPermit(PermitRequest{c.Change, c.Unit})
 		if refused != nil {
 			f.Lives[c.Unit] = max(f.Lives[c.Unit], c.Life)
-			return Reply{Error: refused.Error(), Waits: slices.Contains(b.Waiting, Ask{c.Change, c.Unit})}
+			return Reply{Error: refused.Error(), Waits: slices.Contains(b.Waiting, PermitRequest{c.Change, c.Unit})}
 		}
 		f.Lives[c.Unit] = c.Life
 		r.Token = p.Token
 	case Leave:
 		if refused := b.Leave(c.Unit, c.Token); refused != nil {
-			return refusal(refused)
+			return replyError(refused)
 		}
 		change := b.Permits[c.Unit].Change
 		if p := f.Plans[change]; p != nil {
-			p.Began(c.Unit)
+			p.MarkBegun(c.Unit)
 		}
 		f.note(c.Unit, "leaves for %s", change)
 	case Return:
@@ -255,8 +255,8 @@
 			return Reply{Error: fmt.Sprintf("%s: token %d is no permit in force", c.Unit, c.Token)}
 		}
 		f.note(c.Unit, "is to serve again")
-	case Late:
-		if b.Late(c.Unit, c.Token) {
+	case MarkOverdue:
+		if b.MarkOverdue(c.Unit, c.Token) {
 			f.note(c.Unit, "its permit is overdue: planned work is halted until somebody has looked")
 		}
 	case Claim:
@@ -276,15 +276,15 @@
 		f.note(c.By, "resumes planned work")
 	case Begin:
 		return f.begin(c)
-	case Step:
+	case MoveRelease:
 		p := f.Plans[c.Move.Plan]
 		if p == nil {
 			return Reply{Error: fmt.Sprintf("there is no release %s", c.Move.Plan)}
 		}
-		if err := p.Take(*c.Move); err != nil {
-			return refusal(err)
+		if err := p.ApplyMove(*c.Move); err != nil {
+			return replyError(err)
 		}
-		if p.Stage == Halted || p.Stage == Backing || p.Over() {
+		if p.Stage == Halted || p.Stage == RollingBack || p.Over() {
 			b.Withdraw(p.ID)
 		}
 		f.note(c.By, "release %s is %s, wave %d of %d %s", p.ID, p.Stage, p.Wave+1, len(p.Waves), p.Why)
@@ -307,7 +307,7 @@
 		b.Withdraw(c.Change)
 		f.note(c.By, "restores %s", c.Change)
 	}
-	f.tidy()
+	f.grantAndPrune()
 	return r
 }
 
@@ -320,11 +320,11 @@
 	}
 	p, err := NewPlan(c.Change, c.Version, c.Config, f.Budget, c.Units, *c.Settings)
 	if err != nil {
-		return refusal(err)
+		return replyError(err)
 	}
 	for _, id := range sortedKeys(f.Plans) {
 		if other := f.Plans[id]; !other.Over() {
-			if unit, both := other.Conflicts(p); both {
+			if unit, common := other.Conflicts(p); common {
 				return Reply{Error: fmt.Sprintf("release %s is %s, and has %s too", id, other.Stage, unit)}
 			}
 		}
@@ -343,11 +343,11 @@
 			return Reply{Error: u + " is not known"}
 		}
 	}
-	f.Drains[c.Change] = &Taken{Units: c.Units, By: c.By, Life: c.Life}
+	f.Drains[c.Change] = &DrainState{Units: c.Units, By: c.By, Life: c.Life}
 	f.note(c.By, "drains %s as %s", strings.Join(c.Units, ", "), c.Change)
 	for _, u := range c.Units {
 		f.Lives[u] = c.Life
-		if _, refused := f.Budget.Want(Ask{c.Change, u}); refused != nil {
+		if _, refused := f.Budget.RequestPermit(PermitRequest{c.Change, u}); refused != nil {
 			r.Waits, r.Error = true, refused.Error()
 		}
 	}
@@ -355,8 +355,8 @@
 }
 
 // tidy gives permits to those who wait, and forgets what is over.
-func (f *Fleet) tidy() {
-	for _, a := range f.Budget.Give() {
+func (f *Fleet) grantAndPrune() {
+	for _, a := range f.Budget.GrantWaiting() {
 		f.note(a.Unit, "may leave for %s", a.Change)
 	}
 	for _, id := range sortedKeys(f.Drains) {
@@ -364,12 +364,12 @@
 		if d.Back && !slices.ContainsFunc(d.Units, func(u string) bool { p := f.Budget.Permits[u]; return p != nil && p.Change == id }) {
 			delete(f.Drains, id)
 			f.note(id, "is over: all of it serves again")
-		} else if quiet := f.quiet(id, d); quiet && !d.Quiet && !d.Back {
+		} else if quiet := f.drainQuiet(id, d); quiet && !d.Quiet && !d.Back {
 			f.note(id, "is quiet: nothing is under way at %s", strings.Join(d.Units, ", "))
 			d.Quiet = quiet
 		}
 	}
-	for over := 0; len(f.Plans) > plansMost && over < len(f.Plans); over++ {
+	for over := 0; len(f.Plans) > maxPlans && over < len(f.Plans); over++ {
 		for _, id := range sortedKeys(f.Plans) {
 			if f.Plans[id].Over() {
 				delete(f.Plans, id)
@@ -402,35 +402,35 @@
 		}
 	}
 	for _, id := range sortedKeys(f.Plans) {
-		if v, ok := f.Plans[id].Due(f.Budget, unit); ok {
+		if v, ok := f.Plans[id].TargetVersion(f.Budget, unit); ok {
 			return Task{Change: id, Version: v, Config: f.Plans[id].Config}
 		}
 	}
 	return t
 }
 
-// Busy tells what still stands against a drained unit's being quiet: how much work the gateways have under way there,
+// WorkInFlight tells what still stands against a drained unit's being quiet: how much work the gateways have under way there,
 // and the gateways that have not said, or are out of sight.
-func (f *Fleet) Busy(unit string) (held int, unknown []string) {
+func (f *Fleet) WorkInFlight(unit string) (inFlight int, unknown []string) {
 	for _, id := range sortedKeys(f.Budget.Units) {
-		if g := f.Budget.Units[id]; g.Kind != Gateways {
+		if g := f.Budget.Units[id]; g.Kind != KindGateway {
 			continue
 		}
-		n, said := f.Held[id][unit]
-		if held += n; !said {
+		n, reported := f.Held[id][unit]
+		if inFlight += n; !reported {
 			unknown = append(unknown, id)
 		}
 	}
-	return held, unknown
+	return inFlight, unknown
 }
 
 // quiet tells whether all of a drain has left, and nothing is under way there.
-func (f *Fleet) quiet(id string, d *Taken) bool {
+func (f *Fleet) drainQuiet(id string, d *DrainState) bool {
 	for _, unit := range d.Units {
 		if p := f.Budget.Permits[unit]; p == nil || p.Change != id || !p.Left {
 			return false
 		}
-		if held, unknown := f.Busy(unit); held > 0 || len(unknown) > 0 {
+		if held, unknown := f.WorkInFlight(unit); held > 0 || len(unknown) > 0 {
 			return false
 		}
 	}
@@ -448,15 +448,15 @@
 
 // Brief is the part of the fleet that one unit's agent has to know. It grows with what is under way, not with the fleet.
 func (f *Fleet) Brief(unit string) Brief {
-	t := Brief{Task: f.Task(unit), Permit: f.Budget.Permits[unit]}
-	t.Planned = t.Permit != nil && f.Plans[t.Permit.Change] != nil
-	t.Waits = slices.Contains(f.Budget.Waiting, Ask{t.Task.Change, unit})
+	brief := Brief{Task: f.Task(unit), Permit: f.Budget.Permits[unit]}
+	brief.Planned = brief.Permit != nil && f.Plans[brief.Permit.Change] != nil
+	brief.Waits = slices.Contains(f.Budget.Waiting, PermitRequest{brief.Task.Change, unit})
 	for _, id := range sortedKeys(f.Drains) {
 		for _, u := range f.Drains[id].Units {
-			if p := f.Budget.Permits[u]; p != nil && p.Change == id && p.Left && f.Budget.Units[u] != nil && f.Budget.Units[u].Kind == Tables {
-				t.Drains = append(t.Drains, u)
+			if p := f.Budget.Permits[u]; p != nil && p.Change == id && p.Left && f.Budget.Units[u] != nil && f.Budget.Units[u].Kind == KindTable {
+				brief.Drains = append(brief.Drains, u)
 			}
 		}
 	}
-	return t
+	return brief
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -12,12 +12,12 @@
 
 // The stages of a release.
 const (
-	Going   Stage = "going"   // the units of the wave are being changed
-	Looking Stage = "looking" // the wave is changed: is it as good as the others?
-	Halted  Stage = "halted"  // nobody begins anything; who has begun finishes or backs out
-	Backing Stage = "backing" // the changed ones go back, newest first
-	Done    Stage = "done"
-	Undone  Stage = "undone" // all that were changed run what they ran before
+	Updating    Stage = "going"   // the units of the wave are being changed
+	Evaluating  Stage = "looking" // the wave is changed: is it as good as the others?
+	Halted      Stage = "halted"  // nobody begins anything; who has begun finishes or backs out
+	RollingBack Stage = "backing" // the changed ones go back, newest first
+	Done        Stage = "done"
+	RolledBack  Stage = "undone" // all that were changed run what they ran before
 )
 
 // Settings say how a release goes.
@@ -85,7 +85,7 @@
 	Why       string            `msgpack:"y"` // of a halt
 	Conductor uint64            `msgpack:"c"` // the highest token that moved it
 
-	without guard
+	disabled guard
 }
 
 // NewPlan is a release that is about to begin.
@@ -96,26 +96,26 @@
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("release %s: %w", id, err)
 	}
-	p := &Plan{ID: id, To: to, Config: config, From: map[string]string{}, Settings: s, Stage: Going, Failed: map[string]string{}}
+	p := &Plan{ID: id, To: to, Config: config, From: map[string]string{}, Settings: s, Stage: Updating, Failed: map[string]string{}}
 	for _, u := range units {
-		known := b.Units[u]
-		if known == nil {
+		observed := b.Units[u]
+		if observed == nil {
 			return nil, fmt.Errorf("release %s: %s is not known", id, u)
 		}
-		if _, twice := p.From[u]; twice {
+		if _, duplicate := p.From[u]; duplicate {
 			return nil, fmt.Errorf("release %s: %s is named twice", id, u)
 		}
-		if config && known.Config == "" {
+		if config && observed.Config == "" {
 			return nil, fmt.Errorf("release %s: %s names no configuration that it could go back to", id, u)
 		}
-		p.From[u] = p.Runs(known)
+		p.From[u] = p.RunningVersion(observed)
 	}
 	p.Waves = Waves(units, func(u string) string { return b.Units[u].Site }, s.Canary, s.Growth)
 	return p, nil
 }
 
-// Runs is the version that a unit runs, of what this release changes.
-func (p *Plan) Runs(u *Unit) string {
+// RunningVersion is the version that a unit runs, of what this release changes.
+func (p *Plan) RunningVersion(u *Unit) string {
 	if p.Config {
 		return u.Config
 	}
@@ -123,32 +123,32 @@
 }
 
 // Over tells whether nothing is left to do.
-func (p *Plan) Over() bool { return p.Stage == Done || p.Stage == Undone }
+func (p *Plan) Over() bool { return p.Stage == Done || p.Stage == RolledBack }
 
 // Conflicts tells whether two releases name a unit in common.
-func (p *Plan) Conflicts(q *Plan) (unit string, ok bool) {
+func (p *Plan) Conflicts(other *Plan) (unit string, ok bool) {
 	for _, u := range sortedKeys(p.From) {
-		if _, both := q.From[u]; both {
+		if _, both := other.From[u]; both {
 			return u, true
 		}
 	}
 	return "", false
 }
 
-// Due is the version that a unit's agent is to bring it to now; ok is false where it is to leave the unit as it is.
+// TargetVersion is the version that a unit's agent is to bring it to now; ok is false where it is to leave the unit as it is.
 // An agent that has begun goes on by itself.
-func (p *Plan) Due(b *Budget, unit string) (version string, ok bool) {
+func (p *Plan) TargetVersion(b *Budget, unit string) (version string, ok bool) {
 	u := b.Units[unit]
 	if u == nil {
 		return "", false
 	}
 	switch p.Stage {
-	case Going:
-		if slices.Contains(p.Waves[p.Wave], unit) && p.Runs(u) != p.To && p.Failed[unit] == "" {
+	case Updating:
+		if slices.Contains(p.Waves[p.Wave], unit) && p.RunningVersion(u) != p.To && p.Failed[unit] == "" {
 			return p.To, true
 		}
-	case Backing:
-		if p.next(b) == unit {
+	case RollingBack:
+		if p.nextRollback(b) == unit {
 			return p.From[unit], true
 		}
 	}
@@ -156,33 +156,33 @@
 }
 
 // next is the newest begun unit that does not run what it ran before.
-func (p *Plan) next(b *Budget) string {
+func (p *Plan) nextRollback(b *Budget) string {
 	order := slices.Clone(p.Begun)
-	if p.without != newestFirst {
+	if p.disabled != guardNewestFirst {
 		slices.Reverse(order)
 	}
 	for _, unit := range order {
-		if u := b.Units[unit]; u != nil && p.Runs(u) != p.From[unit] {
+		if u := b.Units[unit]; u != nil && p.RunningVersion(u) != p.From[unit] {
 			return unit
 		}
 	}
 	return ""
 }
 
-// Began notes that a unit's agent has a permit and begins.
-func (p *Plan) Began(unit string) {
-	if _, mine := p.From[unit]; mine && !slices.Contains(p.Begun, unit) {
+// MarkBegun notes that a unit's agent has a permit and begins.
+func (p *Plan) MarkBegun(unit string) {
+	if _, included := p.From[unit]; included && !slices.Contains(p.Begun, unit) {
 		p.Begun = append(p.Begun, unit)
 	}
 }
 
 // Fail notes that a unit could not be changed. Its agent has brought the old version back, or says that it can't.
 func (p *Plan) Fail(unit, why string) {
-	if _, mine := p.From[unit]; !mine {
+	if _, included := p.From[unit]; !included {
 		return
 	}
 	p.Failed[unit] = why
-	if p.Stage == Going || p.Stage == Looking {
+	if p.Stage == Updating || p.Stage == Evaluating {
 		p.halt(fmt.Sprintf("%s: %s", unit, why))
 	}
 }
@@ -202,8 +202,8 @@
 	Why   string `msgpack:"y"`
 }
 
-// Take takes a move, or says why not.
-func (p *Plan) Take(m Move) error {
+// ApplyMove takes a move, or says why not.
+func (p *Plan) ApplyMove(m Move) error {
 	switch {
 	case p.Over():
 		return fmt.Errorf("release %s: it is %s", p.ID, p.Stage)
@@ -214,103 +214,103 @@
 	}
 	p.Conductor = max(p.Conductor, m.Token)
 	switch {
-	case m.To == Halted && (p.Stage == Going || p.Stage == Looking):
+	case m.To == Halted && (p.Stage == Updating || p.Stage == Evaluating):
 		p.halt(m.Why)
-	case m.To == Looking && p.Stage == Going:
-		p.Stage = Looking
-	case m.To == Going && p.Stage == Looking && p.Wave+1 < len(p.Waves):
-		p.Stage, p.Wave = Going, p.Wave+1
-	case m.To == Going && p.Stage == Halted: // resumed: what failed is tried again
-		p.Stage, p.Why = Going, ""
+	case m.To == Evaluating && p.Stage == Updating:
+		p.Stage = Evaluating
+	case m.To == Updating && p.Stage == Evaluating && p.Wave+1 < len(p.Waves):
+		p.Stage, p.Wave = Updating, p.Wave+1
+	case m.To == Updating && p.Stage == Halted: // resumed: what failed is tried again
+		p.Stage, p.Why = Updating, ""
 		clear(p.Failed)
-	case m.To == Done && p.Stage == Looking && p.Wave+1 == len(p.Waves):
+	case m.To == Done && p.Stage == Evaluating && p.Wave+1 == len(p.Waves):
 		p.Stage = Done
-	case m.To == Backing && !p.Over():
-		p.Stage = Backing
+	case m.To == RollingBack && !p.Over():
+		p.Stage = RollingBack
 		clear(p.Failed)
-	case m.To == Undone && p.Stage == Backing:
-		p.Stage = Undone
+	case m.To == RolledBack && p.Stage == RollingBack:
+		p.Stage = RolledBack
 	default:
 		return fmt.Errorf("release %s: it does not go from %s to %s", p.ID, p.Stage, m.To)
 	}
 	return nil
 }
 
-// Look is what a conductor sees besides the log. Since counts from when this conductor first saw the stage and wave:
+// Observation is what a conductor sees besides the log. Since counts from when this conductor first saw the stage and wave:
 // one that takes over waits again, and never less than another would have.
-type Look struct {
+type Observation struct {
 	Since   time.Duration
 	Changed map[string]Count // at the units that run the new version, in the same span as Others
 	Others  map[string]Count
-	Sight   bool // the counts are fresh
+	Fresh   bool // the counts are fresh
 }
 
 // Next is the move that follows from the log and what is seen; ok is false where there is nothing to do but wait.
-func (p *Plan) Next(b *Budget, l Look) (m Move, ok bool) {
-	to := func(s Stage, why string, args ...any) (Move, bool) {
+func (p *Plan) Next(b *Budget, o Observation) (m Move, ok bool) {
+	moveTo := func(s Stage, why string, args ...any) (Move, bool) {
 		return Move{Plan: p.ID, Stage: p.Stage, Wave: p.Wave, To: s, Why: fmt.Sprintf(why, args...)}, true
 	}
 	switch p.Stage {
-	case Going:
-		if unit := p.fallen(b, p.Wave+1); unit != "" {
-			return to(Halted, "%s runs the new version and is not seen ready", unit)
+	case Updating:
+		if unit := p.failedUnit(b, p.Wave+1); unit != "" {
+			return moveTo(Halted, "%s runs the new version and is not seen ready", unit)
 		}
 		for _, unit := range p.Waves[p.Wave] {
-			if u := b.Units[unit]; u != nil && (p.Runs(u) != p.To || !u.in() || b.Permits[unit] != nil) {
-				if l.Since > p.Settings.Patience && b.Permits[unit] != nil {
-					return to(Halted, "%s is not back after %v", unit, p.Settings.Patience)
+			if u := b.Units[unit]; u != nil && (p.RunningVersion(u) != p.To || !u.inService() || b.Permits[unit] != nil) {
+				if o.Since > p.Settings.Patience && b.Permits[unit] != nil {
+					return moveTo(Halted, "%s is not back after %v", unit, p.Settings.Patience)
 				}
-				if l.Since > p.Settings.Patience && u.Lost {
-					return to(Halted, "%s is out of sight for %v", unit, p.Settings.Patience)
+				if o.Since > p.Settings.Patience && u.Lost {
+					return moveTo(Halted, "%s is out of sight for %v", unit, p.Settings.Patience)
 				}
 				return m, false
 			}
 		}
-		return to(Looking, "")
-	case Looking:
-		if unit := p.fallen(b, p.Wave+1); unit != "" {
-			return to(Halted, "%s runs the new version and is not seen ready", unit)
+		return moveTo(Evaluating, "")
+	case Evaluating:
+		if unit := p.failedUnit(b, p.Wave+1); unit != "" {
+			return moveTo(Halted, "%s runs the new version and is not seen ready", unit)
 		}
 		limits := p.Settings.Limits
-		if p.without == judgedOnEnough {
+		if p.disabled == guardMinRequests {
 			limits.Enough = 1
 		}
-		switch v, why := limits.Judge(l.Changed, l.Others); {
-		case !l.Sight:
-			if l.Since > p.Settings.Patience {
-				return to(Halted, "no figures for %v", p.Settings.Patience)
+		switch v, why := limits.Judge(o.Changed, o.Others); {
+		case !o.Fresh:
+			if o.Since > p.Settings.Patience {
+				return moveTo(Halted, "no figures for %v", p.Settings.Patience)
 			}
 		case v == Bad:
-			return to(Halted, "%s", why)
-		case l.Since < p.Settings.Pause:
-		case v == Good, p.last() && len(l.Others) == 0: // with nobody left to compare with
+			return moveTo(Halted, "%s", why)
+		case o.Since < p.Settings.Pause:
+		case v == Good, p.onLastWave() && len(o.Others) == 0: // with nobody left to compare with
 			if p.Wave+1 < len(p.Waves) {
-				return to(Going, "")
+				return moveTo(Updating, "")
 			}
-			return to(Done, "")
-		case l.Since > p.Settings.Patience:
-			return to(Halted, "too few requests to tell: %s", why)
+			return moveTo(Done, "")
+		case o.Since > p.Settings.Patience:
+			return moveTo(Halted, "too few requests to tell: %s", why)
 		}
 	case Halted:
 		if p.Settings.GoBack {
-			return to(Backing, "%s", p.Why)
+			return moveTo(RollingBack, "%s", p.Why)
 		}
-	case Backing:
-		if p.next(b) == "" && !p.holds(b) {
-			return to(Undone, "%s", p.Why)
+	case RollingBack:
+		if p.nextRollback(b) == "" && !p.holdsPermit(b) {
+			return moveTo(RolledBack, "%s", p.Why)
 		}
 	}
 	return m, false
 }
 
-func (p *Plan) last() bool { return p.Wave+1 == len(p.Waves) }
+func (p *Plan) onLastWave() bool { return p.Wave+1 == len(p.Waves) }
 
 // fallen is a unit of the waves before one that runs the new version, has no permit, and is seen not to be in. One that
 // is out of sight for a while is no sign of a bad version: its wave isn't judged before it is seen again.
-func (p *Plan) fallen(b *Budget, before int) string {
-	for _, wave := range p.Waves[:before] {
+func (p *Plan) failedUnit(b *Budget, waves int) string {
+	for _, wave := range p.Waves[:waves] {
 		for _, unit := range wave {
-			if u := b.Units[unit]; u != nil && p.Runs(u) == p.To && !u.in() && !u.Lost && b.Permits[unit] == nil {
+			if u := b.Units[unit]; u != nil && p.RunningVersion(u) == p.To && !u.inService() && !u.Lost && b.Permits[unit] == nil {
 				return unit
 			}
 		}
@@ -319,7 +319,7 @@
 }
 
 // holds tells whether a unit is still out for this release.
-func (p *Plan) holds(b *Budget) bool {
+func (p *Plan) holdsPermit(b *Budget) bool {
 	for _, permit := range b.Permits {
 		if permit.Change == p.ID {
 			return true
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -12,7 +12,7 @@
 	f := NewFleet()
 	apply(t, f, Command{Op: SetRules, Rules: rules}, "")
 	for i := range n {
-		apply(t, f, Command{Op: See, Unit: fmt.Sprintf("g%d", i), Seen: &Unit{Kind: "gateway", Site: []string{"east", "west"}[i%2], Capacity: 10, Load: 5, Version: "1", Up: true, Warm: true}}, "")
+		apply(t, f, Command{Op: Observe, Unit: fmt.Sprintf("g%d", i), Observed: &Unit{Kind: "gateway", Site: []string{"east", "west"}[i%2], Capacity: 10, Load: 5, Version: "1", Up: true, Warm: true}}, "")
 	}
 	return f
 }
@@ -32,17 +32,17 @@
 func TestARefusalNamesTheRuleAndWhoUsesIt(t *testing.T) {
 	f := fleetOf(t, 10, Rule{Name: "tenth", Kind: "gateway", Share: 0.1}, Rule{Name: "sites", Site: "*", Spare: 1.6})
 	life := time.Minute
-	first := apply(t, f, Command{Op: Want, Unit: "g1", Change: "r", Life: life}, "")
-	if again := apply(t, f, Command{Op: Want, Unit: "g1", Change: "r", Life: life}, ""); again.Token != first.Token {
+	first := apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, "")
+	if again := apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, ""); again.Token != first.Token {
 		t.Errorf("asked twice: permits %d and %d", first.Token, again.Token)
 	}
-	apply(t, f, Command{Op: Want, Unit: "g1", Change: "other", Life: life}, "g1 is out already; out are: g1 (r)")
-	if r := apply(t, f, Command{Op: Want, Unit: "g2", Change: "r", Life: life}, "rule tenth: at most 1 of 10 may be out; out are: g1 (r)"); !r.Waits {
+	apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "other", Life: life}, "g1 is out already; out are: g1 (r)")
+	if r := apply(t, f, Command{Op: RequestPermit, Unit: "g2", Change: "r", Life: life}, "rule tenth: at most 1 of 10 may be out; out are: g1 (r)"); !r.Waits {
 		t.Error("an ask that is refused for want of room does not wait")
 	}
 	apply(t, f, Command{Op: Return, Unit: "g1", Token: first.Token + 1}, "no permit in force")
-	apply(t, f, Command{Op: Late, Unit: "g1", Token: first.Token}, "")
-	apply(t, f, Command{Op: Want, Unit: "g2", Change: "r", Life: life}, "overdue")
+	apply(t, f, Command{Op: MarkOverdue, Unit: "g1", Token: first.Token}, "")
+	apply(t, f, Command{Op: RequestPermit, Unit: "g2", Change: "r", Life: life}, "overdue")
 	apply(t, f, Command{Op: Claim, Unit: "g1"}, "")
 	apply(t, f, Command{Op: Halt, By: "ito", Why: "the final"}, "")
 	apply(t, f, Command{Op: Leave, Unit: "g1", Token: first.Token}, "halted: ito: the final")
@@ -53,29 +53,29 @@
 		t.Error("a permit ended because somebody said so")
 	}
 	g1 := *f.Budget.Units["g1"]
-	apply(t, f, Command{Op: See, Unit: "g1", Seen: &g1}, "")
+	apply(t, f, Command{Op: Observe, Unit: "g1", Observed: &g1}, "")
 	if p := f.Budget.Permits["g2"]; p == nil || f.Budget.Permits["g1"] != nil {
 		t.Error("seen back, and the next in the queue has no permit")
 	}
 	// What would stay at a site has to be enough: 4 of 5 can serve 40, and 25 x 1.7 is 42.
 	f = fleetOf(t, 10, Rule{Name: "sites", Site: "*", Spare: 1.7})
-	apply(t, f, Command{Op: Want, Unit: "g1", Change: "r", Life: life}, "rule sites: what would stay in west can serve 40 a second")
+	apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, "rule sites: what would stay in west can serve 40 a second")
 	// A unit that no rule speaks of may not leave, and neither may any without rules.
 	f = fleetOf(t, 2, Rule{Name: "tables", Kind: "table", Most: 1})
-	apply(t, f, Command{Op: Want, Unit: "g1", Change: "r", Life: life}, "no rule of the budget speaks of g1")
-	apply(t, f, Command{Op: Want, Unit: "g9", Change: "r", Life: life}, "g9 is not known")
+	apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, "no rule of the budget speaks of g1")
+	apply(t, f, Command{Op: RequestPermit, Unit: "g9", Change: "r", Life: life}, "g9 is not known")
 }
 
 // An ask that lacks room keeps those behind it from that room, and from no other.
 func TestSmallChangesStarveNobody(t *testing.T) {
 	f := fleetOf(t, 4, Rule{Name: "all", Most: 3}, Rule{Name: "east", Site: "east", Most: 1}, Rule{Name: "west", Site: "west", Most: 3})
 	life := time.Minute
-	apply(t, f, Command{Op: Want, Unit: "g0", Change: "a", Life: life}, "")
-	apply(t, f, Command{Op: Want, Unit: "g2", Change: "b", Life: life}, "rule east") // lacks room in the east, not of all
-	g1 := apply(t, f, Command{Op: Want, Unit: "g1", Change: "c", Life: life}, "")
-	apply(t, f, Command{Op: Want, Unit: "g3", Change: "c", Life: life}, "")
+	apply(t, f, Command{Op: RequestPermit, Unit: "g0", Change: "a", Life: life}, "")
+	apply(t, f, Command{Op: RequestPermit, Unit: "g2", Change: "b", Life: life}, "rule east") // lacks room in the east, not of all
+	g1 := apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "c", Life: life}, "")
+	apply(t, f, Command{Op: RequestPermit, Unit: "g3", Change: "c", Life: life}, "")
 	apply(t, f, Command{Op: Return, Unit: "g1", Token: g1.Token}, "")
-	apply(t, f, Command{Op: See, Unit: "g1", Seen: &Unit{Kind: "gateway", Site: "west", Up: true, Warm: true}}, "")
+	apply(t, f, Command{Op: Observe, Unit: "g1", Observed: &Unit{Kind: "gateway", Site: "west", Up: true, Warm: true}}, "")
 	if len(f.Budget.Waiting) != 1 || f.Budget.Waiting[0].Unit != "g2" {
 		t.Errorf("waiting: %v", f.Budget.Waiting)
 	}
@@ -90,12 +90,12 @@
 	apply(t, f, Command{Op: Begin, Change: "r3", Version: "3", Units: []string{"g2", "g2"}, Settings: &s}, "named twice")
 	apply(t, f, Command{Op: Begin, Change: "r3", Version: "3", Units: []string{"g2"}, Settings: &s}, "")
 	// Of two conductors the later one's moves count, and a move from what is not so any more never.
-	going := Move{Plan: "r1", Stage: Going, To: Looking}
+	going := Move{Plan: "r1", Stage: Updating, To: Evaluating}
 	later, earlier := going, going
 	later.Token, earlier.Token = 9, 8
-	apply(t, f, Command{Op: Step, Move: &later}, "")
-	apply(t, f, Command{Op: Step, Move: &earlier}, "overtaken by 9")
-	apply(t, f, Command{Op: Step, Move: &later}, "not going in wave 1")
+	apply(t, f, Command{Op: MoveRelease, Move: &later}, "")
+	apply(t, f, Command{Op: MoveRelease, Move: &earlier}, "overtaken by 9")
+	apply(t, f, Command{Op: MoveRelease, Move: &later}, "not going in wave 1")
 	if got := fmt.Sprint(Waves([]string{"a1", "a2", "a3", "b1", "b2", "b3"}, func(u string) string { return u[:1] }, 1, 2)); got != "[[a1] [b1 a2] [b2 a3 b3]]" {
 		t.Errorf("waves %s", got)
 	}
@@ -103,19 +103,19 @@
 
 // What a site can serve is the least of what its gateways and its table servers can: none of either leaves when that
 // would be too little for the load, which passes through both.
-func TestSpareRoomCountsEachKind(t *testing.T) {
+func TestSpareCapacityCountsEachKind(t *testing.T) {
 	f := fleetOf(t, 4, Rule{Name: "room", Spare: 1.2}) // gateways: 40 a second at a load of 20
 	life := time.Minute
 	for i, capacity := range []float64{15, 15, 4} {
-		apply(t, f, Command{Op: See, Unit: fmt.Sprintf("t%d", i), Seen: &Unit{Kind: Tables, Site: "east", Capacity: capacity, Up: true, Warm: true}}, "")
+		apply(t, f, Command{Op: Observe, Unit: fmt.Sprintf("t%d", i), Observed: &Unit{Kind: KindTable, Site: "east", Capacity: capacity, Up: true, Warm: true}}, "")
 	}
-	apply(t, f, Command{Op: Want, Unit: "t0", Change: "d", Life: life}, "what would stay can serve 19 a second (tables), and 20 is asked with 1.20 times that")
+	apply(t, f, Command{Op: RequestPermit, Unit: "t0", Change: "d", Life: life}, "what would stay can serve 19 a second (tables), and 20 is asked with 1.20 times that")
 	apply(t, f, Command{Op: Withdraw, Change: "d"}, "")
-	apply(t, f, Command{Op: Want, Unit: "t2", Change: "e", Life: life}, "")
-	apply(t, f, Command{Op: Want, Unit: "g0", Change: "r", Life: life}, "")
-	apply(t, f, Command{Op: See, Unit: "t1", Seen: &Unit{Kind: Tables, Site: "east", Capacity: 15}}, "") // it fell
-	apply(t, f, Command{Op: Want, Unit: "g1", Change: "r", Life: life}, "can serve 20 a second (gateways)")
-	if no := f.Budget.Room("t0"); no == nil || !strings.Contains(no.Error(), "can serve 0 a second (tables)") {
+	apply(t, f, Command{Op: RequestPermit, Unit: "t2", Change: "e", Life: life}, "")
+	apply(t, f, Command{Op: RequestPermit, Unit: "g0", Change: "r", Life: life}, "")
+	apply(t, f, Command{Op: Observe, Unit: "t1", Observed: &Unit{Kind: KindTable, Site: "east", Capacity: 15}}, "") // it fell
+	apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, "can serve 20 a second (gateways)")
+	if no := f.Budget.CheckLeave("t0"); no == nil || !strings.Contains(no.Error(), "can serve 0 a second (tables)") {
 		t.Errorf("t0 may leave: %v", no)
 	}
 }
@@ -123,13 +123,13 @@
 // A drain is quiet when all of it has left and every gateway has said that it has nothing under way there, and no
 // longer when another gateway comes that has not said so.
 func TestADrainIsQuietOnceAllHaveSaidSo(t *testing.T) {
-	f := fleetOf(t, 2, Rule{Name: "tables", Kind: Tables, Most: 2})
-	see := func(unit string, held map[string]int) {
+	f := fleetOf(t, 2, Rule{Name: "tables", Kind: KindTable, Most: 2})
+	observe := func(unit string, held map[string]int) {
 		t.Helper()
-		apply(t, f, Command{Op: See, Unit: unit, Seen: f.Budget.Units[unit], Held: held}, "")
+		apply(t, f, Command{Op: Observe, Unit: unit, Observed: f.Budget.Units[unit], Held: held}, "")
 	}
 	for _, id := range []string{"t0", "t1"} {
-		apply(t, f, Command{Op: See, Unit: id, Seen: &Unit{Kind: Tables, Up: true, Warm: true}}, "")
+		apply(t, f, Command{Op: Observe, Unit: id, Observed: &Unit{Kind: KindTable, Up: true, Warm: true}}, "")
 	}
 	apply(t, f, Command{Op: Drain, Change: "d", Units: []string{"t0", "t1"}, Life: time.Minute}, "")
 	if b := f.Brief("g0"); len(b.Drains) != 0 {
@@ -141,69 +141,69 @@
 	if b := f.Brief("g0"); fmt.Sprint(b.Drains) != "[t0 t1]" || b.Task.Change != "" {
 		t.Errorf("brief: %+v", b)
 	}
-	see("g0", map[string]int{"t0": 0, "t1": 0})
-	see("g1", map[string]int{"t0": 0, "t1": 3})
+	observe("g0", map[string]int{"t0": 0, "t1": 0})
+	observe("g1", map[string]int{"t0": 0, "t1": 3})
 	if f.Drains["d"].Quiet {
 		t.Error("quiet with work under way")
 	}
-	see("g1", map[string]int{"t0": 0})
+	observe("g1", map[string]int{"t0": 0})
 	if f.Drains["d"].Quiet {
 		t.Error("quiet, and a gateway has not said so of one server")
 	}
-	see("g1", map[string]int{"t0": 0, "t1": 0})
+	observe("g1", map[string]int{"t0": 0, "t1": 0})
 	if !f.Drains["d"].Quiet {
 		t.Error("not quiet, and all have said so")
 	}
-	apply(t, f, Command{Op: See, Unit: "g2", Seen: &Unit{Kind: Gateways, Up: true, Warm: true}}, "")
-	if _, who := f.Busy("t0"); fmt.Sprint(who) != "[g2]" {
-		t.Errorf("not heard from: %v", who)
+	apply(t, f, Command{Op: Observe, Unit: "g2", Observed: &Unit{Kind: KindGateway, Up: true, Warm: true}}, "")
+	if _, unknown := f.WorkInFlight("t0"); fmt.Sprint(unknown) != "[g2]" {
+		t.Errorf("not heard from: %v", unknown)
 	}
 }
 
 // Whoever was stopped while another one came to see the same units is not listened to any more.
-func TestTheLatestSeerCounts(t *testing.T) {
+func TestOnlyTheLatestObserverCounts(t *testing.T) {
 	f := fleetOf(t, 1)
-	up, down := &Unit{Kind: Tables, Up: true, Warm: true, By: "b"}, &Unit{Kind: Tables, By: "a"}
-	apply(t, f, Command{Op: See, By: "tables:x", Token: 5, Unit: "t0", Seen: up}, "")
-	apply(t, f, Command{Op: See, By: "tables:x", Token: 4, Unit: "t0", Seen: down}, "token 4 is overtaken by 5")
-	apply(t, f, Command{Op: See, By: "tables:y", Token: 4, Unit: "t1", Seen: down}, "")
+	up, down := &Unit{Kind: KindTable, Up: true, Warm: true, By: "b"}, &Unit{Kind: KindTable, By: "a"}
+	apply(t, f, Command{Op: Observe, By: "tables:x", Token: 5, Unit: "t0", Observed: up}, "")
+	apply(t, f, Command{Op: Observe, By: "tables:x", Token: 4, Unit: "t0", Observed: down}, "token 4 is overtaken by 5")
+	apply(t, f, Command{Op: Observe, By: "tables:y", Token: 4, Unit: "t1", Observed: down}, "")
 	if !f.Budget.Units["t0"].Up {
 		t.Error("a late word counted")
 	}
 }
 
 // A changed unit that is out of sight is no sign of a bad version: the release waits, and halts when that lasts.
-func TestLostSightWaitsAndThenHalts(t *testing.T) {
+func TestLostUnitWaitsThenHalts(t *testing.T) {
 	f := fleetOf(t, 3, Rule{Name: "one", Most: 1})
 	s := DefaultSettings
 	apply(t, f, Command{Op: Begin, Change: "r", Version: "2", Units: []string{"g0", "g1"}, Settings: &s}, "")
 	p := f.Plans["r"]
-	see := func(version string, up bool) {
-		apply(t, f, Command{Op: See, Unit: "g0", Seen: &Unit{Kind: Gateways, Site: "east", Capacity: 10, Version: version, Up: up, Warm: up}}, "")
-	}
-	see("2", true)
-	apply(t, f, Command{Op: Step, Move: &Move{Plan: "r", Stage: Going, To: Looking}}, "")
-	apply(t, f, Command{Op: Lose, Unit: "g0"}, "")
-	blind := Look{Since: time.Second}
-	if m, ok := p.Next(f.Budget, blind); ok {
+	observe := func(version string, up bool) {
+		apply(t, f, Command{Op: Observe, Unit: "g0", Observed: &Unit{Kind: KindGateway, Site: "east", Capacity: 10, Version: version, Up: up, Warm: up}}, "")
+	}
+	observe("2", true)
+	apply(t, f, Command{Op: MoveRelease, Move: &Move{Plan: "r", Stage: Updating, To: Evaluating}}, "")
+	apply(t, f, Command{Op: MarkLost, Unit: "g0"}, "")
+	stale := Observation{Since: time.Second}
+	if m, ok := p.Next(f.Budget, stale); ok {
 		t.Errorf("out of sight for a second: %+v", m)
 	}
-	if no := f.Budget.Room("g1"); no == nil || !strings.Contains(no.Error(), "g0 (out of sight)") {
+	if no := f.Budget.CheckLeave("g1"); no == nil || !strings.Contains(no.Error(), "g0 (out of sight)") {
 		t.Errorf("g1 may leave meanwhile: %v", no)
 	}
-	blind.Since = s.Patience + time.Second
-	if m, ok := p.Next(f.Budget, blind); !ok || m.To != Halted {
+	stale.Since = s.Patience + time.Second
+	if m, ok := p.Next(f.Budget, stale); !ok || m.To != Halted {
 		t.Errorf("out of sight for longer than it may: %+v", m)
 	}
-	see("2", false)
-	if m, ok := p.Next(f.Budget, Look{Since: time.Second}); !ok || m.To != Halted || !strings.Contains(m.Why, "g0 runs the new version and is not seen ready") {
+	observe("2", false)
+	if m, ok := p.Next(f.Budget, Observation{Since: time.Second}); !ok || m.To != Halted || !strings.Contains(m.Why, "g0 runs the new version and is not seen ready") {
 		t.Errorf("seen down: %+v", m)
 	}
 	// One that is to be changed and is out of sight is not waited for without an end either.
-	see("1", true)
-	p.Stage = Going
-	apply(t, f, Command{Op: Lose, Unit: "g0"}, "")
-	if m, ok := p.Next(f.Budget, Look{Since: s.Patience + time.Second}); !ok || !strings.Contains(m.Why, "out of sight") {
+	observe("1", true)
+	p.Stage = Updating
+	apply(t, f, Command{Op: MarkLost, Unit: "g0"}, "")
+	if m, ok := p.Next(f.Budget, Observation{Since: s.Patience + time.Second}); !ok || !strings.Contains(m.Why, "out of sight") {
 		t.Errorf("never changed, and out of sight: %+v", m)
 	}
 }
@@ -215,15 +215,15 @@
 	apply(t, f, Command{Op: Begin, Change: "r", Version: "c2", Config: true, Units: []string{"g0"}, Settings: &s}, "g0 names no configuration that it could go back to")
 	seen := *f.Budget.Units["g0"]
 	seen.Config = "c1"
-	apply(t, f, Command{Op: See, Unit: "g0", Seen: &seen}, "")
+	apply(t, f, Command{Op: Observe, Unit: "g0", Observed: &seen}, "")
 	apply(t, f, Command{Op: Begin, Change: "r", Version: "c2", Config: true, Units: []string{"g0"}, Settings: &s}, "")
 	if task := f.Task("g0"); !task.Config || task.Version != "c2" {
 		t.Errorf("task %+v", task)
 	}
 	seen.Config = "c2"
-	f.Plans["r"].Began("g0")
-	apply(t, f, Command{Op: See, Unit: "g0", Seen: &seen}, "")
-	apply(t, f, Command{Op: Step, Move: &Move{Plan: "r", Stage: Going, To: Backing}}, "")
+	f.Plans["r"].MarkBegun("g0")
+	apply(t, f, Command{Op: Observe, Unit: "g0", Observed: &seen}, "")
+	apply(t, f, Command{Op: MoveRelease, Move: &Move{Plan: "r", Stage: Updating, To: RollingBack}}, "")
 	if task := f.Task("g0"); !task.Config || task.Version != "c1" {
 		t.Errorf("task on the way back %+v", task)
 	}
@@ -243,9 +243,9 @@
 		{"one class fails", one(1000, 80, 50), one(9000, 90, 450), Bad},
 		{"one class is late", one(1000, 10, 150), one(9000, 90, 450), Bad},
 		{"a little more, within chance", one(200, 4, 0), one(9000, 90, 0), Good},
-		{"too few to tell", one(50, 50, 0), one(9000, 90, 450), TooFew},
+		{"too few to tell", one(50, 50, 0), one(9000, 90, 450), Inconclusive},
 		{"too few of one class, another is worse", map[string]Count{"move": {10, 10, 0}, "view": {1000, 100, 0}}, one(9000, 90, 0), Bad},
-		{"nothing at all", nil, nil, TooFew},
+		{"nothing at all", nil, nil, Inconclusive},
 		{"better", one(1000, 0, 0), one(9000, 900, 900), Good},
 	} {
 		if v, why := l.Judge(c.changed, c.others); v != c.want {
@@ -256,8 +256,8 @@
 
 func TestCommandsAreChecked(t *testing.T) {
 	for _, c := range []Command{
-		{}, {Op: "x"}, {Op: See, Unit: "a"}, {Op: See, Unit: "a", Seen: &Unit{Kind: "g", Load: -1}}, {Op: Want, Unit: "a", Change: "c"},
-		{Op: Want, Unit: strings.Repeat("a", 300), Change: "c", Life: time.Minute}, {Op: Leave, Unit: "a"}, {Op: Halt}, {Op: Step},
+		{}, {Op: "x"}, {Op: Observe, Unit: "a"}, {Op: Observe, Unit: "a", Observed: &Unit{Kind: "g", Load: -1}}, {Op: RequestPermit, Unit: "a", Change: "c"},
+		{Op: RequestPermit, Unit: strings.Repeat("a", 300), Change: "c", Life: time.Minute}, {Op: Leave, Unit: "a"}, {Op: Halt}, {Op: MoveRelease},
 		{Op: Begin, Change: "r", Version: "2", Units: []string{"a"}, Settings: &Settings{}}, {Op: Drain, Change: "d", Units: []string{"a"}, Life: time.Millisecond},
 		{Op: SetRules, Rules: []Rule{{Name: "a"}}}, {Op: SetRules, Rules: []Rule{{Name: "a", Most: 1}, {Name: "a", Most: 1}}}, {Op: SetRules, Rules: []Rule{{Name: "a", Share: 1}}},
 	} {
@@ -272,19 +272,19 @@
 	for _, waiting := range []int{0, 20, 200} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			f := NewFleet()
-			f.Apply(Command{Op: SetRules, Rules: []Rule{{Name: "g", Kind: Gateways, Most: 10}, {Name: "room", Spare: 0.1}}})
-			u := Unit{Kind: Gateways, Capacity: 10, Load: 5, Up: true, Warm: true}
+			f.Apply(Command{Op: SetRules, Rules: []Rule{{Name: "g", Kind: KindGateway, Most: 10}, {Name: "room", Spare: 0.1}}})
+			u := Unit{Kind: KindGateway, Capacity: 10, Load: 5, Up: true, Warm: true}
 			for i := range 300 {
 				seen := u
-				f.Apply(Command{Op: See, Unit: fmt.Sprint("g", i), Seen: &seen})
+				f.Apply(Command{Op: Observe, Unit: fmt.Sprint("g", i), Observed: &seen})
 			}
 			for i := range waiting + 10*min(1, waiting) {
-				f.Apply(Command{Op: Want, Unit: fmt.Sprint("g", i), Change: "r", Life: time.Minute})
+				f.Apply(Command{Op: RequestPermit, Unit: fmt.Sprint("g", i), Change: "r", Life: time.Minute})
 			}
 			b.ResetTimer()
 			for b.Loop() {
 				seen := u
-				f.Apply(Command{Op: See, Unit: "g299", Seen: &seen})
+				f.Apply(Command{Op: Observe, Unit: "g299", Observed: &seen})
 			}
 		})
 	}
