--- a/rollout/budget.go
+++ b/rollout/budget.go
@@ -1,7 +1,9 @@
-// Package rollout decides how a fleet is changed without too much of it being out at once. It has three parts, all
-// without I/O, clock or goroutine: the budget, which whoever takes something out has to ask, also by hand; the plan of
-// a release, whose every state stands in the log, so that any conductor can go on with it; and the check that tells a
-// bad version from the one before.
+// Package rollout decides how a fleet is changed without too much of it being out of service at once. It does no I/O,
+// reads no clock and starts no goroutine.
+//
+// It has three parts: the budget, which must grant a permit before any unit is taken out, also by hand; the plan of a
+// release, whose complete state is in the log, so that any conductor can continue it; and the check that compares a new
+// version with the previous one.
 //
 // The coordinators keep the budget and the plans in their log. What a conductor or an agent does follows from that
 // state alone.
@@ -14,37 +16,38 @@
 	"strings"
 )
 
-// Unit is something that serves and may be taken out: a gateway, a table server.
+// Unit is a server that may be taken out of service: a gateway or a table server.
 type Unit struct {
-	Kind     string  `msgpack:"k"` // gateway, table
+	Kind     string  `msgpack:"k"` // KindGateway or KindTable
 	Site     string  `msgpack:"s"`
 	Zone     string  `msgpack:"z"`
-	Capacity float64 `msgpack:"c"` // requests a second that it can serve once warm
-	Load     float64 `msgpack:"l"` // that it serves now, as last reported
-	Version  string  `msgpack:"v"` // that it runs
-	Config   string  `msgpack:"g"` // configuration that is in force there; empty: the one that it started with
-	Instance string  `msgpack:"i"` // of its process: another one under the same name is not it
-	Up       bool    `msgpack:"u"` // seen ready
-	Warm     bool    `msgpack:"w"` // and able to serve its capacity
-	Lost     bool    `msgpack:"t"` // whoever sees it is silent: it counts as out, and may be as it was
-	By       string  `msgpack:"b"` // member that sees it: when that falls silent, the unit is out of sight
-}
-
-// in tells whether a unit serves as it should.
+	Capacity float64 `msgpack:"c"` // requests per second that it can serve once warm
+	Load     float64 `msgpack:"l"` // requests per second that it serves now, as last reported
+	Version  string  `msgpack:"v"` // version of the program that it runs
+	Config   string  `msgpack:"g"` // version of the configuration in force there; empty: the one that it started with
+	Instance string  `msgpack:"i"` // of its process: after a restart the unit has the same name and another instance
+	Up       bool    `msgpack:"u"` // last observed ready
+	Warm     bool    `msgpack:"w"` // able to serve its full capacity
+	Lost     bool    `msgpack:"t"` // its observer no longer reports: it counts as out, although it may still serve
+	By       string  `msgpack:"b"` // member that observes it; when that member stops reporting, the unit counts as lost
+}
+
+// inService reports whether a unit is ready and warm.
 func (u Unit) inService() bool { return u.Up && u.Warm }
 
-// Rule is one bound on what may be out. A site or zone of "*" stands for each one by itself.
+// Rule is one limit on what may be out of service. A site or zone of "*" applies the rule to each site or zone
+// separately.
 type Rule struct {
 	Name  string  `msgpack:"n"`
-	Kind  string  `msgpack:"k"` // empty: of any kind
-	Site  string  `msgpack:"s"` // empty: anywhere
-	Zone  string  `msgpack:"z"`
-	Most  int     `msgpack:"m"` // units; 0: not bounded so
-	Share float64 `msgpack:"h"` // of the units there are, rounded down, but one at least; 0: not bounded so
-	Spare float64 `msgpack:"p"` // what stays in, of each kind there is, can serve the load so many times; 0: not bounded so
+	Kind  string  `msgpack:"k"` // empty: any kind
+	Site  string  `msgpack:"s"` // empty: any site
+	Zone  string  `msgpack:"z"` // empty: any zone
+	Most  int     `msgpack:"m"` // number of units that may be out; 0: no such limit
+	Share float64 `msgpack:"h"` // of the units may be out, rounded down but at least one; 0: no such limit
+	Spare float64 `msgpack:"p"` // least remaining capacity of each kind, as a multiple of the load; 0: no limit
 }
 
-// Check names what is wrong with a rule.
+// Check returns an error that says what is wrong with a rule.
 func (r *Rule) Check() error {
 	switch {
 	case r.Name == "":
@@ -57,7 +60,8 @@
 	return nil
 }
 
-// group is the part of the fleet that a rule bounds together with a unit; ok is false where it doesn't bound it.
+// scope returns the key of the part of the fleet that the rule limits as a whole and that contains the unit. It returns
+// false if the rule does not apply to the unit.
 func (r *Rule) scope(u *Unit) (key string, ok bool) {
 	if r.Kind != "" && r.Kind != u.Kind || r.Site != "" && r.Site != "*" && r.Site != u.Site || r.Zone != "" && r.Zone != "*" && r.Zone != u.Zone {
 		return "", false
@@ -72,57 +76,58 @@
 	return strings.Join(parts, "/"), true
 }
 
-// Permit allows one unit to be out. It counts until the unit is seen back, not until somebody says so.
+// Permit allows one unit to be out of service. It counts until the unit is observed back in service: its holder's report
+// alone does not end it.
 type Permit struct {
-	Change   string `msgpack:"c"` // release or drain that it belongs to
+	Change   string `msgpack:"c"` // release or drain that it was granted for
 	Token    uint64 `msgpack:"k"`
-	Left     bool   `msgpack:"l"` // the unit was let go: it is out, or about to be
-	Returned bool   `msgpack:"r"` // its holder says that the unit is to serve again: seen so from now on, it ends
-	Overdue  bool   `msgpack:"o"` // its time has passed; nothing planned leaves until somebody ends it
+	Left     bool   `msgpack:"l"` // the unit was allowed to leave: it is out, or about to be
+	Returned bool   `msgpack:"r"` // reported to serve again; the next observation in service ends the permit
+	Overdue  bool   `msgpack:"o"` // its time has passed; nothing planned leaves until it ends or is claimed
 }
 
-// PermitRequest is one wish for a permit that waits.
+// PermitRequest is a change's request for a permit for one unit.
 type PermitRequest struct {
 	Change string `msgpack:"c"`
 	Unit   string `msgpack:"u"`
 }
 
-// Budget says who is out, who may leave, and who waits to.
+// Budget records which units are out, which may leave, and which requests wait for a permit.
 type Budget struct {
 	Rules   []Rule             `msgpack:"r"`
 	Units   map[string]*Unit   `msgpack:"u"`
 	Permits map[string]*Permit `msgpack:"p"` // by unit
-	Waiting []PermitRequest    `msgpack:"w"` // in the order of asking
+	Waiting []PermitRequest    `msgpack:"w"` // in the order of the requests
 	Token   uint64             `msgpack:"k"`
-	Halted  string             `msgpack:"h"` // who halted all planned work, and why; empty: nobody
+	Halted  string             `msgpack:"h"` // who halted all planned work, and why; empty: not halted
 
 	disabled guard
 }
 
-// guard names one of the guards, so that tests can take it out and see that their checks notice.
+// guard identifies one of the safety checks, so that a test can disable it and verify that the fault is detected.
 type guard int
 
 const (
-	guardNone guard = iota
-	guardCrashesCount
-	guardObservedReturn
-	guardRequestOrder
-	guardOverdueBlocks
-	guardLeaveRecheck
-	guardNewestFirst
-	guardMinRequests
+	guardNone           guard = iota
+	guardCrashesCount         // crashed and lost units count as out
+	guardObservedReturn       // a permit ends on an observation, not on a report
+	guardRequestOrder         // earlier requests for the same scope are granted first
+	guardOverdueBlocks        // an overdue permit blocks planned work
+	guardLeaveRecheck         // the rules are checked again before a unit leaves
+	guardNewestFirst          // a rollback begins with the last changed unit
+	guardMinRequests          // a version is judged only on enough requests
 )
 
-// NewBudget is a budget with nothing in it; without a rule nothing may leave.
+// NewBudget returns an empty budget. Without a rule no unit may leave.
 func NewBudget() *Budget {
 	return &Budget{Units: map[string]*Unit{}, Permits: map[string]*Permit{}}
 }
 
-// Refusal is why a unit may not leave now.
+// Refusal says why a unit may not leave now.
 type Refusal struct {
-	Reason   string   // that stands against it, or what else does
-	OutUnits []string // who uses the rule's room: units that are out, with the cause
-	scope    string   // rule and part of the fleet
+	Reason   string   // the rule that forbids it, or another reason
+	OutUnits []string // the units that are out under the rule, each with its cause
+	scope    string   // rule and scope key
 }
 
 func (r *Refusal) Error() string {
@@ -132,7 +137,7 @@
 	return fmt.Sprintf("%s; out are: %s", r.Reason, strings.Join(r.OutUnits, ", "))
 }
 
-// out tells whether a unit is out, or may be from now on.
+// isOut reports whether a unit is out, or has a permit and may leave at any moment.
 func (b *Budget) isOut(id string) bool {
 	if b.Permits[id] != nil {
 		return true
@@ -140,7 +145,7 @@
 	return !b.Units[id].inService() && b.disabled != guardCrashesCount
 }
 
-// cause is why a unit is out, in words for a person.
+// describeOut says for an operator why a unit is out.
 func (b *Budget) describeOut(id string) string {
 	u, p := b.Units[id], b.Permits[id]
 	switch {
@@ -156,8 +161,9 @@
 	return id + " (not warm yet)"
 }
 
-// CheckLeave tells whether a unit may leave now, or what stands against it. One that is seen out uses room already, but no
-// more may be out for its sake: it may be back before that is seen.
+// CheckLeave returns nil if a unit may leave now, and otherwise the reason why not. A unit that is observed out already
+// counts against the limits, and may leave only while the units that are out are within them: it may be back in service
+// before that is observed.
 func (b *Budget) CheckLeave(id string) *Refusal {
 	if b.Units[id] == nil {
 		return &Refusal{Reason: fmt.Sprintf("%s is not known", id)}
@@ -168,7 +174,7 @@
 	return b.checkRules(id, b.scopeTotals(b.isOut), b.isOut, true)
 }
 
-// stands is the refusal of all planned work; nil: it goes on.
+// plannedWorkBlocked returns the reason why all planned work is refused, or nil.
 func (b *Budget) plannedWorkBlocked() *Refusal {
 	switch {
 	case b.Halted != "":
@@ -179,8 +185,9 @@
 	return b.overduePermit()
 }
 
-// room looks at the rules that speak of a unit. Without words a refusal says only which room is lacking: to name who uses
-// it takes a walk over all units, too much for each of many that wait, with each entry of the log.
+// checkRules checks the rules that apply to a unit. Unless detailed is set, a refusal carries only the scope: listing
+// the units that are out takes a pass over all units, which is too expensive for each of many waiting requests at every
+// log entry.
 func (b *Budget) checkRules(id string, totals map[string]*scopeTotal, isOut func(string) bool, detailed bool) *Refusal {
 	covered := false
 	for i := range b.Rules {
@@ -199,7 +206,7 @@
 	return nil
 }
 
-// overdue is the refusal of all planned work while a permit's time has passed and nobody has ended it.
+// overduePermit refuses all planned work while a permit is overdue.
 func (b *Budget) overduePermit() *Refusal {
 	for _, id := range sortedKeys(b.Permits) {
 		if b.Permits[id].Overdue && b.disabled != guardOverdueBlocks {
@@ -209,13 +216,13 @@
 	return nil
 }
 
-// part is one part of the fleet that a rule bounds, added up.
+// scopeTotal holds the totals of one part of the fleet that a rule limits.
 type scopeTotal struct {
 	total, out      int
 	load, remaining map[string]float64 // by kind
 }
 
-// asked is the load on a part: every request passes a unit of each kind, so kinds are not added up.
+// maxLoad is the load on a scope: every request passes through a unit of each kind, so the loads of kinds are not added.
 func (p *scopeTotal) maxLoad() (load float64) {
 	for _, l := range p.load {
 		load = max(load, l)
@@ -223,8 +230,8 @@
 	return load
 }
 
-// parts adds up all parts of the fleet, by rule and part. Units are gone through in order: sums of floats have to come
-// out alike at every coordinator.
+// scopeTotals computes the totals of all scopes, by rule and scope key. It adds the units in sorted order, because
+// floating-point sums must be identical at every coordinator.
 func (b *Budget) scopeTotals(isOut func(string) bool) map[string]*scopeTotal {
 	totals := map[string]*scopeTotal{}
 	for _, id := range sortedKeys(b.Units) {
@@ -243,7 +250,7 @@
 			}
 			p.total++
 			p.load[u.Kind] += u.Load
-			p.remaining[u.Kind] += 0 // a kind of which all are out stands at nothing
+			p.remaining[u.Kind] += 0 // creates the entry, so that a kind with all units out counts as capacity 0
 			if unitOut {
 				p.out++
 			} else {
@@ -254,7 +261,7 @@
 	return totals
 }
 
-// against looks at one rule with a unit out besides those that are.
+// checkRule checks one rule as if the unit were out in addition to those that already are.
 func (b *Budget) checkRule(r *Rule, key, id string, totals map[string]*scopeTotal, isOut func(string) bool, detailed bool) *Refusal {
 	scope := r.Name + "\x00" + key
 	p, u := totals[scope], b.Units[id]
@@ -296,7 +303,7 @@
 	return nil
 }
 
-// limit is how many of n units may be out; -1: the rule doesn't count them.
+// limit returns how many of n units may be out, or -1 if the rule does not limit their number.
 func (r *Rule) limit(n int) int {
 	limit := -1
 	if r.Most > 0 {
@@ -311,8 +318,8 @@
 	return limit
 }
 
-// RequestPermit asks for a permit. It is given when there is room and nobody waits before for the same room; else the ask
-// waits, and is given a permit by Give in its turn. Asked twice, the same permit comes back.
+// RequestPermit requests a permit. It is granted if the rules allow it and no earlier request waits for the same scope.
+// Otherwise the request waits, and GrantWaiting grants it in its turn. A repeated request returns the same permit.
 func (b *Budget) RequestPermit(a PermitRequest) (p *Permit, refused *Refusal) {
 	if p := b.Permits[a.Unit]; p != nil {
 		if p.Change == a.Change {
@@ -336,8 +343,8 @@
 	return nil, refused
 }
 
-// GrantWaiting gives permits to those who wait, in their order. One that has to wait keeps those behind it from the room that
-// it lacks, so that many small changes can't starve it, and from no other.
+// GrantWaiting grants permits to waiting requests in their order. A request that cannot be granted blocks later requests
+// for the scope that refused it, so that many small changes cannot starve it; it blocks no other scope.
 func (b *Budget) GrantWaiting() (granted []PermitRequest) {
 	if len(b.Waiting) == 0 {
 		return nil
@@ -349,7 +356,7 @@
 	for _, a := range b.Waiting {
 		u := b.Units[a.Unit]
 		if u == nil {
-			continue // it has left the fleet
+			continue // the unit has left the fleet
 		}
 		if b.Permits[a.Unit] != nil {
 			waiting = append(waiting, a)
@@ -373,14 +380,14 @@
 		}
 		b.Token++
 		b.Permits[a.Unit] = &Permit{Change: a.Change, Token: b.Token}
-		granted, totals = append(granted, a), nil // added up anew, with this one out
+		granted, totals = append(granted, a), nil // the totals are computed again with this unit out
 	}
 	b.Waiting = waiting
 	return granted
 }
 
-// Leave is asked at the last moment before a unit leaves under its permit: what crashed since the permit was given
-// counts, and then nothing planned leaves. The permit stays, and Leave is asked again.
+// Leave checks the rules again at the last moment before a unit leaves under its permit, because units may have crashed
+// since the permit was granted. If it refuses, the permit stays in force and the caller calls Leave again.
 func (b *Budget) Leave(unit string, token uint64) *Refusal {
 	p := b.Permits[unit]
 	switch {
@@ -407,12 +414,13 @@
 	return nil
 }
 
-// Withdraw takes back what a change still waits for.
+// Withdraw removes the waiting requests of a change.
 func (b *Budget) Withdraw(change string) {
 	b.Waiting = slices.DeleteFunc(b.Waiting, func(a PermitRequest) bool { return a.Change == change })
 }
 
-// Return says that a unit is to serve again under a permit. A token that is not in force changes nothing.
+// Return records the report of a permit's holder that the unit serves again. It returns false, and changes nothing, if
+// the token is not in force.
 func (b *Budget) Return(unit string, token uint64) bool {
 	p := b.Permits[unit]
 	if p == nil || p.Token != token {
@@ -425,7 +433,7 @@
 	return true
 }
 
-// MarkOverdue notes that a permit's time has passed.
+// MarkOverdue records that a permit's time has passed.
 func (b *Budget) MarkOverdue(unit string, token uint64) bool {
 	p := b.Permits[unit]
 	if p == nil || p.Token != token || p.Overdue {
@@ -435,7 +443,8 @@
 	return true
 }
 
-// Observe takes in what is seen of a unit. A permit whose unit was to serve again ends when it is seen to.
+// Observe records an observation of a unit. It ends the unit's permit if the unit was reported to serve again and is
+// observed in service.
 func (b *Budget) Observe(id string, u Unit) {
 	now := u
 	b.Units[id] = &now
@@ -444,7 +453,7 @@
 	}
 }
 
-// Forget takes a unit out of the fleet: it is not missed any more. One that is out under a permit stays.
+// Forget removes a unit from the fleet, so that it no longer counts as out. A unit with a permit is not removed.
 func (b *Budget) Forget(id string) error {
 	if b.Permits[id] != nil {
 		return fmt.Errorf("%s is out under a permit: end that first", b.describeOut(id))
@@ -453,17 +462,17 @@
 	return nil
 }
 
-// RuleUsage is what of one rule's room is used, for one part of the fleet.
+// RuleUsage says how much of one rule's limits is used in one scope.
 type RuleUsage struct {
 	Rule, Scope     string
 	Out, Total      int
-	Limit           int     // -1: not by count
-	Remaining, Load float64 // a second; of the kind of which the least stays
+	Limit           int     // number of units that may be out; -1: the rule does not limit it
+	Remaining, Load float64 // requests per second; Remaining is that of the kind with the least remaining capacity
 	Spare           float64
 	OutUnits        []string
 }
 
-// Usage lists the room of all rules.
+// Usage lists the usage of all rules, by rule and scope.
 func (b *Budget) Usage() (all []RuleUsage) {
 	totals := b.scopeTotals(b.isOut)
 	for _, scope := range sortedKeys(totals) {
--- a/rollout/check.go
+++ b/rollout/check.go
@@ -5,35 +5,35 @@
 	"math"
 )
 
-// Count is what became of the requests of one class at some gateways.
+// Count holds the outcomes of the requests of one class at some gateways.
 type Count struct {
 	Asked  uint64 `msgpack:"a"`
-	Failed uint64 `msgpack:"f"` // errors, and refusals for other reasons than quota
-	Late   uint64 `msgpack:"l"` // served after the class's aim
+	Failed uint64 `msgpack:"f"` // errors, and rejections for reasons other than quota
+	Late   uint64 `msgpack:"l"` // served later than the class's target time
 }
 
-// Limits say when a version is judged worse than the one before.
+// Limits say when a version is judged worse than the previous one.
 type Limits struct {
-	Enough uint64  `msgpack:"n"` // requests of a class on each side before it is judged
-	More   float64 `msgpack:"m"` // by how much the share of failed or of late may be above the others'
-	Sure   float64 `msgpack:"s"` // standard deviations by which it must be more than chance
+	Enough uint64  `msgpack:"n"` // requests of a class required on each side before it is judged
+	More   float64 `msgpack:"m"` // by how much the share of failed or late requests may exceed that of the other gateways
+	Sure   float64 `msgpack:"s"` // standard deviations that the difference must exceed, so that it is not due to chance
 }
 
-// DefaultLimits fit a fleet with some requests a second at each gateway.
+// DefaultLimits suit a fleet whose gateways each serve a few requests per second.
 var DefaultLimits = Limits{Enough: 100, More: 0.02, Sure: 3}
 
-// Verdict is what a comparison comes to.
+// Verdict is the result of a comparison.
 type Verdict int
 
-// What a comparison may come to.
+// The possible verdicts.
 const (
-	Inconclusive Verdict = iota // to tell
+	Inconclusive Verdict = iota // too few requests for a verdict
 	Good
 	Bad
 )
 
-// Judge compares the changed gateways with the others, class by class. One class that is worse is enough; one that
-// has too few requests leaves the whole undecided, unless another is worse.
+// Judge compares the changed gateways with the others, class by class. The verdict is Bad if any class is worse.
+// Otherwise a class with too few requests makes it Inconclusive.
 func (l Limits) Judge(changed, others map[string]Count) (v Verdict, why string) {
 	v = Good
 	judged := false
--- a/rollout/fleet.go
+++ b/rollout/fleet.go
@@ -8,65 +8,65 @@
 	"time"
 )
 
-// Op says what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The commands.
+// The operations.
 const (
-	SetRules      Op = "rules"    // the budget's rules
-	Observe       Op = "see"      // what is seen of a unit, by its agent
-	MarkLost      Op = "lose"     // a unit's agent is silent: the unit counts as out
-	Forget        Op = "forget"   // a unit left the fleet for good
-	RequestPermit Op = "want"     // a permit
-	Leave         Op = "leave"    // asked at the last moment before a unit leaves
-	Return        Op = "return"   // a unit is to serve again
-	Withdraw      Op = "withdraw" // what a change still waits for
-	MarkOverdue   Op = "late"     // a permit's time has passed (the leader counts it)
-	Halt          Op = "halt"     // all planned work
-	Resume        Op = "resume"   // planned work
-	Begin         Op = "begin"    // a release
-	MoveRelease   Op = "move"     // of a release
-	Fail          Op = "fail"     // a unit could not be changed
-	Drain         Op = "drain"    // units are to be taken out, and stay so until restored
-	Restore       Op = "restore"  // drained units are to serve again
-	Claim         Op = "claim"    // an operator has looked after an overdue permit: it has time again
+	SetRules      Op = "rules"    // replaces the budget's rules
+	Observe       Op = "see"      // records an observation of a unit, sent by its observer
+	MarkLost      Op = "lose"     // a unit's observer no longer reports: the unit counts as out
+	Forget        Op = "forget"   // removes a unit that has left the fleet for good
+	RequestPermit Op = "want"     // requests a permit
+	Leave         Op = "leave"    // asks at the last moment whether a unit may leave under its permit
+	Return        Op = "return"   // reports that a unit serves again
+	Withdraw      Op = "withdraw" // removes the waiting requests of a change
+	MarkOverdue   Op = "late"     // a permit's time has passed; the leader measures it
+	Halt          Op = "halt"     // stops all planned work
+	Resume        Op = "resume"   // allows planned work again
+	Begin         Op = "begin"    // begins a release
+	MoveRelease   Op = "move"     // moves a release to another stage or wave
+	Fail          Op = "fail"     // reports that a unit could not be changed
+	Drain         Op = "drain"    // takes units out until they are restored
+	Restore       Op = "restore"  // puts the units of a drain back into service
+	Claim         Op = "claim"    // an operator has dealt with an overdue permit: its time starts again
 )
 
 // Command is one entry of the fleet's log.
 type Command struct {
 	Op       Op               `msgpack:"o"`
-	By       string           `msgpack:"b,omitempty"` // who asks, for the log
+	By       string           `msgpack:"b,omitempty"` // who sends the command; for the notes
 	Unit     string           `msgpack:"u,omitempty"`
 	Observed *Unit            `msgpack:"s,omitempty"`
 	Figures  map[string]Count `msgpack:"f,omitempty"`
-	Held     map[string]int   `msgpack:"h,omitempty"` // See: work under way at servers that drain
-	Config   bool             `msgpack:"g,omitempty"` // Begin: the version is one of the configuration
+	Held     map[string]int   `msgpack:"h,omitempty"` // Observe: requests in flight at each drained table server
+	Config   bool             `msgpack:"g,omitempty"` // Begin: the version is that of a configuration
 	Rules    []Rule           `msgpack:"r,omitempty"`
 	Change   string           `msgpack:"c,omitempty"`
 	Token    uint64           `msgpack:"k,omitempty"`
-	Life     time.Duration    `msgpack:"l,omitempty"` // of a permit
+	Life     time.Duration    `msgpack:"l,omitempty"` // how long a permit may be used before it is overdue
 	Why      string           `msgpack:"w,omitempty"`
 	Units    []string         `msgpack:"n,omitempty"`
 	Version  string           `msgpack:"v,omitempty"`
 	Settings *Settings        `msgpack:"t,omitempty"`
 	Move     *Move            `msgpack:"m,omitempty"`
-	At       int64            `msgpack:"a,omitempty"` // when the leader took it in, by its wall clock: ms since 1970, for the notes only
+	At       int64            `msgpack:"a,omitempty"` // when the leader received it: ms since 1970 by its wall clock; for the notes only
 }
 
-// Bounds of what one command may carry.
+// Limits of a command's size and of the state that is kept.
 const (
-	maxTextLen    = 200
+	maxTextLen    = 200 // bytes
 	maxUnits      = 10_000
 	maxRules      = 100
 	maxNotes      = 2_000
-	notesSlack    = 200 // more, so that they are not copied with each one
+	notesSlack    = 200 // notes kept above maxNotes, so that trimming does not copy them for each new note
 	maxPlans      = 100
 	maxClasses    = 64
 	minPermitLife = time.Second
 	maxPermitLife = 24 * time.Hour
 )
 
-// Check names what is wrong with a command, whatever the state.
+// Check returns an error if a command is invalid regardless of the state.
 func (c *Command) Check() error {
 	for field, text := range map[string]string{"by": c.By, "unit": c.Unit, "change": c.Change, "version": c.Version} {
 		if len(text) > maxTextLen {
@@ -126,51 +126,52 @@
 	return fmt.Errorf("there is no command %q", c.Op)
 }
 
-// Reply is what a command comes to.
+// Reply is the result of a command.
 type Reply struct {
-	Error string `msgpack:"e,omitempty"` // it was refused, and why
-	Token uint64 `msgpack:"k,omitempty"` // of the permit
-	Waits bool   `msgpack:"w,omitempty"` // the ask stands, and is given a permit in its turn
+	Error string `msgpack:"e,omitempty"` // why the command was refused; empty: it was not
+	Token uint64 `msgpack:"k,omitempty"` // of the granted permit
+	Waits bool   `msgpack:"w,omitempty"` // the request waits and is granted a permit in its turn
 }
 
-// Note is one line of the fleet's own log: who asked what, and what came of it.
+// Note is one line of the fleet's event history: who requested what, and the result.
 type Note struct {
 	Seq  uint64 `msgpack:"q"`
-	At   int64  `msgpack:"a"` // by the wall clock of who led then: ms since 1970
+	At   int64  `msgpack:"a"` // by the wall clock of the leader at that time, in ms since 1970
 	By   string `msgpack:"b"`
 	What string `msgpack:"w"`
 }
 
-// DrainState is a drain.
+// DrainState is the state of one drain.
 type DrainState struct {
 	Units []string      `msgpack:"u"`
 	By    string        `msgpack:"b"`
 	Life  time.Duration `msgpack:"l"`
-	Back  bool          `msgpack:"r"` // it is being restored
-	Quiet bool          `msgpack:"q"` // nothing was under way there any more
+	Back  bool          `msgpack:"r"` // its units are being restored
+	Quiet bool          `msgpack:"q"` // all units have left and no request is in flight there
 }
 
-// The kinds of units that are spoken of by name.
+// The kinds of units that this package distinguishes.
 const (
 	KindGateway = "gateway"
 	KindTable   = "table"
 )
 
-// Fleet is all that the coordinators' log builds about changes of the fleet.
+// Fleet is the replicated state of the fleet's changes, as built from the coordinators' log. The Go names of its fields
+// and of those of the types in it are keys in the output of "fleet status --output json".
 type Fleet struct {
 	Budget      *Budget                     `msgpack:"b"`
 	Plans       map[string]*Plan            `msgpack:"p"`
 	Drains      map[string]*DrainState      `msgpack:"d"`
-	Lives       map[string]time.Duration    `msgpack:"l"` // of the permits, by unit
-	Figures     map[string]map[string]Count `msgpack:"f"` // by unit and class, since its process began
-	Held        map[string]map[string]int   `msgpack:"h"` // by gateway: work under way at servers that drain
-	Seers       map[string]uint64           `msgpack:"s"` // by lease: the highest token under which units were seen
+	Lives       map[string]time.Duration    `msgpack:"l"` // of the permits and waiting requests, by unit
+	Figures     map[string]map[string]Count `msgpack:"f"` // by unit and class, since the unit's process started
+	Held        map[string]map[string]int   `msgpack:"h"` // by gateway and drained table server: requests in flight
+	Seers       map[string]uint64           `msgpack:"s"` // by lease: the highest fencing token of an observation
 	Notes       []Note                      `msgpack:"n"`
 	Seq         uint64                      `msgpack:"q"`
 	commandTime int64
 }
 
-// NewFleet is a fleet of which nothing is known yet.
+// NewFleet returns an empty fleet.
 func NewFleet() *Fleet {
 	return &Fleet{Budget: NewBudget(), Plans: map[string]*Plan{}, Drains: map[string]*DrainState{}, Lives: map[string]time.Duration{},
 		Figures: map[string]map[string]Count{}, Held: map[string]map[string]int{}}
@@ -186,7 +187,7 @@
 
 func replyError(err error) Reply { return Reply{Error: err.Error()} }
 
-// Apply takes one command of the log in. It was checked before.
+// Apply applies one command of the log. The caller has checked it before.
 func (f *Fleet) Apply(c Command) (r Reply) {
 	b := f.Budget
 	f.commandTime = c.At
@@ -198,7 +199,7 @@
 		if f.Seers == nil {
 			f.Seers = map[string]uint64{}
 		}
-		if c.Token < f.Seers[c.By] { // it was stopped, and another one sees by now
+		if c.Token < f.Seers[c.By] { // the sender was suspended, and another observer has taken over
 			return Reply{Error: fmt.Sprintf("%s: token %d is overtaken by %d", c.By, c.Token, f.Seers[c.By])}
 		}
 		if c.Token != 0 {
@@ -215,7 +216,7 @@
 			f.note(c.Unit, "is back from %s", permit.Change)
 		}
 		f.Figures[c.Unit] = c.Figures
-		if f.Held == nil { // a snapshot of before there were any
+		if f.Held == nil { // the snapshot is from a version without this field
 			f.Held = map[string]map[string]int{}
 		}
 		if delete(f.Held, c.Unit); len(c.Held) > 0 {
@@ -314,7 +315,7 @@
 func (f *Fleet) begin(c Command) (r Reply) {
 	if old := f.Plans[c.Change]; old != nil {
 		if old.To == c.Version && old.Config == c.Config && !old.Over() {
-			return r // asked again
+			return r // a repeated command
 		}
 		return Reply{Error: fmt.Sprintf("there was a release %s already", c.Change)}
 	}
@@ -354,7 +355,7 @@
 	return r
 }
 
-// tidy gives permits to those who wait, and forgets what is over.
+// grantAndPrune grants permits to waiting requests, and removes finished drains and, above maxPlans, finished releases.
 func (f *Fleet) grantAndPrune() {
 	for _, a := range f.Budget.GrantWaiting() {
 		f.note(a.Unit, "may leave for %s", a.Change)
@@ -379,15 +380,15 @@
 	}
 }
 
-// Task is what a unit's agent is to do now.
+// Task is what a unit's agent has to do now.
 type Task struct {
 	Change  string // release or drain; empty: nothing
-	Version string // to run; empty: to be out
-	Config  bool   // the version is one of the configuration
-	Restore bool   // to serve again, after a drain
+	Version string // that the unit is to run; empty: the unit is to be out
+	Config  bool   // the version is that of a configuration
+	Restore bool   // the unit is to serve again after a drain
 }
 
-// Task tells what follows from the log for one unit.
+// Task returns the task that follows from the log for one unit.
 func (f *Fleet) Task(unit string) (t Task) {
 	for _, id := range sortedKeys(f.Drains) {
 		d := f.Drains[id]
@@ -409,8 +410,8 @@
 	return t
 }
 
-// WorkInFlight tells what still stands against a drained unit's being quiet: how much work the gateways have under way there,
-// and the gateways that have not said, or are out of sight.
+// WorkInFlight returns how many requests the gateways have in flight at a drained unit, and the gateways, lost ones
+// included, that have not reported a number for it.
 func (f *Fleet) WorkInFlight(unit string) (inFlight int, unknown []string) {
 	for _, id := range sortedKeys(f.Budget.Units) {
 		if g := f.Budget.Units[id]; g.Kind != KindGateway {
@@ -424,7 +425,7 @@
 	return inFlight, unknown
 }
 
-// quiet tells whether all of a drain has left, and nothing is under way there.
+// drainQuiet reports whether all units of a drain have left and no request is in flight at any of them.
 func (f *Fleet) drainQuiet(id string, d *DrainState) bool {
 	for _, unit := range d.Units {
 		if p := f.Budget.Permits[unit]; p == nil || p.Change != id || !p.Left {
@@ -437,16 +438,17 @@
 	return true
 }
 
-// Brief is what one unit's agent has to know.
+// Brief is the state that one unit's agent needs.
 type Brief struct {
 	Task    Task
 	Permit  *Permit  // of the unit; nil: none
-	Planned bool     // the permit is a release's
-	Waits   bool     // an ask for the task stands
-	Drains  []string // table servers that have left under a permit: gateways say what they have under way there
+	Planned bool     // the permit was granted for a release
+	Waits   bool     // a permit request for the task waits
+	Drains  []string // drained table servers that have left: gateways report their requests in flight there
 }
 
-// Brief is the part of the fleet that one unit's agent has to know. It grows with what is under way, not with the fleet.
+// Brief returns the part of the state that one unit's agent needs. Its size depends on the changes under way, not on
+// the size of the fleet.
 func (f *Fleet) Brief(unit string) Brief {
 	brief := Brief{Task: f.Task(unit), Permit: f.Budget.Permits[unit]}
 	brief.Planned = brief.Permit != nil && f.Plans[brief.Permit.Change] != nil
--- a/rollout/long_test.go
+++ b/rollout/long_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Long random runs of the whole log: agents and wardens that carry out what they are told, late and out of order,
-// crashes, drains, two releases, an operator who halts and resumes. At each step: nobody leaves by plan while more than
-// the rules allow would be out; the notes stay bounded; what comes out of a snapshot is what went in, and goes on alike.
-// In the end, with nothing more going wrong, every permit ends and every ask was served.
+// Applies long random sequences of commands: agents and wardens that carry out their tasks late and out of order,
+// crashes, drains, releases, and an operator who halts and resumes. At each step no unit leaves by plan if more units
+// would then be out than the rules allow, the number of notes stays bounded, and a fleet restored from a snapshot gives
+// the same replies as the original. In the end, without further faults, every permit ends and no request waits.
 func TestLongRunsOfTheLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tables, gateways, maxTablesOut, maxGatewaysOut = 4, 5, 2, 1
@@ -24,7 +24,7 @@
 			}
 			r := f.Apply(c)
 			if again := restored.Apply(c); again != r {
-				t.Fatalf("%+v: %+v, and %+v from the snapshot", c, r, again)
+				t.Fatalf("%+v: reply %+v, but %+v from the fleet restored from a snapshot", c, r, again)
 			}
 			return r
 		}
@@ -55,7 +55,7 @@
 		for _, id := range ids {
 			observe(id)
 		}
-		// left counts those that left by plan and are not seen back: what the rules bound, crashes aside.
+		// countLeft counts the units that left by plan and are not yet observed back: what the rules limit, apart from crashes.
 		countLeft := func(kind string) (n int) {
 			for id, p := range f.Budget.Permits {
 				if actual[id].Kind == kind && p.Left {
@@ -64,7 +64,7 @@
 			}
 			return n
 		}
-		// act is what the one who looks after a unit does now.
+		// runAgent does what the agent or warden of a unit does next.
 		runAgent := func(id string) {
 			u := actual[id]
 			p := f.Budget.Permits[id]
@@ -94,7 +94,7 @@
 				}
 				if r := applyBoth(Command{Op: Leave, Unit: id, Token: p.Token}); r.Error == "" {
 					if leftBefore+outOtherwise+1 > most {
-						t.Fatalf("%s left: %d had left by plan and %d were out otherwise, %d may be", id, leftBefore, outOtherwise, most)
+						t.Fatalf("%s left although %d units had left by plan and %d were out otherwise; the limit is %d", id, leftBefore, outOtherwise, most)
 					}
 					u.Up, u.Warm = false, false
 					actual[id] = u
@@ -159,13 +159,13 @@
 				}
 			}
 			if len(f.Notes) > maxNotes+notesSlack {
-				t.Fatalf("%d notes", len(f.Notes))
+				t.Fatalf("%d notes are kept, the limit is %d", len(f.Notes), maxNotes+notesSlack)
 			}
 		}
 		if a, b := f.Budget.Usage(), restored.Budget.Usage(); !reflect.DeepEqual(a, b) {
-			t.Fatalf("the budget's use: %+v, and from the snapshot %+v", a, b)
+			t.Fatalf("budget usage is %+v, but %+v in the fleet restored from a snapshot", a, b)
 		}
-		// Nothing more goes wrong.
+		// From here on there are no more faults.
 		applyBoth(Command{Op: Resume})
 		for i := range drains {
 			applyBoth(Command{Op: Restore, Change: fmt.Sprint("d", i+1)})
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -12,27 +12,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-var maxStates = flag.Int("worlds", 8_000, "worlds after which a search ends, with the depth begun")
+var maxStates = flag.Int("worlds", 8_000, "number of states after which a search ends, once the current depth is complete")
 
-// The world that the model goes through: four units of which one may be out, a release over three of them, a drain by
-// hand of the fourth and of one of the release's, agents that are slow to speak, crashes, sights that come late, two
-// conductors of which one acts on what it saw long ago, permits whose time passes, an operator who halts, resumes and
-// goes back. It judges by what really is out, and why.
+// modelState is a state of the model that explore searches: four units of which one may be out, a release over three of
+// them, manual drains of the fourth and of one unit of the release, agents that report late, crashes, delayed
+// observations, two conductors of which one acts on an outdated state, permits that become overdue, and an operator who
+// halts, resumes and rolls back. Violations are determined from the units that are actually out, and why.
 type modelState struct {
 	b           *Budget
 	p           *Plan
-	actual      map[string]Unit // as the units are; the budget knows what was seen
+	actual      map[string]Unit // the actual state of the units; the budget holds what was observed
 	agents      map[string]agentWork
-	delayedMove *Move // of a conductor that was stopped before it sent it
+	delayedMove *Move // of a conductor that was suspended before it sent the move
 	remaining   struct{ crashes, moves, late, halts, backs, drains int }
 	violation   string
 }
 
-// work is what an agent, or whoever drains by hand, has under way.
+// agentWork is the change that an agent, or an operator who drains by hand, is carrying out.
 type agentWork struct {
 	change, version string
 	token           uint64
-	stage           int // 1 may begin, 2 out, 3 serves again, 4 has said so
+	stage           int // 0 none, 1 has a permit, 2 out, 3 serves again, 4 has reported it
 }
 
 var units = []string{"a", "b", "c", "d"}
@@ -80,29 +80,29 @@
 	add := func(name string, do func(w *modelState)) { all = append(all, event{name, do}) }
 	for _, id := range units {
 		a, u := w.agents[id], w.actual[id]
-		// Each event has its own copy of the unit and of the work: they all are made before one is chosen.
+		// Each event gets its own copy of the unit and of the work, because all events are created before one is chosen.
 		of := func(name string, do func(w *modelState, u Unit, a agentWork)) {
 			add(name, func(w *modelState) { do(w, u, a) })
 		}
 		switch a.stage {
 		case 0:
 			if v, ok := w.p.TargetVersion(w.b, id); ok {
-				of("the agent of "+id+" asks", func(w *modelState, u Unit, a agentWork) { w.requestPermit(id, "release", v) })
+				of("the agent of "+id+" requests a permit", func(w *modelState, u Unit, a agentWork) { w.requestPermit(id, "release", v) })
 			}
 			if w.remaining.drains > 0 && (id == "d" || id == "b") && w.b.Permits[id] == nil {
-				of("somebody drains "+id, func(w *modelState, u Unit, a agentWork) {
+				of("a manual drain is requested for "+id, func(w *modelState, u Unit, a agentWork) {
 					w.remaining.drains--
 					w.requestPermit(id, "drain", u.Version)
 				})
 			}
-			if p := w.b.Permits[id]; p != nil && !p.Returned { // given in its turn
-				of("the permit of "+id+" is told", func(w *modelState, u Unit, a agentWork) { w.agents[id] = agentWork{p.Change, "", p.Token, 1} })
+			if p := w.b.Permits[id]; p != nil && !p.Returned { // granted in its turn
+				of("the agent of "+id+" learns of its permit", func(w *modelState, u Unit, a agentWork) { w.agents[id] = agentWork{p.Change, "", p.Token, 1} })
 			}
 		case 1:
 			of(id+" leaves", func(w *modelState, u Unit, a agentWork) {
 				if a.change == "release" {
 					v, ok := w.p.TargetVersion(w.b, id)
-					if !ok { // halted meanwhile: it gives its permit back, and stays
+					if !ok { // halted meanwhile: the agent returns the permit, and the unit stays in service
 						w.b.Return(id, a.token)
 						a.stage = 4
 						w.agents[id] = a
@@ -111,7 +111,7 @@
 					if w.p.Stage == RollingBack {
 						for _, later := range w.p.Begun[slices.Index(w.p.Begun, id)+1:] {
 							if w.actual[later].Version != w.p.From[later] {
-								w.violation = fmt.Sprintf("%s goes back before %s, which was changed after it", id, later)
+								w.violation = fmt.Sprintf("%s is rolled back before %s, which was changed after it", id, later)
 							}
 						}
 					}
@@ -134,10 +134,10 @@
 					}
 				}
 				if n := w.countOut(true); n > w.b.Rules[0].Most {
-					w.violation = fmt.Sprintf("%d are out by plan, and %d may be", n, w.b.Rules[0].Most)
+					w.violation = fmt.Sprintf("%d units are out by plan, the limit is %d", n, w.b.Rules[0].Most)
 				}
 				if seen >= w.b.Rules[0].Most && w.b.Units[id].inService() {
-					w.violation = fmt.Sprintf("%s left by plan while %d were seen out", id, seen)
+					w.violation = fmt.Sprintf("%s left by plan while %d units were observed out", id, seen)
 				}
 			})
 		case 2:
@@ -147,18 +147,18 @@
 				w.actual[id], w.agents[id] = u, a
 			})
 		case 3:
-			of("that "+id+" serves again is said", func(w *modelState, u Unit, a agentWork) {
+			of("the return of "+id+" is reported", func(w *modelState, u Unit, a agentWork) {
 				w.b.Return(id, a.token)
 				a.stage = 4
 				w.agents[id] = a
 			})
 		case 4:
 			if p := w.b.Permits[id]; p == nil || p.Token != a.token {
-				of("the agent of "+id+" rests", func(w *modelState, u Unit, a agentWork) { delete(w.agents, id) })
+				of("the agent of "+id+" finishes", func(w *modelState, u Unit, a agentWork) { delete(w.agents, id) })
 			}
 		}
 		if u.Up && !u.Warm {
-			of(id+" gets warm", func(w *modelState, u Unit, a agentWork) { u.Warm = true; w.actual[id] = u })
+			of(id+" becomes warm", func(w *modelState, u Unit, a agentWork) { u.Warm = true; w.actual[id] = u })
 		}
 		if !u.Up && a.stage != 2 {
 			of(id+" recovers", func(w *modelState, u Unit, a agentWork) { u.Up = true; w.actual[id] = u })
@@ -171,7 +171,7 @@
 			})
 		}
 		if p := w.b.Permits[id]; *w.b.Units[id] != u || p != nil && p.Returned && u.inService() {
-			of(id+" is seen", func(w *modelState, u Unit, a agentWork) { w.b.Observe(id, u); w.startGranted(w.b.GrantWaiting()) })
+			of(id+" is observed", func(w *modelState, u Unit, a agentWork) { w.b.Observe(id, u); w.startGranted(w.b.GrantWaiting()) })
 		}
 		if p := w.b.Permits[id]; p != nil && !p.Overdue && w.remaining.late > 0 {
 			of("the permit of "+id+" is overdue", func(w *modelState, u Unit, a agentWork) { w.remaining.late--; w.b.MarkOverdue(id, p.Token) })
@@ -180,11 +180,11 @@
 	if m, ok := w.next(); ok {
 		add("the conductor moves to "+string(m.To), func(w *modelState) { w.p.ApplyMove(m) })
 		if w.remaining.moves > 0 && w.delayedMove == nil {
-			add("another conductor is stopped before it moves to "+string(m.To), func(w *modelState) { w.remaining.moves--; m.Token = 1; w.delayedMove = &m })
+			add("another conductor is suspended before it moves to "+string(m.To), func(w *modelState) { w.remaining.moves--; m.Token = 1; w.delayedMove = &m })
 		}
 	}
 	if w.delayedMove != nil {
-		add("the stopped conductor's move comes", func(w *modelState) { w.p.ApplyMove(*w.delayedMove); w.delayedMove = nil })
+		add("the suspended conductor's move arrives", func(w *modelState) { w.p.ApplyMove(*w.delayedMove); w.delayedMove = nil })
 	}
 	here := Move{Plan: w.p.ID, Stage: w.p.Stage, Wave: w.p.Wave, Why: "operator"}
 	if w.remaining.halts > 0 && (w.p.Stage == Updating || w.p.Stage == Evaluating) {
@@ -194,12 +194,12 @@
 		add("an operator resumes", func(w *modelState) { here.To = Updating; w.p.ApplyMove(here) })
 	}
 	if w.remaining.backs > 0 && !w.p.Over() && w.p.Stage != RollingBack {
-		add("an operator goes back", func(w *modelState) { w.remaining.backs--; here.To = RollingBack; w.p.ApplyMove(here) })
+		add("an operator rolls back", func(w *modelState) { w.remaining.backs--; here.To = RollingBack; w.p.ApplyMove(here) })
 	}
 	return all
 }
 
-// told has those who waited know of their permits.
+// startGranted lets the agents of granted requests begin.
 func (w *modelState) startGranted(given []PermitRequest) {
 	for _, a := range given {
 		if w.agents[a.Unit].stage == 0 {
@@ -246,11 +246,12 @@
 	return xxhash.Sum64String(s.String())
 }
 
-// rests lets no more go wrong: every permit ends, and a halt comes to rest, or the release ends.
+// settle runs the model without further faults until nothing changes. It returns an error unless every permit has ended
+// and the release has ended or is halted.
 func (w *modelState) settle() error {
 	w.remaining.crashes, w.remaining.moves, w.remaining.late, w.remaining.halts, w.remaining.backs, w.remaining.drains = 0, 0, 0, 0, 0, 0
 	w.delayedMove = nil
-	for _, id := range units { // an operator looks after what is overdue
+	for _, id := range units { // an operator claims the overdue permits
 		if p := w.b.Permits[id]; p != nil {
 			p.Overdue = false
 		}
@@ -273,18 +274,18 @@
 	}
 	switch {
 	case len(w.b.Permits) > 0:
-		return fmt.Errorf("at rest, permits are out: %v", slices.Sorted(maps.Keys(w.b.Permits)))
+		return fmt.Errorf("after settling, permits are still in force: %v", slices.Sorted(maps.Keys(w.b.Permits)))
 	case !w.p.Over() && w.p.Stage != Halted:
-		return fmt.Errorf("at rest, the release is %s in wave %d", w.p.Stage, w.p.Wave+1)
+		return fmt.Errorf("after settling, the release is %s in wave %d", w.p.Stage, w.p.Wave+1)
 	case w.p.Stage == RolledBack && slices.ContainsFunc(units, func(id string) bool { return w.actual[id].Version != "1" }):
-		return fmt.Errorf("undone, and not all run what they ran")
+		return fmt.Errorf("rolled back, but not all units run their previous version")
 	case w.p.Stage == Done && slices.ContainsFunc(units[:3], func(id string) bool { return w.actual[id].Version != "2" }):
-		return fmt.Errorf("done, and not all run the new version")
+		return fmt.Errorf("done, but not all units run the new version")
 	}
 	return nil
 }
 
-// changed is a world in which the whole release is out, and nothing is judged yet.
+// fullyChanged returns a state in which all units of the release are changed and the last wave is not judged yet.
 func fullyChanged(without guard) *modelState {
 	w := newModelState(without)
 	for _, id := range w.p.Waves[0] {
@@ -301,7 +302,7 @@
 	return w
 }
 
-// two lets two be out: what is overdue doesn't fill the room by itself.
+// allowTwoOut returns a state in which two units may be out, so that an overdue permit alone does not use up the limit.
 func allowTwoOut(without guard) *modelState {
 	w := newModelState(without)
 	w.b.Rules[0].Most = 2
@@ -350,12 +351,12 @@
 }
 
 func TestEveryOrderOfEvents(t *testing.T) {
-	for name, from := range map[string]*modelState{"from the start": newModelState(guardNone), "from a whole release": fullyChanged(guardNone)} {
+	for name, from := range map[string]*modelState{"from the start": newModelState(guardNone), "from a fully changed release": fullyChanged(guardNone)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			start := time.Now()
 			path, violation, states, depth := explore(from, *maxStates)
-			t.Logf("every order of %d events, %d worlds that differ, %v", depth, states, time.Since(start).Round(time.Millisecond))
+			t.Logf("all orders of %d events: %d distinct states in %v", depth, states, time.Since(start).Round(time.Millisecond))
 			if violation != "" {
 				t.Errorf("%s:\n  %s", violation, strings.Join(path, "\n  "))
 			}
@@ -370,17 +371,17 @@
 	}{
 		{"crashes count against the budget", newModelState(guardCrashesCount)},
 		{"a permit ends when its unit is seen back, not when somebody says so", newModelState(guardObservedReturn)},
-		{"leaving is asked for once more", newModelState(guardLeaveRecheck)},
+		{"the rules are checked again before a unit leaves", newModelState(guardLeaveRecheck)},
 		{"what is overdue halts planned work", allowTwoOut(guardOverdueBlocks)},
-		{"the way back begins with the newest", fullyChanged(guardNewestFirst)},
+		{"a rollback begins with the last changed unit", fullyChanged(guardNewestFirst)},
 	} {
 		t.Run(g.name, func(t *testing.T) {
 			t.Parallel()
 			path, violation, states, _ := explore(g.from, 50_000)
 			if violation == "" {
-				t.Fatalf("without it nothing went wrong in %d worlds", states)
+				t.Fatalf("no violation in %d states with the guard disabled", states)
 			}
-			t.Logf("%s after %d events (%d worlds):\n  %s", violation, len(path), states, strings.Join(path, "\n  "))
+			t.Logf("%s after %d events (%d states):\n  %s", violation, len(path), states, strings.Join(path, "\n  "))
 		})
 	}
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Stage is how far a release has come.
+// Stage is the stage of a release.
 type Stage string
 
 // The stages of a release.
 const (
 	Updating    Stage = "going"   // the units of the wave are being changed
-	Evaluating  Stage = "looking" // the wave is changed: is it as good as the others?
-	Halted      Stage = "halted"  // nobody begins anything; who has begun finishes or backs out
-	RollingBack Stage = "backing" // the changed ones go back, newest first
+	Evaluating  Stage = "looking" // the wave is changed and is compared with the other units
+	Halted      Stage = "halted"  // no unit begins; a unit that has begun finishes or goes back to its previous version
+	RollingBack Stage = "backing" // the changed units go back to their previous versions, the last changed first
 	Done        Stage = "done"
-	RolledBack  Stage = "undone" // all that were changed run what they ran before
+	RolledBack  Stage = "undone" // all changed units run their previous versions again
 )
 
-// Settings say how a release goes.
+// Settings control the course of a release.
 type Settings struct {
-	Canary   int           `msgpack:"c"` // units of the first wave
-	Growth   float64       `msgpack:"g"` // of each wave over the one before; 1 at least
-	Pause    time.Duration `msgpack:"p"` // after each wave, before it is judged
-	Patience time.Duration `msgpack:"t"` // for enough requests to judge by, and for a wave to be changed
+	Canary   int           `msgpack:"c"` // number of units in the first wave
+	Growth   float64       `msgpack:"g"` // size of each wave relative to the previous one; at least 1
+	Pause    time.Duration `msgpack:"p"` // minimum time that a changed wave is observed before it is judged
+	Patience time.Duration `msgpack:"t"` // limit for changing a wave, and for waiting for enough requests to judge it
 	Limits   Limits        `msgpack:"l"`
-	GoBack   bool          `msgpack:"b"` // a halt by a check goes back by itself
+	GoBack   bool          `msgpack:"b"` // a halted release rolls back without an operator
 }
 
-// DefaultSettings change one unit, then three times as many with each wave.
+// DefaultSettings change one unit first, then three times as many units in each further wave.
 var DefaultSettings = Settings{Canary: 1, Growth: 3, Pause: 30 * time.Second, Patience: 5 * time.Minute, Limits: DefaultLimits}
 
-// Check names what is wrong with settings.
+// Check returns an error that says what is wrong with the settings.
 func (s *Settings) Check() error {
 	switch {
 	case s.Canary < 1:
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// Waves deals units out into waves. Neighbours in the list stand in different waves where they can, so that a wave
-// takes from each site in turn.
+// Waves divides units into waves. It takes units from each site in turn, so that a wave is spread over the sites and
+// the units of one site fall into different waves where possible.
 func Waves(units []string, site func(string) string, canary int, growth float64) (waves [][]string) {
 	bySite := map[string][]string{}
 	for _, u := range units {
@@ -70,25 +70,25 @@
 	return waves
 }
 
-// Plan is one release, as it stands in the log.
+// Plan is the state of one release, as kept in the log.
 type Plan struct {
 	ID        string            `msgpack:"i"`
-	To        string            `msgpack:"t"` // version
-	Config    bool              `msgpack:"q"` // of the configuration; else of the program
-	From      map[string]string `msgpack:"f"` // by unit: the version that it ran before
+	To        string            `msgpack:"t"` // version to release
+	Config    bool              `msgpack:"q"` // the version is that of a configuration; false: of the program
+	From      map[string]string `msgpack:"f"` // by unit: its version before the release
 	Waves     [][]string        `msgpack:"w"`
 	Settings  Settings          `msgpack:"s"`
 	Stage     Stage             `msgpack:"g"`
 	Wave      int               `msgpack:"n"`
-	Begun     []string          `msgpack:"b"` // units that somebody began to change, in that order
-	Failed    map[string]string `msgpack:"x"` // units that could not be changed, and why
-	Why       string            `msgpack:"y"` // of a halt
-	Conductor uint64            `msgpack:"c"` // the highest token that moved it
+	Begun     []string          `msgpack:"b"` // units whose change has begun, in the order of beginning
+	Failed    map[string]string `msgpack:"x"` // by unit that could not be changed: the reason
+	Why       string            `msgpack:"y"` // reason of a halt
+	Conductor uint64            `msgpack:"c"` // the highest fencing token of a conductor that moved the release
 
 	disabled guard
 }
 
-// NewPlan is a release that is about to begin.
+// NewPlan returns a release that is about to begin.
 func NewPlan(id, to string, config bool, b *Budget, units []string, s Settings) (*Plan, error) {
 	if id == "" || to == "" || len(units) == 0 {
 		return nil, fmt.Errorf("release: it needs a name, a version and a unit at least")
@@ -114,7 +114,7 @@
 	return p, nil
 }
 
-// RunningVersion is the version that a unit runs, of what this release changes.
+// RunningVersion returns the unit's version of what this release changes: the configuration or the program.
 func (p *Plan) RunningVersion(u *Unit) string {
 	if p.Config {
 		return u.Config
@@ -122,10 +122,10 @@
 	return u.Version
 }
 
-// Over tells whether nothing is left to do.
+// Over reports whether the release has ended.
 func (p *Plan) Over() bool { return p.Stage == Done || p.Stage == RolledBack }
 
-// Conflicts tells whether two releases name a unit in common.
+// Conflicts returns a unit that both releases include, if there is one.
 func (p *Plan) Conflicts(other *Plan) (unit string, ok bool) {
 	for _, u := range sortedKeys(p.From) {
 		if _, both := other.From[u]; both {
@@ -135,8 +135,8 @@
 	return "", false
 }
 
-// TargetVersion is the version that a unit's agent is to bring it to now; ok is false where it is to leave the unit as it is.
-// An agent that has begun goes on by itself.
+// TargetVersion returns the version that a unit's agent has to install now; ok is false if the agent has to leave the
+// unit as it is. An agent that has begun finishes on its own.
 func (p *Plan) TargetVersion(b *Budget, unit string) (version string, ok bool) {
 	u := b.Units[unit]
 	if u == nil {
@@ -155,7 +155,7 @@
 	return "", false
 }
 
-// next is the newest begun unit that does not run what it ran before.
+// nextRollback returns the last begun unit that does not run its previous version, or "".
 func (p *Plan) nextRollback(b *Budget) string {
 	order := slices.Clone(p.Begun)
 	if p.disabled != guardNewestFirst {
@@ -169,14 +169,14 @@
 	return ""
 }
 
-// MarkBegun notes that a unit's agent has a permit and begins.
+// MarkBegun records that a unit's agent has a permit and begins.
 func (p *Plan) MarkBegun(unit string) {
 	if _, included := p.From[unit]; included && !slices.Contains(p.Begun, unit) {
 		p.Begun = append(p.Begun, unit)
 	}
 }
 
-// Fail notes that a unit could not be changed. Its agent has brought the old version back, or says that it can't.
+// Fail records that a unit could not be changed. Its agent has restored the previous version, or reports that it cannot.
 func (p *Plan) Fail(unit, why string) {
 	if _, included := p.From[unit]; !included {
 		return
@@ -191,18 +191,19 @@
 	p.Stage, p.Why = Halted, why
 }
 
-// Move is a step that a conductor, or an operator, wants a release to take. It counts only from the stage and wave
-// that its maker saw; a conductor's also only if no later conductor has moved the plan.
+// Move is a transition of a release that a conductor or an operator requests. It is valid only if the release is still
+// in the stage and wave that the sender observed. A conductor's move is also invalid once a later conductor has moved
+// the release.
 type Move struct {
 	Plan  string `msgpack:"p"`
-	Token uint64 `msgpack:"k"` // of the conductor's lease; 0: an operator's
-	Stage Stage  `msgpack:"s"` // seen
-	Wave  int    `msgpack:"w"` // seen
+	Token uint64 `msgpack:"k"` // of the conductor's lease; 0: sent by an operator
+	Stage Stage  `msgpack:"s"` // stage that the sender observed
+	Wave  int    `msgpack:"w"` // wave that the sender observed
 	To    Stage  `msgpack:"t"`
 	Why   string `msgpack:"y"`
 }
 
-// ApplyMove takes a move, or says why not.
+// ApplyMove applies a move, or returns an error that says why it is not valid.
 func (p *Plan) ApplyMove(m Move) error {
 	switch {
 	case p.Over():
@@ -220,7 +221,7 @@
 		p.Stage = Evaluating
 	case m.To == Updating && p.Stage == Evaluating && p.Wave+1 < len(p.Waves):
 		p.Stage, p.Wave = Updating, p.Wave+1
-	case m.To == Updating && p.Stage == Halted: // resumed: what failed is tried again
+	case m.To == Updating && p.Stage == Halted: // resumed: failed units are tried again
 		p.Stage, p.Why = Updating, ""
 		clear(p.Failed)
 	case m.To == Done && p.Stage == Evaluating && p.Wave+1 == len(p.Waves):
@@ -236,16 +237,17 @@
 	return nil
 }
 
-// Observation is what a conductor sees besides the log. Since counts from when this conductor first saw the stage and wave:
-// one that takes over waits again, and never less than another would have.
+// Observation is what a conductor observes in addition to the log. Since counts from when this conductor first observed
+// the stage and wave. A conductor that takes over therefore waits the full time again, never less than its predecessor
+// would have waited.
 type Observation struct {
 	Since   time.Duration
-	Changed map[string]Count // at the units that run the new version, in the same span as Others
+	Changed map[string]Count // at the units that run the new version, over the same period as Others
 	Others  map[string]Count
-	Fresh   bool // the counts are fresh
+	Fresh   bool // the counts are up to date
 }
 
-// Next is the move that follows from the log and what is seen; ok is false where there is nothing to do but wait.
+// Next returns the move that follows from the log and the observation; ok is false if the conductor has to wait.
 func (p *Plan) Next(b *Budget, o Observation) (m Move, ok bool) {
 	moveTo := func(s Stage, why string, args ...any) (Move, bool) {
 		return Move{Plan: p.ID, Stage: p.Stage, Wave: p.Wave, To: s, Why: fmt.Sprintf(why, args...)}, true
@@ -283,7 +285,7 @@
 		case v == Bad:
 			return moveTo(Halted, "%s", why)
 		case o.Since < p.Settings.Pause:
-		case v == Good, p.onLastWave() && len(o.Others) == 0: // with nobody left to compare with
+		case v == Good, p.onLastWave() && len(o.Others) == 0: // no unit is left to compare with
 			if p.Wave+1 < len(p.Waves) {
 				return moveTo(Updating, "")
 			}
@@ -305,8 +307,8 @@
 
 func (p *Plan) onLastWave() bool { return p.Wave+1 == len(p.Waves) }
 
-// fallen is a unit of the waves before one that runs the new version, has no permit, and is seen not to be in. One that
-// is out of sight for a while is no sign of a bad version: its wave isn't judged before it is seen again.
+// failedUnit returns a unit of the first waves that runs the new version, has no permit, and is observed out of service.
+// A lost unit is no sign of a bad version: its wave is not judged before the unit is observed again.
 func (p *Plan) failedUnit(b *Budget, waves int) string {
 	for _, wave := range p.Waves[:waves] {
 		for _, unit := range wave {
@@ -318,7 +320,7 @@
 	return ""
 }
 
-// holds tells whether a unit is still out for this release.
+// holdsPermit reports whether any unit still has a permit for this release.
 func (p *Plan) holdsPermit(b *Budget) bool {
 	for _, permit := range b.Permits {
 		if permit.Change == p.ID {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -24,7 +24,7 @@
 	}
 	r := f.Apply(c)
 	if (r.Error == "") != (refused == "") || !strings.Contains(r.Error, refused) {
-		t.Errorf("%s of %s%s: %q, want %q", c.Op, c.Unit, c.Change, r.Error, refused)
+		t.Errorf("%s of %s%s: error %q, want %q", c.Op, c.Unit, c.Change, r.Error, refused)
 	}
 	return r
 }
@@ -34,11 +34,11 @@
 	life := time.Minute
 	first := apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, "")
 	if again := apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, ""); again.Token != first.Token {
-		t.Errorf("asked twice: permits %d and %d", first.Token, again.Token)
+		t.Errorf("a repeated request got permit %d, then %d", first.Token, again.Token)
 	}
 	apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "other", Life: life}, "g1 is out already; out are: g1 (r)")
 	if r := apply(t, f, Command{Op: RequestPermit, Unit: "g2", Change: "r", Life: life}, "rule tenth: at most 1 of 10 may be out; out are: g1 (r)"); !r.Waits {
-		t.Error("an ask that is refused for want of room does not wait")
+		t.Error("a request that a rule refuses does not wait")
 	}
 	apply(t, f, Command{Op: Return, Unit: "g1", Token: first.Token + 1}, "no permit in force")
 	apply(t, f, Command{Op: MarkOverdue, Unit: "g1", Token: first.Token}, "")
@@ -50,28 +50,28 @@
 	apply(t, f, Command{Op: Leave, Unit: "g1", Token: first.Token}, "")
 	apply(t, f, Command{Op: Return, Unit: "g1", Token: first.Token}, "")
 	if f.Budget.Permits["g1"] == nil {
-		t.Error("a permit ended because somebody said so")
+		t.Error("a permit ended on the holder's report, without an observation")
 	}
 	g1 := *f.Budget.Units["g1"]
 	apply(t, f, Command{Op: Observe, Unit: "g1", Observed: &g1}, "")
 	if p := f.Budget.Permits["g2"]; p == nil || f.Budget.Permits["g1"] != nil {
-		t.Error("seen back, and the next in the queue has no permit")
+		t.Error("g1 is observed back, but its permit is in force or g2 has none")
 	}
-	// What would stay at a site has to be enough: 4 of 5 can serve 40, and 25 x 1.7 is 42.
+	// The remaining capacity of a site must suffice: 4 of 5 gateways can serve 40 requests per second, and 25 x 1.7 is 42.5.
 	f = fleetOf(t, 10, Rule{Name: "sites", Site: "*", Spare: 1.7})
 	apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, "rule sites: what would stay in west can serve 40 a second")
-	// A unit that no rule speaks of may not leave, and neither may any without rules.
+	// A unit to which no rule applies may not leave, and without rules no unit may leave.
 	f = fleetOf(t, 2, Rule{Name: "tables", Kind: "table", Most: 1})
 	apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, "no rule of the budget speaks of g1")
 	apply(t, f, Command{Op: RequestPermit, Unit: "g9", Change: "r", Life: life}, "g9 is not known")
 }
 
-// An ask that lacks room keeps those behind it from that room, and from no other.
+// A request that a rule refuses blocks later requests for the same scope, and for no other.
 func TestSmallChangesStarveNobody(t *testing.T) {
 	f := fleetOf(t, 4, Rule{Name: "all", Most: 3}, Rule{Name: "east", Site: "east", Most: 1}, Rule{Name: "west", Site: "west", Most: 3})
 	life := time.Minute
 	apply(t, f, Command{Op: RequestPermit, Unit: "g0", Change: "a", Life: life}, "")
-	apply(t, f, Command{Op: RequestPermit, Unit: "g2", Change: "b", Life: life}, "rule east") // lacks room in the east, not of all
+	apply(t, f, Command{Op: RequestPermit, Unit: "g2", Change: "b", Life: life}, "rule east") // refused by the rule east, not by the rule all
 	g1 := apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "c", Life: life}, "")
 	apply(t, f, Command{Op: RequestPermit, Unit: "g3", Change: "c", Life: life}, "")
 	apply(t, f, Command{Op: Return, Unit: "g1", Token: g1.Token}, "")
@@ -89,7 +89,7 @@
 	apply(t, f, Command{Op: Begin, Change: "r2", Version: "3", Units: []string{"g1", "g2"}, Settings: &s}, "release r1 is going, and has g1 too")
 	apply(t, f, Command{Op: Begin, Change: "r3", Version: "3", Units: []string{"g2", "g2"}, Settings: &s}, "named twice")
 	apply(t, f, Command{Op: Begin, Change: "r3", Version: "3", Units: []string{"g2"}, Settings: &s}, "")
-	// Of two conductors the later one's moves count, and a move from what is not so any more never.
+	// An earlier conductor's move is refused after a later one's, and so is a move from an outdated stage.
 	going := Move{Plan: "r1", Stage: Updating, To: Evaluating}
 	later, earlier := going, going
 	later.Token, earlier.Token = 9, 8
@@ -101,10 +101,10 @@
 	}
 }
 
-// What a site can serve is the least of what its gateways and its table servers can: none of either leaves when that
-// would be too little for the load, which passes through both.
+// A site can serve no more than its gateways and no more than its table servers can. No unit of either kind leaves if
+// that would be too little for the load, because every request passes through both.
 func TestSpareCapacityCountsEachKind(t *testing.T) {
-	f := fleetOf(t, 4, Rule{Name: "room", Spare: 1.2}) // gateways: 40 a second at a load of 20
+	f := fleetOf(t, 4, Rule{Name: "room", Spare: 1.2}) // gateways: capacity 40 requests per second, load 20
 	life := time.Minute
 	for i, capacity := range []float64{15, 15, 4} {
 		apply(t, f, Command{Op: Observe, Unit: fmt.Sprintf("t%d", i), Observed: &Unit{Kind: KindTable, Site: "east", Capacity: capacity, Up: true, Warm: true}}, "")
@@ -113,15 +113,15 @@
 	apply(t, f, Command{Op: Withdraw, Change: "d"}, "")
 	apply(t, f, Command{Op: RequestPermit, Unit: "t2", Change: "e", Life: life}, "")
 	apply(t, f, Command{Op: RequestPermit, Unit: "g0", Change: "r", Life: life}, "")
-	apply(t, f, Command{Op: Observe, Unit: "t1", Observed: &Unit{Kind: KindTable, Site: "east", Capacity: 15}}, "") // it fell
+	apply(t, f, Command{Op: Observe, Unit: "t1", Observed: &Unit{Kind: KindTable, Site: "east", Capacity: 15}}, "") // it is down
 	apply(t, f, Command{Op: RequestPermit, Unit: "g1", Change: "r", Life: life}, "can serve 20 a second (gateways)")
 	if no := f.Budget.CheckLeave("t0"); no == nil || !strings.Contains(no.Error(), "can serve 0 a second (tables)") {
-		t.Errorf("t0 may leave: %v", no)
+		t.Errorf("t0 may leave, or is refused for another reason: %v", no)
 	}
 }
 
-// A drain is quiet when all of it has left and every gateway has said that it has nothing under way there, and no
-// longer when another gateway comes that has not said so.
+// A drain is quiet once all its units have left and every gateway has reported that it has no requests in flight there.
+// A gateway that joins later counts as unknown until it has reported too.
 func TestADrainIsQuietOnceAllHaveSaidSo(t *testing.T) {
 	f := fleetOf(t, 2, Rule{Name: "tables", Kind: KindTable, Most: 2})
 	observe := func(unit string, held map[string]int) {
@@ -133,7 +133,7 @@
 	}
 	apply(t, f, Command{Op: Drain, Change: "d", Units: []string{"t0", "t1"}, Life: time.Minute}, "")
 	if b := f.Brief("g0"); len(b.Drains) != 0 {
-		t.Errorf("gateways are asked about %v, which have not left", b.Drains)
+		t.Errorf("gateways have to report on %v, which have not left", b.Drains)
 	}
 	for _, id := range []string{"t0", "t1"} {
 		apply(t, f, Command{Op: Leave, Unit: id, Token: f.Budget.Permits[id].Token}, "")
@@ -144,23 +144,23 @@
 	observe("g0", map[string]int{"t0": 0, "t1": 0})
 	observe("g1", map[string]int{"t0": 0, "t1": 3})
 	if f.Drains["d"].Quiet {
-		t.Error("quiet with work under way")
+		t.Error("quiet although requests are in flight")
 	}
 	observe("g1", map[string]int{"t0": 0})
 	if f.Drains["d"].Quiet {
-		t.Error("quiet, and a gateway has not said so of one server")
+		t.Error("quiet although a gateway has not reported for one server")
 	}
 	observe("g1", map[string]int{"t0": 0, "t1": 0})
 	if !f.Drains["d"].Quiet {
-		t.Error("not quiet, and all have said so")
+		t.Error("not quiet although all gateways have reported no requests in flight")
 	}
 	apply(t, f, Command{Op: Observe, Unit: "g2", Observed: &Unit{Kind: KindGateway, Up: true, Warm: true}}, "")
 	if _, unknown := f.WorkInFlight("t0"); fmt.Sprint(unknown) != "[g2]" {
-		t.Errorf("not heard from: %v", unknown)
+		t.Errorf("gateways that have not reported: %v, want [g2]", unknown)
 	}
 }
 
-// Whoever was stopped while another one came to see the same units is not listened to any more.
+// Reports of an observer that was suspended while another one took over its units are refused.
 func TestOnlyTheLatestObserverCounts(t *testing.T) {
 	f := fleetOf(t, 1)
 	up, down := &Unit{Kind: KindTable, Up: true, Warm: true, By: "b"}, &Unit{Kind: KindTable, By: "a"}
@@ -168,11 +168,11 @@
 	apply(t, f, Command{Op: Observe, By: "tables:x", Token: 4, Unit: "t0", Observed: down}, "token 4 is overtaken by 5")
 	apply(t, f, Command{Op: Observe, By: "tables:y", Token: 4, Unit: "t1", Observed: down}, "")
 	if !f.Budget.Units["t0"].Up {
-		t.Error("a late word counted")
+		t.Error("a report with an outdated token was applied")
 	}
 }
 
-// A changed unit that is out of sight is no sign of a bad version: the release waits, and halts when that lasts.
+// A changed unit that is lost is no sign of a bad version: the release waits, and halts if the unit stays lost.
 func TestLostUnitWaitsThenHalts(t *testing.T) {
 	f := fleetOf(t, 3, Rule{Name: "one", Most: 1})
 	s := DefaultSettings
@@ -186,29 +186,29 @@
 	apply(t, f, Command{Op: MarkLost, Unit: "g0"}, "")
 	stale := Observation{Since: time.Second}
 	if m, ok := p.Next(f.Budget, stale); ok {
-		t.Errorf("out of sight for a second: %+v", m)
+		t.Errorf("lost for a second, want no move: %+v", m)
 	}
 	if no := f.Budget.CheckLeave("g1"); no == nil || !strings.Contains(no.Error(), "g0 (out of sight)") {
-		t.Errorf("g1 may leave meanwhile: %v", no)
+		t.Errorf("g1 may leave while g0 is lost, or is refused for another reason: %v", no)
 	}
 	stale.Since = s.Patience + time.Second
 	if m, ok := p.Next(f.Budget, stale); !ok || m.To != Halted {
-		t.Errorf("out of sight for longer than it may: %+v", m)
+		t.Errorf("lost for longer than the patience, want a halt: %+v", m)
 	}
 	observe("2", false)
 	if m, ok := p.Next(f.Budget, Observation{Since: time.Second}); !ok || m.To != Halted || !strings.Contains(m.Why, "g0 runs the new version and is not seen ready") {
-		t.Errorf("seen down: %+v", m)
+		t.Errorf("observed down, want a halt: %+v", m)
 	}
-	// One that is to be changed and is out of sight is not waited for without an end either.
+	// The wait for a unit that is lost before it is changed is limited too.
 	observe("1", true)
 	p.Stage = Updating
 	apply(t, f, Command{Op: MarkLost, Unit: "g0"}, "")
 	if m, ok := p.Next(f.Budget, Observation{Since: s.Patience + time.Second}); !ok || !strings.Contains(m.Why, "out of sight") {
-		t.Errorf("never changed, and out of sight: %+v", m)
+		t.Errorf("lost before it was changed, want a halt: %+v", m)
 	}
 }
 
-// A configuration's release compares and goes back by the configurations, and begins with no unit that names none.
+// A release of a configuration compares and rolls back configuration versions, and refuses units that report none.
 func TestAConfigurationsReleaseGoesByConfigurations(t *testing.T) {
 	f := fleetOf(t, 2, Rule{Name: "one", Most: 1})
 	s := DefaultSettings
@@ -225,7 +225,7 @@
 	apply(t, f, Command{Op: Observe, Unit: "g0", Observed: &seen}, "")
 	apply(t, f, Command{Op: MoveRelease, Move: &Move{Plan: "r", Stage: Updating, To: RollingBack}}, "")
 	if task := f.Task("g0"); !task.Config || task.Version != "c1" {
-		t.Errorf("task on the way back %+v", task)
+		t.Errorf("task during the rollback %+v", task)
 	}
 }
 
@@ -262,12 +262,13 @@
 		{Op: SetRules, Rules: []Rule{{Name: "a"}}}, {Op: SetRules, Rules: []Rule{{Name: "a", Most: 1}, {Name: "a", Most: 1}}}, {Op: SetRules, Rules: []Rule{{Name: "a", Share: 1}}},
 	} {
 		if c.Check() == nil {
-			t.Errorf("%+v was taken", c)
+			t.Errorf("invalid command %+v was accepted", c)
 		}
 	}
 }
 
-// One entry of the log costs with many waiting what it costs with few: the coordinators take hundreds a second.
+// An entry of the log must cost as much with many waiting requests as with few: the coordinators apply hundreds of
+// entries per second.
 func BenchmarkSee(b *testing.B) {
 	for _, waiting := range []int{0, 20, 200} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
