--- a/rollout/budget.go
+++ b/rollout/budget.go
@@ -1,7 +1,9 @@
-// Package rollout decides how a fleet is changed without too much of it being out at once. It has three parts, all
-// without I/O, clock or goroutine: the budget, which whoever takes something out has to ask, also by hand; the plan of
-// a release, whose every state stands in the log, so that any conductor can go on with it; and the check that tells a
-// bad version from the one before.
+// Package rollout decides how a fleet is changed without too much of it being out of service at once. It does no I/O,
+// reads no clock and starts no goroutine.
+//
+// It has three parts: the budget, which must grant a permit before any unit is taken out, also by hand; the plan of a
+// release, whose complete state is in the log, so that any conductor can continue it; and the check that compares a new
+// version with the previous one.
 //
 // The coordinators keep the budget and the plans in their log. What a conductor or an agent does follows from that
 // state alone.
@@ -14,37 +16,38 @@
 	"strings"
 )
 
-// Unit is something that serves and may be taken out: a gateway, a table server.
+// Unit is a server that may be taken out of service: a gateway or a table server.
 type Unit struct {
-	Kind     string  `msgpack:"k"` // gateway, table
+	Kind     string  `msgpack:"k"` // KindGateway or KindTable
 	Site     string  `msgpack:"s"`
 	Zone     string  `msgpack:"z"`
-	Capacity float64 `msgpack:"c"` // requests a second that it can serve once warm
-	Load     float64 `msgpack:"l"` // that it serves now, as last reported
-	Version  string  `msgpack:"v"` // that it runs
-	Config   string  `msgpack:"g"` // configuration that is in force there; empty: the one that it started with
-	Instance string  `msgpack:"i"` // of its process: another one under the same name is not it
-	Up       bool    `msgpack:"u"` // seen ready
-	Warm     bool    `msgpack:"w"` // and able to serve its capacity
-	Lost     bool    `msgpack:"t"` // whoever sees it is silent: it counts as out, and may be as it was
-	By       string  `msgpack:"b"` // member that sees it: when that falls silent, the unit is out of sight
-}
-
-// in tells whether a unit serves as it should.
-func (u Unit) in() bool { return u.Up && u.Warm }
-
-// Rule is one bound on what may be out. A site or zone of "*" stands for each one by itself.
+	Capacity float64 `msgpack:"c"` // requests per second that it can serve once warm
+	Load     float64 `msgpack:"l"` // requests per second that it serves now, as last reported
+	Version  string  `msgpack:"v"` // version of the program that it runs
+	Config   string  `msgpack:"g"` // version of the configuration in force there; empty: the one that it started with
+	Instance string  `msgpack:"i"` // of its process: after a restart the unit has the same name and another instance
+	Up       bool    `msgpack:"u"` // last observed ready
+	Warm     bool    `msgpack:"w"` // able to serve its full capacity
+	Lost     bool    `msgpack:"t"` // its observer no longer reports: it counts as out, although it may still serve
+	By       string  `msgpack:"b"` // member that observes it; when that member stops reporting, the unit counts as lost
+}
+
+// inService reports whether a unit is ready and warm.
+func (u Unit) inService() bool { return u.Up && u.Warm }
+
+// Rule is one limit on what may be out of service. A site or zone of "*" applies the rule to each site or zone
+// separately.
 type Rule struct {
 	Name  string  `msgpack:"n"`
-	Kind  string  `msgpack:"k"` // empty: of any kind
-	Site  string  `msgpack:"s"` // empty: anywhere
-	Zone  string  `msgpack:"z"`
-	Most  int     `msgpack:"m"` // units; 0: not bounded so
-	Share float64 `msgpack:"h"` // of the units there are, rounded down, but one at least; 0: not bounded so
-	Spare float64 `msgpack:"p"` // what stays in, of each kind there is, can serve the load so many times; 0: not bounded so
+	Kind  string  `msgpack:"k"` // empty: any kind
+	Site  string  `msgpack:"s"` // empty: any site
+	Zone  string  `msgpack:"z"` // empty: any zone
+	Most  int     `msgpack:"m"` // number of units that may be out; 0: no such limit
+	Share float64 `msgpack:"h"` // of the units may be out, rounded down but at least one; 0: no such limit
+	Spare float64 `msgpack:"p"` // least remaining capacity of each kind, as a multiple of the load; 0: no limit
 }
 
-// Check names what is wrong with a rule.
+// Check returns an error that says what is wrong with a rule.
 func (r *Rule) Check() error {
 	switch {
 	case r.Name == "":
@@ -57,8 +60,9 @@
 	return nil
 }
 
-// group is the part of the fleet that a rule bounds together with a unit; ok is false where it doesn't bound it.
-func (r *Rule) group(u *Unit) (key string, ok bool) {
+// scope returns the key of the part of the fleet that the rule limits as a whole and that contains the unit. It returns
+// false if the rule does not apply to the unit.
+func (r *Rule) scope(u *Unit) (key string, ok bool) {
 	if r.Kind != "" && r.Kind != u.Kind || r.Site != "" && r.Site != "*" && r.Site != u.Site || r.Zone != "" && r.Zone != "*" && r.Zone != u.Zone {
 		return "", false
 	}
@@ -72,76 +76,77 @@
 	return strings.Join(parts, "/"), true
 }
 
-// Permit allows one unit to be out. It counts until the unit is seen back, not until somebody says so.
+// Permit allows one unit to be out of service. It counts until the unit is observed back in service: its holder's report
+// alone does not end it.
 type Permit struct {
-	Change   string `msgpack:"c"` // release or drain that it belongs to
+	Change   string `msgpack:"c"` // release or drain that it was granted for
 	Token    uint64 `msgpack:"k"`
-	Left     bool   `msgpack:"l"` // the unit was let go: it is out, or about to be
-	Returned bool   `msgpack:"r"` // its holder says that the unit is to serve again: seen so from now on, it ends
-	Overdue  bool   `msgpack:"o"` // its time has passed; nothing planned leaves until somebody ends it
+	Left     bool   `msgpack:"l"` // the unit was allowed to leave: it is out, or about to be
+	Returned bool   `msgpack:"r"` // reported to serve again; the next observation in service ends the permit
+	Overdue  bool   `msgpack:"o"` // its time has passed; nothing planned leaves until it ends or is claimed
 }
 
-// Ask is one wish for a permit that waits.
-type Ask struct {
+// PermitRequest is a change's request for a permit for one unit.
+type PermitRequest struct {
 	Change string `msgpack:"c"`
 	Unit   string `msgpack:"u"`
 }
 
-// Budget says who is out, who may leave, and who waits to.
+// Budget records which units are out, which may leave, and which requests wait for a permit.
 type Budget struct {
 	Rules   []Rule             `msgpack:"r"`
 	Units   map[string]*Unit   `msgpack:"u"`
 	Permits map[string]*Permit `msgpack:"p"` // by unit
-	Waiting []Ask              `msgpack:"w"` // in the order of asking
+	Waiting []PermitRequest    `msgpack:"w"` // in the order of the requests
 	Token   uint64             `msgpack:"k"`
-	Halted  string             `msgpack:"h"` // who halted all planned work, and why; empty: nobody
+	Halted  string             `msgpack:"h"` // who halted all planned work, and why; empty: not halted
 
-	without guard
+	disabled guard
 }
 
-// guard names one of the guards, so that tests can take it out and see that their checks notice.
+// guard identifies one of the safety checks, so that a test can disable it and verify that the fault is detected.
 type guard int
 
 const (
-	nothing guard = iota
-	crashesCount
-	seenNotTold
-	earlierFirst
-	overdueHalts
-	leaveAskedAgain
-	newestFirst
-	judgedOnEnough
+	guardNone           guard = iota
+	guardCrashesCount         // crashed and lost units count as out
+	guardObservedReturn       // a permit ends on an observation, not on a report
+	guardRequestOrder         // earlier requests for the same scope are granted first
+	guardOverdueBlocks        // an overdue permit blocks planned work
+	guardLeaveRecheck         // the rules are checked again before a unit leaves
+	guardNewestFirst          // a rollback begins with the last changed unit
+	guardMinRequests          // a version is judged only on enough requests
 )
 
-// NewBudget is a budget with nothing in it; without a rule nothing may leave.
+// NewBudget returns an empty budget. Without a rule no unit may leave.
 func NewBudget() *Budget {
 	return &Budget{Units: map[string]*Unit{}, Permits: map[string]*Permit{}}
 }
 
-// Refusal is why a unit may not leave now.
+// Refusal says why a unit may not leave now.
 type Refusal struct {
-	Rule string   // that stands against it, or what else does
-	Used []string // who uses the rule's room: units that are out, with the cause
-	room string   // rule and part of the fleet
+	Reason   string   // the rule that forbids it, or another reason
+	OutUnits []string // the units that are out under the rule, each with its cause
+	scope    string   // rule and scope key
 }
 
 func (r *Refusal) Error() string {
-	if len(r.Used) == 0 {
-		return r.Rule
+	if len(r.OutUnits) == 0 {
+		return r.Reason
 	}
-	return fmt.Sprintf("%s; out are: %s", r.Rule, strings.Join(r.Used, ", "))
+	return fmt.Sprintf("%s; out are: %s", r.Reason, strings.Join(r.OutUnits, ", "))
 }
 
-// out tells whether a unit is out, or may be from now on.
-func (b *Budget) out(id string) bool {
+// isOut reports whether a unit is out, or has a permit and may leave at any moment.
+func (b *Budget) isOut(id string) bool {
 	if b.Permits[id] != nil {
 		return true
 	}
-	return !b.Units[id].in() && b.without != crashesCount
+	return !b.Units[id].inService() && b.disabled != guardCrashesCount
 }
 
-// cause is why a unit is out, in words for a person.
-func (b *Budget) cause(id string) string {
+// describeOut says for an operator why a unit is out.
+func (b *Budget) describeOut(id string) string {
 	u, p := b.Units[id], b.Permits[id]
 	switch {
 	case p != nil && p.Overdue:
@@ -156,147 +161,149 @@
 	return id + " (not warm yet)"
 }
 
-// Room tells whether a unit may leave now, or what stands against it. One that is seen out uses room already, but no
-// more may be out for its sake: it may be back before that is seen.
-func (b *Budget) Room(id string) *Refusal {
+// CheckLeave returns nil if a unit may leave now, and otherwise the reason why not. A unit that is observed out already
+// counts against the limits, and may leave only while the units that are out are within them: it may be back in service
+// before that is observed.
+func (b *Budget) CheckLeave(id string) *Refusal {
 	if b.Units[id] == nil {
-		return &Refusal{Rule: fmt.Sprintf("%s is not known", id)}
+		return &Refusal{Reason: fmt.Sprintf("%s is not known", id)}
 	}
-	if no := b.stands(); no != nil {
-		return no
+	if refusal := b.plannedWorkBlocked(); refusal != nil {
+		return refusal
 	}
-	return b.room(id, b.parts(b.out), b.out, true)
+	return b.checkRules(id, b.scopeTotals(b.isOut), b.isOut, true)
 }
 
-// stands is the refusal of all planned work; nil: it goes on.
-func (b *Budget) stands() *Refusal {
+// plannedWorkBlocked returns the reason why all planned work is refused, or nil.
+func (b *Budget) plannedWorkBlocked() *Refusal {
 	switch {
 	case b.Halted != "":
-		return &Refusal{Rule: "planned work is halted: " + b.Halted}
+		return &Refusal{Reason: "planned work is halted: " + b.Halted}
 	case len(b.Rules) == 0:
-		return &Refusal{Rule: "the budget has no rule: nothing may leave"}
+		return &Refusal{Reason: "the budget has no rule: nothing may leave"}
 	}
-	return b.overdue()
+	return b.overduePermit()
 }
 
-// room looks at the rules that speak of a unit. Without words a refusal says only which room is lacking: to name who uses
-// it takes a walk over all units, too much for each of many that wait, with each entry of the log.
-func (b *Budget) room(id string, parts map[string]*part, out func(string) bool, words bool) *Refusal {
-	bounded := false
+// checkRules checks the rules that apply to a unit. Unless detailed is set, a refusal carries only the scope: listing
+// the units that are out takes a pass over all units, which is too expensive for each of many waiting requests at every
+// log entry.
+func (b *Budget) checkRules(id string, totals map[string]*scopeTotal, isOut func(string) bool, detailed bool) *Refusal {
+	covered := false
 	for i := range b.Rules {
-		key, ok := b.Rules[i].group(b.Units[id])
+		key, ok := b.Rules[i].scope(b.Units[id])
 		if !ok {
 			continue
 		}
-		bounded = true
-		if refused := b.against(&b.Rules[i], key, id, parts, out, words); refused != nil {
+		covered = true
+		if refused := b.checkRule(&b.Rules[i], key, id, totals, isOut, detailed); refused != nil {
 			return refused
 		}
 	}
-	if !bounded {
-		return &Refusal{Rule: fmt.Sprintf("no rule of the budget speaks of %s: it may not leave", id)}
+	if !covered {
+		return &Refusal{Reason: fmt.Sprintf("no rule of the budget speaks of %s: it may not leave", id)}
 	}
 	return nil
 }
 
-// overdue is the refusal of all planned work while a permit's time has passed and nobody has ended it.
-func (b *Budget) overdue() *Refusal {
+// overduePermit refuses all planned work while a permit is overdue.
+func (b *Budget) overduePermit() *Refusal {
 	for _, id := range sortedKeys(b.Permits) {
-		if b.Permits[id].Overdue && b.without != overdueHalts {
-			return &Refusal{Rule: "a permit is overdue", Used: []string{b.cause(id)}}
+		if b.Permits[id].Overdue && b.disabled != guardOverdueBlocks {
+			return &Refusal{Reason: "a permit is overdue", OutUnits: []string{b.describeOut(id)}}
 		}
 	}
 	return nil
 }
 
-// part is one part of the fleet that a rule bounds, added up.
-type part struct {
-	n, out      int
-	load, stays map[string]float64 // by kind
+// scopeTotal holds the totals of one part of the fleet that a rule limits.
+type scopeTotal struct {
+	total, out      int
+	load, remaining map[string]float64 // by kind
 }
 
-// asked is the load on a part: every request passes a unit of each kind, so kinds are not added up.
-func (p *part) asked() (load float64) {
+// maxLoad is the load on a scope: every request passes through a unit of each kind, so the loads of kinds are not added.
+func (p *scopeTotal) maxLoad() (load float64) {
 	for _, l := range p.load {
 		load = max(load, l)
 	}
 	return load
 }
 
-// parts adds up all parts of the fleet, by rule and part. Units are gone through in order: sums of floats have to come
-// out alike at every coordinator.
-func (b *Budget) parts(out func(string) bool) map[string]*part {
-	all := map[string]*part{}
+// scopeTotals computes the totals of all scopes, by rule and scope key. It adds the units in sorted order, because
+// floating-point sums must be identical at every coordinator.
+func (b *Budget) scopeTotals(isOut func(string) bool) map[string]*scopeTotal {
+	totals := map[string]*scopeTotal{}
 	for _, id := range sortedKeys(b.Units) {
 		u := b.Units[id]
-		gone := out(id)
+		unitOut := isOut(id)
 		for i := range b.Rules {
-			key, ok := b.Rules[i].group(u)
+			key, ok := b.Rules[i].scope(u)
 			if !ok {
 				continue
 			}
-			room := b.Rules[i].Name + "\x00" + key
-			p := all[room]
+			scope := b.Rules[i].Name + "\x00" + key
+			p := totals[scope]
 			if p == nil {
-				p = &part{load: map[string]float64{}, stays: map[string]float64{}}
-				all[room] = p
+				p = &scopeTotal{load: map[string]float64{}, remaining: map[string]float64{}}
+				totals[scope] = p
 			}
-			p.n++
+			p.total++
 			p.load[u.Kind] += u.Load
-			p.stays[u.Kind] += 0 // a kind of which all are out stands at nothing
-			if gone {
+			p.remaining[u.Kind] += 0 // creates the entry, so that a kind with all units out counts as capacity 0
+			if unitOut {
 				p.out++
 			} else {
-				p.stays[u.Kind] += u.Capacity
+				p.remaining[u.Kind] += u.Capacity
 			}
 		}
 	}
-	return all
+	return totals
 }
 
-// against looks at one rule with a unit out besides those that are.
-func (b *Budget) against(r *Rule, key, id string, parts map[string]*part, out func(string) bool, words bool) *Refusal {
-	room := r.Name + "\x00" + key
-	p, u := parts[room], b.Units[id]
-	after, leaves := p.out, 0.0
-	if !out(id) {
-		after, leaves = after+1, u.Capacity
+// checkRule checks one rule as if the unit were out in addition to those that already are.
+func (b *Budget) checkRule(r *Rule, key, id string, totals map[string]*scopeTotal, isOut func(string) bool, detailed bool) *Refusal {
+	scope := r.Name + "\x00" + key
+	p, u := totals[scope], b.Units[id]
+	outAfter, removed := p.out, 0.0
+	if !isOut(id) {
+		outAfter, removed = outAfter+1, u.Capacity
 	}
 	where := ""
 	if key != "" {
 		where = " in " + key
 	}
-	refused := func(why string, args ...any) *Refusal {
-		if !words {
-			return &Refusal{room: room}
+	refuse := func(format string, args ...any) *Refusal {
+		if !detailed {
+			return &Refusal{scope: scope}
 		}
-		no := &Refusal{room: room, Rule: fmt.Sprintf("rule %s: ", r.Name) + fmt.Sprintf(why, args...)}
+		refusal := &Refusal{scope: scope, Reason: fmt.Sprintf("rule %s: ", r.Name) + fmt.Sprintf(format, args...)}
 		for _, other := range sortedKeys(b.Units) {
-			if k, ok := r.group(b.Units[other]); ok && k == key && out(other) {
-				no.Used = append(no.Used, b.cause(other))
+			if k, ok := r.scope(b.Units[other]); ok && k == key && isOut(other) {
+				refusal.OutUnits = append(refusal.OutUnits, b.describeOut(other))
 			}
 		}
-		return no
+		return refusal
 	}
-	if limit := r.limit(p.n); limit >= 0 && after > limit {
-		return refused("at most %d of %d may be out%s", limit, p.n, where)
+	if limit := r.limit(p.total); limit >= 0 && outAfter > limit {
+		return refuse("at most %d of %d may be out%s", limit, p.total, where)
 	}
 	if r.Spare > 0 {
-		load := p.asked()
-		for _, kind := range sortedKeys(p.stays) {
-			stays := p.stays[kind]
+		load := p.maxLoad()
+		for _, kind := range sortedKeys(p.remaining) {
+			remaining := p.remaining[kind]
 			if kind == u.Kind {
-				stays -= leaves
+				remaining -= removed
 			}
-			if stays < r.Spare*load {
-				return refused("what would stay%s can serve %.0f a second (%ss), and %.0f is asked with %.2f times that to be kept", where, stays, kind, load, r.Spare)
+			if remaining < r.Spare*load {
+				return refuse("what would stay%s can serve %.0f a second (%ss), and %.0f is asked with %.2f times that to be kept", where, remaining, kind, load, r.Spare)
 			}
 		}
 	}
 	return nil
 }
 
-// limit is how many of n units may be out; -1: the rule doesn't count them.
+// limit returns how many of n units may be out, or -1 if the rule does not limit their number.
 func (r *Rule) limit(n int) int {
 	limit := -1
 	if r.Most > 0 {
@@ -311,95 +318,95 @@
 	return limit
 }
 
-// Want asks for a permit. It is given when there is room and nobody waits before for the same room; else the ask
-// waits, and is given a permit by Give in its turn. Asked twice, the same permit comes back.
-func (b *Budget) Want(a Ask) (p *Permit, refused *Refusal) {
+// RequestPermit requests a permit. It is granted if the rules allow it and no earlier request waits for the same scope.
+// Otherwise the request waits, and GrantWaiting grants it in its turn. A repeated request returns the same permit.
+func (b *Budget) RequestPermit(a PermitRequest) (p *Permit, refused *Refusal) {
 	if p := b.Permits[a.Unit]; p != nil {
 		if p.Change == a.Change {
 			return p, nil
 		}
-		return nil, &Refusal{Rule: fmt.Sprintf("%s is out already", a.Unit), Used: []string{b.cause(a.Unit)}}
+		return nil, &Refusal{Reason: fmt.Sprintf("%s is out already", a.Unit), OutUnits: []string{b.describeOut(a.Unit)}}
 	}
 	if b.Units[a.Unit] == nil {
-		return nil, b.Room(a.Unit)
+		return nil, b.CheckLeave(a.Unit)
 	}
 	if !slices.Contains(b.Waiting, a) {
 		b.Waiting = append(b.Waiting, a)
 	}
-	b.Give()
+	b.GrantWaiting()
 	if p := b.Permits[a.Unit]; p != nil && p.Change == a.Change {
 		return p, nil
 	}
-	if refused = b.Room(a.Unit); refused == nil {
-		refused = &Refusal{Rule: "others asked before for the same room"}
+	if refused = b.CheckLeave(a.Unit); refused == nil {
+		refused = &Refusal{Reason: "others asked before for the same room"}
 	}
 	return nil, refused
 }
 
-// Give gives permits to those who wait, in their order. One that has to wait keeps those behind it from the room that
-// it lacks, so that many small changes can't starve it, and from no other.
-func (b *Budget) Give() (given []Ask) {
+// GrantWaiting grants permits to waiting requests in their order. A request that cannot be granted blocks later requests
+// for the scope that refused it, so that many small changes cannot starve it; it blocks no other scope.
+func (b *Budget) GrantWaiting() (granted []PermitRequest) {
 	if len(b.Waiting) == 0 {
 		return nil
 	}
-	kept := b.Waiting[:0:0]
-	lacked := map[string]bool{}
-	held := b.stands()
-	var parts map[string]*part
+	waiting := b.Waiting[:0:0]
+	blocked := map[string]bool{}
+	workBlocked := b.plannedWorkBlocked()
+	var totals map[string]*scopeTotal
 	for _, a := range b.Waiting {
 		u := b.Units[a.Unit]
 		if u == nil {
-			continue // it has left the fleet
+			continue // the unit has left the fleet
 		}
 		if b.Permits[a.Unit] != nil {
-			kept = append(kept, a)
+			waiting = append(waiting, a)
 			continue
 		}
-		refused := held
+		refused := workBlocked
 		if refused == nil {
-			if parts == nil {
-				parts = b.parts(b.out)
+			if totals == nil {
+				totals = b.scopeTotals(b.isOut)
 			}
-			refused = b.room(a.Unit, parts, b.out, false)
+			refused = b.checkRules(a.Unit, totals, b.isOut, false)
 		}
 		for i := range b.Rules {
-			if key, ok := b.Rules[i].group(u); ok && refused == nil && lacked[b.Rules[i].Name+"\x00"+key] && b.without != earlierFirst {
-				refused = &Refusal{Rule: "others asked before", room: b.Rules[i].Name + "\x00" + key}
+			if key, ok := b.Rules[i].scope(u); ok && refused == nil && blocked[b.Rules[i].Name+"\x00"+key] && b.disabled != guardRequestOrder {
+				refused = &Refusal{Reason: "others asked before", scope: b.Rules[i].Name + "\x00" + key}
 			}
 		}
 		if refused != nil {
-			kept, lacked[refused.room] = append(kept, a), true
+			waiting, blocked[refused.scope] = append(waiting, a), true
 			continue
 		}
 		b.Token++
 		b.Permits[a.Unit] = &Permit{Change: a.Change, Token: b.Token}
-		given, parts = append(given, a), nil // added up anew, with this one out
+		granted, totals = append(granted, a), nil // the totals are computed again with this unit out
 	}
-	b.Waiting = kept
-	return given
+	b.Waiting = waiting
+	return granted
 }
 
-// Leave is asked at the last moment before a unit leaves under its permit: what crashed since the permit was given
-// counts, and then nothing planned leaves. The permit stays, and Leave is asked again.
+// Leave checks the rules again at the last moment before a unit leaves under its permit, because units may have crashed
+// since the permit was granted. If it refuses, the permit stays in force and the caller calls Leave again.
 func (b *Budget) Leave(unit string, token uint64) *Refusal {
 	p := b.Permits[unit]
 	switch {
 	case p == nil || p.Token != token:
-		return &Refusal{Rule: fmt.Sprintf("%s: token %d is no permit in force", unit, token)}
+		return &Refusal{Reason: fmt.Sprintf("%s: token %d is no permit in force", unit, token)}
 	case p.Left:
 		return nil
 	case p.Returned || p.Overdue:
-		return &Refusal{Rule: fmt.Sprintf("%s: its permit was given back, or is overdue", unit)}
+		return &Refusal{Reason: fmt.Sprintf("%s: its permit was given back, or is overdue", unit)}
 	}
-	if no := b.stands(); no != nil {
-		return no
+	if refusal := b.plannedWorkBlocked(); refusal != nil {
+		return refusal
 	}
-	out := func(id string) bool {
+	isOut := func(id string) bool {
 		other := b.Permits[id]
-		return other != nil && other.Left || !b.Units[id].in() && b.without != crashesCount
+		return other != nil && other.Left || !b.Units[id].inService() && b.disabled != guardCrashesCount
 	}
-	if b.without != leaveAskedAgain {
-		if refused := b.room(unit, b.parts(out), out, true); refused != nil {
+	if b.disabled != guardLeaveRecheck {
+		if refused := b.checkRules(unit, b.scopeTotals(isOut), isOut, true); refused != nil {
 			return refused
 		}
 	}
@@ -407,26 +414,27 @@
 	return nil
 }
 
-// Withdraw takes back what a change still waits for.
+// Withdraw removes the waiting requests of a change.
 func (b *Budget) Withdraw(change string) {
-	b.Waiting = slices.DeleteFunc(b.Waiting, func(a Ask) bool { return a.Change == change })
+	b.Waiting = slices.DeleteFunc(b.Waiting, func(a PermitRequest) bool { return a.Change == change })
 }
 
-// Return says that a unit is to serve again under a permit. A token that is not in force changes nothing.
+// Return records the report of a permit's holder that the unit serves again. It returns false, and changes nothing, if
+// the token is not in force.
 func (b *Budget) Return(unit string, token uint64) bool {
 	p := b.Permits[unit]
 	if p == nil || p.Token != token {
 		return false
 	}
 	p.Returned = true
-	if b.without == seenNotTold {
+	if b.disabled == guardObservedReturn {
 		delete(b.Permits, unit)
 	}
 	return true
 }
 
-// Late notes that a permit's time has passed.
-func (b *Budget) Late(unit string, token uint64) bool {
+// MarkOverdue records that a permit's time has passed.
+func (b *Budget) MarkOverdue(unit string, token uint64) bool {
 	p := b.Permits[unit]
 	if p == nil || p.Token != token || p.Overdue {
 		return false
@@ -435,51 +443,52 @@
 	return true
 }
 
-// See takes in what is seen of a unit. A permit whose unit was to serve again ends when it is seen to.
-func (b *Budget) See(id string, u Unit) {
+// Observe records an observation of a unit. It ends the unit's permit if the unit was reported to serve again and is
+// observed in service.
+func (b *Budget) Observe(id string, u Unit) {
 	now := u
 	b.Units[id] = &now
-	if p := b.Permits[id]; p != nil && p.Returned && now.in() {
+	if p := b.Permits[id]; p != nil && p.Returned && now.inService() {
 		delete(b.Permits, id)
 	}
 }
 
-// Forget takes a unit out of the fleet: it is not missed any more. One that is out under a permit stays.
+// Forget removes a unit from the fleet, so that it no longer counts as out. A unit with a permit is not removed.
 func (b *Budget) Forget(id string) error {
 	if b.Permits[id] != nil {
-		return fmt.Errorf("%s is out under a permit: end that first", b.cause(id))
+		return fmt.Errorf("%s is out under a permit: end that first", b.describeOut(id))
 	}
 	delete(b.Units, id)
 	return nil
 }
 
-// Use is what of one rule's room is used, for one part of the fleet.
-type Use struct {
-	Rule, Where string
-	Out, Of     int
-	Limit       int     // -1: not by count
-	Stays, Load float64 // a second; of the kind of which the least stays
-	Spare       float64
-	Who         []string
+// RuleUsage says how much of one rule's limits is used in one scope.
+type RuleUsage struct {
+	Rule, Scope     string
+	Out, Total      int
+	Limit           int     // number of units that may be out; -1: the rule does not limit it
+	Remaining, Load float64 // requests per second; Remaining is that of the kind with the least remaining capacity
+	Spare           float64
+	OutUnits        []string
 }
 
-// Uses lists the room of all rules.
-func (b *Budget) Uses() (all []Use) {
-	parts := b.parts(b.out)
-	for _, room := range sortedKeys(parts) {
-		name, key, _ := strings.Cut(room, "\x00")
+// Usage lists the usage of all rules, by rule and scope.
+func (b *Budget) Usage() (all []RuleUsage) {
+	totals := b.scopeTotals(b.isOut)
+	for _, scope := range sortedKeys(totals) {
+		name, key, _ := strings.Cut(scope, "\x00")
 		r := &b.Rules[slices.IndexFunc(b.Rules, func(r Rule) bool { return r.Name == name })]
-		p := parts[room]
-		use := Use{Rule: name, Where: key, Out: p.out, Of: p.n, Limit: r.limit(p.n), Load: p.asked(), Spare: r.Spare, Stays: math.Inf(1)}
-		for _, kind := range sortedKeys(p.stays) {
-			use.Stays = min(use.Stays, p.stays[kind])
+		p := totals[scope]
+		usage := RuleUsage{Rule: name, Scope: key, Out: p.out, Total: p.total, Limit: r.limit(p.total), Load: p.maxLoad(), Spare: r.Spare, Remaining: math.Inf(1)}
+		for _, kind := range sortedKeys(p.remaining) {
+			usage.Remaining = min(usage.Remaining, p.remaining[kind])
 		}
 		for _, id := range sortedKeys(b.Units) {
-			if k, ok := r.group(b.Units[id]); ok && k == key && b.out(id) {
-				use.Who = append(use.Who, b.cause(id))
+			if k, ok := r.scope(b.Units[id]); ok && k == key && b.isOut(id) {
+				usage.OutUnits = append(usage.OutUnits, b.describeOut(id))
 			}
 		}
-		all = append(all, use)
+		all = append(all, usage)
 	}
 	return all
 }
--- a/rollout/fleet.go
+++ b/rollout/fleet.go
@@ -8,75 +8,75 @@
 	"time"
 )
 
-// Op says what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The commands.
+// The operations.
 const (
-	SetRules Op = "rules"    // the budget's rules
-	See      Op = "see"      // what is seen of a unit, by its agent
-	Lose     Op = "lose"     // a unit's agent is silent: the unit counts as out
-	Forget   Op = "forget"   // a unit left the fleet for good
-	Want     Op = "want"     // a permit
-	Leave    Op = "leave"    // asked at the last moment before a unit leaves
-	Return   Op = "return"   // a unit is to serve again
-	Withdraw Op = "withdraw" // what a change still waits for
-	Late     Op = "late"     // a permit's time has passed (the leader counts it)
-	Halt     Op = "halt"     // all planned work
-	Resume   Op = "resume"   // planned work
-	Begin    Op = "begin"    // a release
-	Step     Op = "move"     // of a release
-	Fail     Op = "fail"     // a unit could not be changed
-	Drain    Op = "drain"    // units are to be taken out, and stay so until restored
-	Restore  Op = "restore"  // drained units are to serve again
-	Claim    Op = "claim"    // an operator has looked after an overdue permit: it has time again
+	SetRules      Op = "rules"    // replaces the budget's rules
+	Observe       Op = "see"      // records an observation of a unit, sent by its observer
+	MarkLost      Op = "lose"     // a unit's observer no longer reports: the unit counts as out
+	Forget        Op = "forget"   // removes a unit that has left the fleet for good
+	RequestPermit Op = "want"     // requests a permit
+	Leave         Op = "leave"    // asks at the last moment whether a unit may leave under its permit
+	Return        Op = "return"   // reports that a unit serves again
+	Withdraw      Op = "withdraw" // removes the waiting requests of a change
+	MarkOverdue   Op = "late"     // a permit's time has passed; the leader measures it
+	Halt          Op = "halt"     // stops all planned work
+	Resume        Op = "resume"   // allows planned work again
+	Begin         Op = "begin"    // begins a release
+	MoveRelease   Op = "move"     // moves a release to another stage or wave
+	Fail          Op = "fail"     // reports that a unit could not be changed
+	Drain         Op = "drain"    // takes units out until they are restored
+	Restore       Op = "restore"  // puts the units of a drain back into service
+	Claim         Op = "claim"    // an operator has dealt with an overdue permit: its time starts again
 )
 
 // Command is one entry of the fleet's log.
 type Command struct {
 	Op       Op               `msgpack:"o"`
-	By       string           `msgpack:"b,omitempty"` // who asks, for the log
+	By       string           `msgpack:"b,omitempty"` // who sends the command; for the notes
 	Unit     string           `msgpack:"u,omitempty"`
-	Seen     *Unit            `msgpack:"s,omitempty"`
+	Observed *Unit            `msgpack:"s,omitempty"`
 	Figures  map[string]Count `msgpack:"f,omitempty"`
-	Held     map[string]int   `msgpack:"h,omitempty"` // See: work under way at servers that drain
-	Config   bool             `msgpack:"g,omitempty"` // Begin: the version is one of the configuration
+	Held     map[string]int   `msgpack:"h,omitempty"` // Observe: requests in flight at each drained table server
+	Config   bool             `msgpack:"g,omitempty"` // Begin: the version is that of a configuration
 	Rules    []Rule           `msgpack:"r,omitempty"`
 	Change   string           `msgpack:"c,omitempty"`
 	Token    uint64           `msgpack:"k,omitempty"`
-	Life     time.Duration    `msgpack:"l,omitempty"` // of a permit
+	Life     time.Duration    `msgpack:"l,omitempty"` // how long a permit may be used before it is overdue
 	Why      string           `msgpack:"w,omitempty"`
 	Units    []string         `msgpack:"n,omitempty"`
 	Version  string           `msgpack:"v,omitempty"`
 	Settings *Settings        `msgpack:"t,omitempty"`
 	Move     *Move            `msgpack:"m,omitempty"`
-	At       int64            `msgpack:"a,omitempty"` // when the leader took it in, by its wall clock: ms since 1970, for the notes only
+	At       int64            `msgpack:"a,omitempty"` // when the leader received it: ms since 1970 by its wall clock; for the notes only
 }
 
-// Bounds of what one command may carry.
+// Limits of a command's size and of the state that is kept.
 const (
-	wordMost   = 200
-	unitsMost  = 10_000
-	rulesMost  = 100
-	notesMost  = 2_000
-	notesSlack = 200 // more, so that they are not copied with each one
-	plansMost  = 100
-	classMost  = 64
-	lifeLeast  = time.Second
-	lifeMost   = 24 * time.Hour
+	maxTextLen    = 200 // bytes
+	maxUnits      = 10_000
+	maxRules      = 100
+	maxNotes      = 2_000
+	notesSlack    = 200 // notes kept above maxNotes, so that trimming does not copy them for each new note
+	maxPlans      = 100
+	maxClasses    = 64
+	minPermitLife = time.Second
+	maxPermitLife = 24 * time.Hour
 )
 
-// Check names what is wrong with a command, whatever the state.
+// Check returns an error if a command is invalid regardless of the state.
 func (c *Command) Check() error {
-	for what, word := range map[string]string{"by": c.By, "unit": c.Unit, "change": c.Change, "version": c.Version} {
-		if len(word) > wordMost {
-			return fmt.Errorf("%s: %.20q... has over %d bytes", what, word, wordMost)
+	for field, text := range map[string]string{"by": c.By, "unit": c.Unit, "change": c.Change, "version": c.Version} {
+		if len(text) > maxTextLen {
+			return fmt.Errorf("%s: %.20q... has over %d bytes", field, text, maxTextLen)
 		}
 	}
-	if len(c.Why) > 5*wordMost || len(c.Units) > unitsMost || len(c.Rules) > rulesMost || len(c.Figures) > classMost || len(c.Held) > unitsMost {
+	if len(c.Why) > 5*maxTextLen || len(c.Units) > maxUnits || len(c.Rules) > maxRules || len(c.Figures) > maxClasses || len(c.Held) > maxUnits {
 		return errors.New("the command is too large")
 	}
-	need := func(ok bool, what string) error {
+	require := func(ok bool, what string) error {
 		if !ok {
 			return fmt.Errorf("%s: %s", c.Op, what)
 		}
@@ -95,159 +95,160 @@
 			names[c.Rules[i].Name] = true
 		}
 		return nil
-	case See:
-		return need(c.Unit != "" && c.Seen != nil && c.Seen.Kind != "" && c.Seen.Capacity >= 0 && c.Seen.Load >= 0, "a unit with a kind, and capacity and load of 0 or more, are due")
-	case Lose, Forget, Claim:
-		return need(c.Unit != "", "a unit is due")
-	case Want:
-		return need(c.Unit != "" && c.Change != "" && c.Life >= lifeLeast && c.Life <= lifeMost, "a unit, a change, and a time from 1s to 24h are due")
-	case Leave, Return, Late:
-		return need(c.Unit != "" && c.Token != 0, "a unit and its permit's token are due")
+	case Observe:
+		return require(c.Unit != "" && c.Observed != nil && c.Observed.Kind != "" && c.Observed.Capacity >= 0 && c.Observed.Load >= 0, "a unit with a kind, and capacity and load of 0 or more, are due")
+	case MarkLost, Forget, Claim:
+		return require(c.Unit != "", "a unit is due")
+	case RequestPermit:
+		return require(c.Unit != "" && c.Change != "" && c.Life >= minPermitLife && c.Life <= maxPermitLife, "a unit, a change, and a time from 1s to 24h are due")
+	case Leave, Return, MarkOverdue:
+		return require(c.Unit != "" && c.Token != 0, "a unit and its permit's token are due")
 	case Withdraw:
-		return need(c.Change != "", "a change is due")
+		return require(c.Change != "", "a change is due")
 	case Halt:
-		return need(c.Why != "", "a reason is due")
+		return require(c.Why != "", "a reason is due")
 	case Resume:
 		return nil
 	case Begin:
-		if err := need(c.Change != "" && c.Version != "" && len(c.Units) > 0 && c.Settings != nil, "a name, a version, units and settings are due"); err != nil {
+		if err := require(c.Change != "" && c.Version != "" && len(c.Units) > 0 && c.Settings != nil, "a name, a version, units and settings are due"); err != nil {
 			return err
 		}
 		return c.Settings.Check()
-	case Step:
-		return need(c.Move != nil && c.Move.Plan != "", "a move of a release is due")
+	case MoveRelease:
+		return require(c.Move != nil && c.Move.Plan != "", "a move of a release is due")
 	case Fail:
-		return need(c.Change != "" && c.Unit != "" && c.Why != "", "a release, a unit and a reason are due")
+		return require(c.Change != "" && c.Unit != "" && c.Why != "", "a release, a unit and a reason are due")
 	case Drain:
-		return need(c.Change != "" && len(c.Units) > 0 && c.Life >= lifeLeast && c.Life <= lifeMost, "a name, units, and a time from 1s to 24h are due")
+		return require(c.Change != "" && len(c.Units) > 0 && c.Life >= minPermitLife && c.Life <= maxPermitLife, "a name, units, and a time from 1s to 24h are due")
 	case Restore:
-		return need(c.Change != "", "a drain's name is due")
+		return require(c.Change != "", "a drain's name is due")
 	}
 	return fmt.Errorf("there is no command %q", c.Op)
 }
 
-// Reply is what a command comes to.
+// Reply is the result of a command.
 type Reply struct {
-	Error string `msgpack:"e,omitempty"` // it was refused, and why
-	Token uint64 `msgpack:"k,omitempty"` // of the permit
-	Waits bool   `msgpack:"w,omitempty"` // the ask stands, and is given a permit in its turn
+	Error string `msgpack:"e,omitempty"` // why the command was refused; empty: it was not
+	Token uint64 `msgpack:"k,omitempty"` // of the granted permit
+	Waits bool   `msgpack:"w,omitempty"` // the request waits and is granted a permit in its turn
 }
 
-// Note is one line of the fleet's own log: who asked what, and what came of it.
+// Note is one line of the fleet's event history: who requested what, and the result.
 type Note struct {
 	Seq  uint64 `msgpack:"q"`
-	At   int64  `msgpack:"a"` // by the wall clock of who led then: ms since 1970
+	At   int64  `msgpack:"a"` // by the wall clock of the leader at that time, in ms since 1970
 	By   string `msgpack:"b"`
 	What string `msgpack:"w"`
 }
 
-// Taken is a drain.
-type Taken struct {
+// DrainState is the state of one drain.
+type DrainState struct {
 	Units []string      `msgpack:"u"`
 	By    string        `msgpack:"b"`
 	Life  time.Duration `msgpack:"l"`
-	Back  bool          `msgpack:"r"` // it is being restored
-	Quiet bool          `msgpack:"q"` // nothing was under way there any more
+	Back  bool          `msgpack:"r"` // its units are being restored
+	Quiet bool          `msgpack:"q"` // all units have left and no request is in flight there
 }
 
-// The kinds of units that are spoken of by name.
+// The kinds of units that this package distinguishes.
 const (
-	Gateways = "gateway"
-	Tables   = "table"
+	KindGateway = "gateway"
+	KindTable   = "table"
 )
 
-// Fleet is all that the coordinators' log builds about changes of the fleet.
+// Fleet is the replicated state of the fleet's changes, as built from the coordinators' log. The Go names of its fields
+// and of those of the types in it are keys in the output of "fleet status --output json".
 type Fleet struct {
-	Budget  *Budget                     `msgpack:"b"`
-	Plans   map[string]*Plan            `msgpack:"p"`
-	Drains  map[string]*Taken           `msgpack:"d"`
-	Lives   map[string]time.Duration    `msgpack:"l"` // of the permits, by unit
-	Figures map[string]map[string]Count `msgpack:"f"` // by unit and class, since its process began
-	Held    map[string]map[string]int   `msgpack:"h"` // by gateway: work under way at servers that drain
-	Seers   map[string]uint64           `msgpack:"s"` // by lease: the highest token under which units were seen
-	Notes   []Note                      `msgpack:"n"`
-	Seq     uint64                      `msgpack:"q"`
-	at      int64
+	Budget      *Budget                     `msgpack:"b"`
+	Plans       map[string]*Plan            `msgpack:"p"`
+	Drains      map[string]*DrainState      `msgpack:"d"`
+	Lives       map[string]time.Duration    `msgpack:"l"` // of the permits and waiting requests, by unit
+	Figures     map[string]map[string]Count `msgpack:"f"` // by unit and class, since the unit's process started
+	Held        map[string]map[string]int   `msgpack:"h"` // by gateway and drained table server: requests in flight
+	Seers       map[string]uint64           `msgpack:"s"` // by lease: the highest fencing token of an observation
+	Notes       []Note                      `msgpack:"n"`
+	Seq         uint64                      `msgpack:"q"`
+	commandTime int64
 }
 
-// NewFleet is a fleet of which nothing is known yet.
+// NewFleet returns an empty fleet.
 func NewFleet() *Fleet {
-	return &Fleet{Budget: NewBudget(), Plans: map[string]*Plan{}, Drains: map[string]*Taken{}, Lives: map[string]time.Duration{},
+	return &Fleet{Budget: NewBudget(), Plans: map[string]*Plan{}, Drains: map[string]*DrainState{}, Lives: map[string]time.Duration{},
 		Figures: map[string]map[string]Count{}, Held: map[string]map[string]int{}}
 }
 
 func (f *Fleet) note(by, format string, args ...any) {
 	f.Seq++
-	f.Notes = append(f.Notes, Note{f.Seq, f.at, by, fmt.Sprintf(format, args...)})
-	if len(f.Notes) > notesMost+notesSlack {
-		f.Notes = slices.Clone(f.Notes[len(f.Notes)-notesMost:])
+	f.Notes = append(f.Notes, Note{f.Seq, f.commandTime, by, fmt.Sprintf(format, args...)})
+	if len(f.Notes) > maxNotes+notesSlack {
+		f.Notes = slices.Clone(f.Notes[len(f.Notes)-maxNotes:])
 	}
 }
 
-func refusal(err error) Reply { return Reply{Error: err.Error()} }
+func replyError(err error) Reply { return Reply{Error: err.Error()} }
 
-// Apply takes one command of the log in. It was checked before.
+// Apply applies one command of the log. The caller has checked it before.
 func (f *Fleet) Apply(c Command) (r Reply) {
 	b := f.Budget
-	f.at = c.At
+	f.commandTime = c.At
 	switch c.Op {
 	case SetRules:
 		b.Rules = c.Rules
 		f.note(c.By, "sets %d rules", len(c.Rules))
-	case See:
+	case Observe:
 		if f.Seers == nil {
 			f.Seers = map[string]uint64{}
 		}
-		if c.Token < f.Seers[c.By] { // it was stopped, and another one sees by now
+		if c.Token < f.Seers[c.By] { // the sender was suspended, and another observer has taken over
 			return Reply{Error: fmt.Sprintf("%s: token %d is overtaken by %d", c.By, c.Token, f.Seers[c.By])}
 		}
 		if c.Token != 0 {
 			f.Seers[c.By] = c.Token
 		}
-		seen := *c.Seen
+		observed := *c.Observed
 		if old := b.Units[c.Unit]; old == nil {
-			f.note(c.Unit, "is there: a %s at %s that runs %s", seen.Kind, seen.Site, seen.Version)
-		} else if old.Up != seen.Up || old.Version != seen.Version {
-			f.note(c.Unit, "is seen: ready %v, runs %s", seen.Up, seen.Version)
+			f.note(c.Unit, "is there: a %s at %s that runs %s", observed.Kind, observed.Site, observed.Version)
+		} else if old.Up != observed.Up || old.Version != observed.Version {
+			f.note(c.Unit, "is seen: ready %v, runs %s", observed.Up, observed.Version)
 		}
-		out := b.Permits[c.Unit]
-		if b.See(c.Unit, seen); out != nil && b.Permits[c.Unit] == nil {
-			f.note(c.Unit, "is back from %s", out.Change)
+		permit := b.Permits[c.Unit]
+		if b.Observe(c.Unit, observed); permit != nil && b.Permits[c.Unit] == nil {
+			f.note(c.Unit, "is back from %s", permit.Change)
 		}
 		f.Figures[c.Unit] = c.Figures
-		if f.Held == nil { // a snapshot of before there were any
+		if f.Held == nil { // the snapshot is from a version without this field
 			f.Held = map[string]map[string]int{}
 		}
 		if delete(f.Held, c.Unit); len(c.Held) > 0 {
 			f.Held[c.Unit] = c.Held
 		}
-	case Lose:
+	case MarkLost:
 		if u := b.Units[c.Unit]; u != nil && u.Up {
 			u.Up, u.Warm, u.Lost = false, false, true
 			f.note(c.Unit, "is silent: it counts as out")
 		}
 	case Forget:
 		if err := b.Forget(c.Unit); err != nil {
-			return refusal(err)
+			return replyError(err)
 		}
 		delete(f.Figures, c.Unit)
 		delete(f.Held, c.Unit)
 		f.note(c.By, "forgets %s", c.Unit)
-	case Want:
-		p, refused := b.Want(Ask{c.Change, c.Unit})
+	case RequestPermit:
+		p, refused := b.RequestPermit(PermitRequest{c.Change, c.Unit})
 		if refused != nil {
 			f.Lives[c.Unit] = max(f.Lives[c.Unit], c.Life)
-			return Reply{Error: refused.Error(), Waits: slices.Contains(b.Waiting, Ask{c.Change, c.Unit})}
+			return Reply{Error: refused.Error(), Waits: slices.Contains(b.Waiting, PermitRequest{c.Change, c.Unit})}
 		}
 		f.Lives[c.Unit] = c.Life
 		r.Token = p.Token
 	case Leave:
 		if refused := b.Leave(c.Unit, c.Token); refused != nil {
-			return refusal(refused)
+			return replyError(refused)
 		}
 		change := b.Permits[c.Unit].Change
 		if p := f.Plans[change]; p != nil {
-			p.Began(c.Unit)
+			p.MarkBegun(c.Unit)
 		}
 		f.note(c.Unit, "leaves for %s", change)
 	case Return:
@@ -255,8 +256,8 @@
 			return Reply{Error: fmt.Sprintf("%s: token %d is no permit in force", c.Unit, c.Token)}
 		}
 		f.note(c.Unit, "is to serve again")
-	case Late:
-		if b.Late(c.Unit, c.Token) {
+	case MarkOverdue:
+		if b.MarkOverdue(c.Unit, c.Token) {
 			f.note(c.Unit, "its permit is overdue: planned work is halted until somebody has looked")
 		}
 	case Claim:
@@ -276,15 +277,15 @@
 		f.note(c.By, "resumes planned work")
 	case Begin:
 		return f.begin(c)
-	case Step:
+	case MoveRelease:
 		p := f.Plans[c.Move.Plan]
 		if p == nil {
 			return Reply{Error: fmt.Sprintf("there is no release %s", c.Move.Plan)}
 		}
-		if err := p.Take(*c.Move); err != nil {
-			return refusal(err)
+		if err := p.ApplyMove(*c.Move); err != nil {
+			return replyError(err)
 		}
-		if p.Stage == Halted || p.Stage == Backing || p.Over() {
+		if p.Stage == Halted || p.Stage == RollingBack || p.Over() {
 			b.Withdraw(p.ID)
 		}
 		f.note(c.By, "release %s is %s, wave %d of %d %s", p.ID, p.Stage, p.Wave+1, len(p.Waves), p.Why)
@@ -307,24 +308,24 @@
 		b.Withdraw(c.Change)
 		f.note(c.By, "restores %s", c.Change)
 	}
-	f.tidy()
+	f.grantAndPrune()
 	return r
 }
 
 func (f *Fleet) begin(c Command) (r Reply) {
 	if old := f.Plans[c.Change]; old != nil {
 		if old.To == c.Version && old.Config == c.Config && !old.Over() {
-			return r // asked again
+			return r // a repeated command
 		}
 		return Reply{Error: fmt.Sprintf("there was a release %s already", c.Change)}
 	}
 	p, err := NewPlan(c.Change, c.Version, c.Config, f.Budget, c.Units, *c.Settings)
 	if err != nil {
-		return refusal(err)
+		return replyError(err)
 	}
 	for _, id := range sortedKeys(f.Plans) {
 		if other := f.Plans[id]; !other.Over() {
-			if unit, both := other.Conflicts(p); both {
+			if unit, common := other.Conflicts(p); common {
 				return Reply{Error: fmt.Sprintf("release %s is %s, and has %s too", id, other.Stage, unit)}
 			}
 		}
@@ -343,20 +344,20 @@
 			return Reply{Error: u + " is not known"}
 		}
 	}
-	f.Drains[c.Change] = &Taken{Units: c.Units, By: c.By, Life: c.Life}
+	f.Drains[c.Change] = &DrainState{Units: c.Units, By: c.By, Life: c.Life}
 	f.note(c.By, "drains %s as %s", strings.Join(c.Units, ", "), c.Change)
 	for _, u := range c.Units {
 		f.Lives[u] = c.Life
-		if _, refused := f.Budget.Want(Ask{c.Change, u}); refused != nil {
+		if _, refused := f.Budget.RequestPermit(PermitRequest{c.Change, u}); refused != nil {
 			r.Waits, r.Error = true, refused.Error()
 		}
 	}
 	return r
 }
 
-// tidy gives permits to those who wait, and forgets what is over.
-func (f *Fleet) tidy() {
-	for _, a := range f.Budget.Give() {
+// grantAndPrune grants permits to waiting requests, and removes finished drains and, above maxPlans, finished releases.
+func (f *Fleet) grantAndPrune() {
+	for _, a := range f.Budget.GrantWaiting() {
 		f.note(a.Unit, "may leave for %s", a.Change)
 	}
 	for _, id := range sortedKeys(f.Drains) {
@@ -364,12 +365,12 @@
 		if d.Back && !slices.ContainsFunc(d.Units, func(u string) bool { p := f.Budget.Permits[u]; return p != nil && p.Change == id }) {
 			delete(f.Drains, id)
 			f.note(id, "is over: all of it serves again")
-		} else if quiet := f.quiet(id, d); quiet && !d.Quiet && !d.Back {
+		} else if quiet := f.drainQuiet(id, d); quiet && !d.Quiet && !d.Back {
 			f.note(id, "is quiet: nothing is under way at %s", strings.Join(d.Units, ", "))
 			d.Quiet = quiet
 		}
 	}
-	for over := 0; len(f.Plans) > plansMost && over < len(f.Plans); over++ {
+	for over := 0; len(f.Plans) > maxPlans && over < len(f.Plans); over++ {
 		for _, id := range sortedKeys(f.Plans) {
 			if f.Plans[id].Over() {
 				delete(f.Plans, id)
@@ -379,15 +380,15 @@
 	}
 }
 
-// Task is what a unit's agent is to do now.
+// Task is what a unit's agent has to do now.
 type Task struct {
 	Change  string // release or drain; empty: nothing
-	Version string // to run; empty: to be out
-	Config  bool   // the version is one of the configuration
-	Restore bool   // to serve again, after a drain
+	Version string // that the unit is to run; empty: the unit is to be out
+	Config  bool   // the version is that of a configuration
+	Restore bool   // the unit is to serve again after a drain
 }
 
-// Task tells what follows from the log for one unit.
+// Task returns the task that follows from the log for one unit.
 func (f *Fleet) Task(unit string) (t Task) {
 	for _, id := range sortedKeys(f.Drains) {
 		d := f.Drains[id]
@@ -402,61 +403,62 @@
 		}
 	}
 	for _, id := range sortedKeys(f.Plans) {
-		if v, ok := f.Plans[id].Due(f.Budget, unit); ok {
+		if v, ok := f.Plans[id].TargetVersion(f.Budget, unit); ok {
 			return Task{Change: id, Version: v, Config: f.Plans[id].Config}
 		}
 	}
 	return t
 }
 
-// Busy tells what still stands against a drained unit's being quiet: how much work the gateways have under way there,
-// and the gateways that have not said, or are out of sight.
-func (f *Fleet) Busy(unit string) (held int, unknown []string) {
+// WorkInFlight returns how many requests the gateways have in flight at a drained unit, and the gateways, lost ones
+// included, that have not reported a number for it.
+func (f *Fleet) WorkInFlight(unit string) (inFlight int, unknown []string) {
 	for _, id := range sortedKeys(f.Budget.Units) {
-		if g := f.Budget.Units[id]; g.Kind != Gateways {
+		if g := f.Budget.Units[id]; g.Kind != KindGateway {
 			continue
 		}
-		n, said := f.Held[id][unit]
-		if held += n; !said {
+		n, reported := f.Held[id][unit]
+		if inFlight += n; !reported {
 			unknown = append(unknown, id)
 		}
 	}
-	return held, unknown
+	return inFlight, unknown
 }
 
-// quiet tells whether all of a drain has left, and nothing is under way there.
-func (f *Fleet) quiet(id string, d *Taken) bool {
+// drainQuiet reports whether all units of a drain have left and no request is in flight at any of them.
+func (f *Fleet) drainQuiet(id string, d *DrainState) bool {
 	for _, unit := range d.Units {
 		if p := f.Budget.Permits[unit]; p == nil || p.Change != id || !p.Left {
 			return false
 		}
-		if held, unknown := f.Busy(unit); held > 0 || len(unknown) > 0 {
+		if held, unknown := f.WorkInFlight(unit); held > 0 || len(unknown) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Brief is what one unit's agent has to know.
+// Brief is the state that one unit's agent needs.
 type Brief struct {
 	Task    Task
 	Permit  *Permit  // of the unit; nil: none
-	Planned bool     // the permit is a release's
-	Waits   bool     // an ask for the task stands
-	Drains  []string // table servers that have left under a permit: gateways say what they have under way there
+	Planned bool     // the permit was granted for a release
+	Waits   bool     // a permit request for the task waits
+	Drains  []string // drained table servers that have left: gateways report their requests in flight there
 }
 
-// Brief is the part of the fleet that one unit's agent has to know. It grows with what is under way, not with the fleet.
+// Brief returns the part of the state that one unit's agent needs. Its size depends on the changes under way, not on
+// the size of the fleet.
 func (f *Fleet) Brief(unit string) Brief {
-	t := Brief{Task: f.Task(unit), Permit: f.Budget.Permits[unit]}
-	t.Planned = t.Permit != nil && f.Plans[t.Permit.Change] != nil
-	t.Waits = slices.Contains(f.Budget.Waiting, Ask{t.Task.Change, unit})
+	brief := Brief{Task: f.Task(unit), Permit: f.Budget.Permits[unit]}
+	brief.Planned = brief.Permit != nil && f.Plans[brief.Permit.Change] != nil
+	brief.Waits = slices.Contains(f.Budget.Waiting, PermitRequest{brief.Task.Change, unit})
 	for _, id := range sortedKeys(f.Drains) {
 		for _, u := range f.Drains[id].Units {
-			if p := f.Budget.Permits[u]; p != nil && p.Change == id && p.Left && f.Budget.Units[u] != nil && f.Budget.Units[u].Kind == Tables {
-				t.Drains = append(t.Drains, u)
+			if p := f.Budget.Permits[u]; p != nil && p.Change == id && p.Left && f.Budget.Units[u] != nil && f.Budget.Units[u].Kind == KindTable {
+				brief.Drains = append(brief.Drains, u)
 			}
 		}
 	}
-	return t
+	return brief
 }
