--- a/cmd/junctionring/drain.go
+++ b/cmd/junctionring/drain.go
@@ -123,7 +123,7 @@
 		defer close(added)
 		s.finish()
 	}()
-	last, over := context.WithTimeout(context.Background(), shutdown.LastWords)
+	last, over := context.WithTimeout(context.Background(), shutdown.FinalAnswersTime)
 	defer over()
 	if err := s.server.Drain(last, told, told); err != nil {
 		s.log.Warn("connections are cut: their clients neither read nor went", "err", err)
@@ -142,7 +142,7 @@
 
 // finish adds to the counter what this process has used, before it ends.
 func (s *service) finish() {
-	last, done := context.WithTimeout(context.Background(), shutdown.LastUnits)
+	last, done := context.WithTimeout(context.Background(), shutdown.FinalUnitsTime)
 	defer done()
 	if err := s.core.Finish(last); err != nil {
 		s.log.Warn("quota", "err", err)
--- a/cmd/junctionring/platform.go
+++ b/cmd/junctionring/platform.go
@@ -64,7 +64,7 @@
 func (d *deadlineHistory) plan(told time.Time) shutdown.Plan {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return shutdown.Before(shutdown.Time(d.all.Shortest(told.Sub(d.since))))
+	return shutdown.PlanForKill(shutdown.GracePeriod(d.all.Shortest(told.Sub(d.since))))
 }
 
 func servePlatform(ctx, work context.Context, hup <-chan os.Signal, path string, log *slog.Logger) error {
--- a/cmd/junctionring/serve.go
+++ b/cmd/junctionring/serve.go
@@ -97,7 +97,7 @@
 	}
 	s := &service{
 		core: g.Core, server: server, sockets: sockets, connections: ingressConns(o.Limits.Sockets),
-		plan: func(time.Time) shutdown.Plan { return shutdown.Within(o.Drain.Duration) }, log: log, wordWait: egress.WholeSeconds,
+		plan: func(time.Time) shutdown.Plan { return shutdown.PlanForShed(o.Drain.Duration) }, log: log, wordWait: egress.WholeSeconds,
 	}
 	return s.serve(ctx, work)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -157,7 +157,7 @@
 	answer  chan Answer   // of one place: a final answer never waits for its reader
 	over    chan struct{} // closed with the final answer
 	cancels []context.CancelFunc
-	flights []sites.Flight // one for each attempt, where there are sites
+	flights []sites.Attempt // one for each attempt, where there are sites
 	verdict sites.Verdict  // the last
 	came    time.Time
 	out     int
--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -10,11 +10,11 @@
 	longestCounted = 3 * time.Second
 	killedAfter    = 700 * time.Millisecond
 
-	// Tail is kept behind Shed: for the answers of what is shed (LastWords), at the same time for the counter to take
+	// ShedReserve is kept behind Shed: for the answers of what is shed (LastWords), at the same time for the counter to take
 	// what was not added yet (LastUnits), and for a core that others use too.
-	Tail      = 450 * time.Millisecond
-	LastWords = 200 * time.Millisecond
-	LastUnits = 150 * time.Millisecond
+	ShedReserve      = 450 * time.Millisecond
+	FinalAnswersTime = 200 * time.Millisecond
+	FinalUnitsTime = 150 * time.Millisecond
 
 	arriving = 450 * time.Millisecond  // new connections keep coming for up to 0.4 s
 	closing  = 400 * time.Millisecond  // in which each answer closes its connection, so that no close crosses a request
@@ -23,8 +23,8 @@
 	serving  = 2900 * time.Millisecond // at most: who has longer gives it to what is held
 )
 
-// Time is how long a process may take to end where clients wait for so long at most.
-func Time(longest time.Duration) time.Duration { return min(longest, longestCounted) + killedAfter }
+// GracePeriod is how long a process may take to end where clients wait for so long at most.
+func GracePeriod(longest time.Duration) time.Duration { return min(longest, longestCounted) + killedAfter }
 
 // Plan is when each step is due, from the moment the process was told.
 type Plan struct {
@@ -33,8 +33,8 @@
 	Shed  time.Duration // what is still held gets its last answer, and what comes on open connections too
 }
 
-// Within is the plan of a process whose requests are shed so long after it was told.
-func Within(shed time.Duration) Plan {
+// PlanForShed is the plan of a process whose requests are shed so long after it was told.
+func PlanForShed(shed time.Duration) Plan {
 	p := Plan{Shed: shed}
 	p.Stop = min(serving, shed-min(finish, shed/share))
 	p.Stop = max(p.Stop, min(arriving, shed-shed/share/2))
@@ -42,8 +42,8 @@
 	return p
 }
 
-// Before is the plan of a process that is killed so long after it was told.
-func Before(killed time.Duration) Plan { return Within(max(0, killed-Tail)) }
+// PlanForKill is the plan of a process that is killed so long after it was told.
+func PlanForKill(killed time.Duration) Plan { return PlanForShed(max(0, killed-ShedReserve)) }
 
 // Deadlines keeps the longest deadline in force, and those before it for as long as requests may be held that came
 // under them.
--- a/shutdown/shutdown_test.go
+++ b/shutdown/shutdown_test.go
@@ -14,15 +14,15 @@
 func TestStepsFitBeforeTheKill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		longest := time.Duration(rapid.Int64Range(1, int64(20*time.Second)).Draw(t, "longest"))
-		killed := Time(longest)
+		killed := GracePeriod(longest)
 		if killed > 3700*ms || killed != min(longest, 3*time.Second)+700*ms {
 			t.Fatalf("killed after %v", killed)
 		}
-		p := Before(killed)
+		p := PlanForKill(killed)
 		switch {
 		case p.Close < 0 || p.Close > p.Stop || p.Stop > p.Shed:
 			t.Fatalf("out of order: %+v", p)
-		case p.Shed+LastWords+LastUnits > killed:
+		case p.Shed+FinalAnswersTime+FinalUnitsTime > killed:
 			t.Fatalf("no time for last words: %+v", p)
 		case longest >= 300*ms && p.Stop < 400*ms:
 			t.Fatalf("new connections still come at %v", p.Stop)
@@ -34,11 +34,11 @@
 
 // The plan of the known site is the one that its days were passed with, by less than a twentieth of a second.
 func TestKnownSite(t *testing.T) {
-	p := Before(Time(7500 * ms))
+	p := PlanForKill(GracePeriod(7500 * ms))
 	if want := (Plan{Close: 2450 * ms, Stop: 2850 * ms, Shed: 3250 * ms}); p != want {
 		t.Errorf("%+v, want %+v", p, want)
 	}
-	if p := Within(10 * time.Second); p.Close != 2500*ms || p.Stop != 2900*ms || p.Shed != 10*time.Second {
+	if p := PlanForShed(10 * time.Second); p.Close != 2500*ms || p.Stop != 2900*ms || p.Shed != 10*time.Second {
 		t.Errorf("an operator's ten seconds: %+v", p)
 	}
 }
--- a/sites/count.go
+++ b/sites/count.go
@@ -26,7 +26,7 @@
 type Report struct {
 	Own     string         `json:"own"`
 	Sites   []SiteReport   `json:"sites"`
-	Refused []RefuseReport `json:"refused,omitempty"`
+	Refused []RefusalReport `json:"refused,omitempty"`
 }
 
 // SiteReport is a site's state and what went there.
@@ -41,19 +41,19 @@
 	Late     float64       `json:"late"`   // share of answers too late for the window
 	Link     string        `json:"link,omitempty"`
 	RTT      float64       `json:"rtt_ms,omitempty"`
-	Crossed  []CrossReport `json:"crossed,omitempty"`
+	Crossed  []CrossingReport `json:"crossed,omitempty"`
 	Answered uint64        `json:"answered,omitempty"`
 }
 
-// CrossReport counts attempts over a link.
-type CrossReport struct {
+// CrossingReport counts attempts over a link.
+type CrossingReport struct {
 	Class int    `json:"class"`
 	Cause string `json:"cause"`
 	Count uint64 `json:"count"`
 }
 
-// RefuseReport counts tries that were refused for want of servers.
-type RefuseReport struct {
+// RefusalReport counts tries that were refused for want of servers.
+type RefusalReport struct {
 	Class int    `json:"class"`
 	Why   string `json:"why"`
 	Count uint64 `json:"count"`
@@ -79,7 +79,7 @@
 		for class, by := range r.counts.Crossed[i] {
 			for cause, n := range by {
 				if n > 0 {
-					s.Crossed = append(s.Crossed, CrossReport{class, Cause(cause).String(), n})
+					s.Crossed = append(s.Crossed, CrossingReport{class, CrossReason(cause).String(), n})
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 	for class, by := range r.counts.Refused {
 		for bar, n := range by {
 			if n > 0 {
-				out.Refused = append(out.Refused, RefuseReport{class, Bar(bar).String(), n})
+				out.Refused = append(out.Refused, RefusalReport{class, DenyReason(bar).String(), n})
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 		for class := range r.counts.Crossed[i] {
 			for cause, n := range r.counts.Crossed[i][class] {
 				if before := r.summed.Crossed[i][class][cause]; n > before {
-					fmt.Fprintf(&b, " %d of class %d to %s (%v)", n-before, class, r.sites[i].Name, Cause(cause))
+					fmt.Fprintf(&b, " %d of class %d to %s (%v)", n-before, class, r.sites[i].Name, CrossReason(cause))
 				}
 			}
 			r.summed.Crossed[i][class] = r.counts.Crossed[i][class]
@@ -130,7 +130,7 @@
 	for class := range r.counts.Refused {
 		for bar, n := range r.counts.Refused[class] {
 			if before := r.summed.Refused[class][bar]; n > before {
-				fmt.Fprintf(&b, " %d of class %d refused (%v)", n-before, class, Bar(bar))
+				fmt.Fprintf(&b, " %d of class %d refused (%v)", n-before, class, DenyReason(bar))
 			}
 		}
 		r.summed.Refused[class] = r.counts.Refused[class]
--- a/sites/flights.go
+++ b/sites/flights.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Flight is an attempt that is out, as Sent returned it; Ended takes it back.
-type Flight struct {
+// Attempt is an attempt that is out, as Sent returned it; Ended takes it back.
+type Attempt struct {
 	Site   int
 	seq    uint64
 	class  int
--- a/sites/route.go
+++ b/sites/route.go
@@ -35,9 +35,9 @@
 	if t.Bound { // nobody else drops its repeat
 		stay.Reach = control.Reach{First: t.At, Then: t.At}
 		if t.At != own {
-			stay.Cause = r.cause(near)
+			stay.CrossReason = r.cause(near)
 			if r.sites[t.At].link.down {
-				stay.Reach, stay.Bar = control.Reach{First: own, Then: own}, LinkDown // control finds no server of its group
+				stay.Reach, stay.DenyReason = control.Reach{First: own, Then: own}, LinkDown // control finds no server of its group
 			}
 		}
 		return stay
@@ -46,20 +46,20 @@
 	part := otherAt - (otherAt-urgentAt)*urgency
 	room := near.ready > 0 && near.window.takes(now, near.flights.out, near.window.limit*part, 0)
 	cause := r.cause(near)
-	bar := FarGone
+	bar := RemoteUnavailable
 	for _, f := range r.far {
 		b := r.barred(f, t, near, cause, room)
-		if b == Open {
+		if b == NotDenied {
 			if room { // the near site serves; the far one stands by for what control turns away here
-				return Verdict{Reach: control.Reach{First: own, Then: f, Room: near.window.calm()}, Cause: cause}
+				return Verdict{Reach: control.Reach{First: own, Then: f, Room: near.window.calm()}, CrossReason: cause}
 			}
-			return Verdict{Reach: control.Reach{First: f, Then: own, Room: r.sites[f].window.calm()}, Cause: cause}
+			return Verdict{Reach: control.Reach{First: f, Then: own, Room: r.sites[f].window.calm()}, CrossReason: cause}
 		}
-		if bar == FarGone {
+		if bar == RemoteUnavailable {
 			bar = b // of the nearest, unless it has nobody
 		}
 	}
-	stay.Bar = bar
+	stay.DenyReason = bar
 	stay.Reach.Room = room && near.window.calm()
 	// Nobody helps: what is beyond the window would only make the rest late. Now the urgent ones come last to it.
 	part = urgentAt + (otherAt-urgentAt)*urgency
@@ -69,18 +69,18 @@
 }
 
 // cause is the word for what crosses now.
-func (r *Router) cause(near *site) Cause {
+func (r *Router) cause(near *site) CrossReason {
 	switch {
 	case near.draining > 0:
-		return NearDraining
+		return LocalDraining
 	case near.ready == 0:
-		return NearGone
+		return LocalUnavailable
 	}
-	return NearSlow
+	return LocalSlow
 }
 
 // barred tells whether a try may go to a far site, and why not.
-func (r *Router) barred(f int, t Try, near *site, cause Cause, room bool) Bar {
+func (r *Router) barred(f int, t Try, near *site, cause CrossReason, room bool) DenyReason {
 	far := &r.sites[f]
 	if far.cold && r.now-far.weighed > reweigh {
 		r.weigh(f)
@@ -90,19 +90,19 @@
 	late := near.ready > 0 && t.Elapsed+needs > aim // a near site that is there answers late as well
 	switch {
 	case far.ready == 0:
-		return FarGone
+		return RemoteUnavailable
 	case far.link.down:
 		return LinkDown
 	case needs > t.Left, late:
-		return NoTime
+		return InsufficientTime
 	}
 	if !room {
 		far.window.open(r.now, float64(near.flights.out))
 	}
 	if !far.window.takes(r.now, far.flights.out, r.farRoom(far, t.Class), class.low) {
-		return FarBusy
+		return RemoteBusy
 	}
-	return Open
+	return NotDenied
 }
 
 // farRoom is how many attempts of a class may be out at a far site: the urgent ones keep a part for themselves
@@ -119,20 +119,20 @@
 }
 
 // Sent books an attempt that control sends; v is the verdict it goes by. ok is false for a server not known.
-func (r *Router) Sent(now Seconds, id string, class int, v Verdict) (f Flight, ok bool) {
+func (r *Router) Sent(now Seconds, id string, class int, v Verdict) (f Attempt, ok bool) {
 	r.now = now
 	s := r.servers[id]
 	if s == nil {
-		return Flight{Site: -1}, false
+		return Attempt{Site: -1}, false
 	}
 	st := &r.sites[s.site]
-	f = Flight{Site: s.site, seq: st.flights.add(now, class, s), class: class, sent: now, server: s, cross: s.site != r.set.Own}
+	f = Attempt{Site: s.site, seq: st.flights.add(now, class, s), class: class, sent: now, server: s, cross: s.site != r.set.Own}
 	st.window.used = now
 	if f.cross {
-		if v.Cause == Near {
-			v.Cause = r.cause(&r.sites[r.set.Own])
+		if v.CrossReason == Local {
+			v.CrossReason = r.cause(&r.sites[r.set.Own])
 		}
-		r.counts.Crossed[s.site][class][v.Cause]++
+		r.counts.Crossed[s.site][class][v.CrossReason]++
 	}
 	return f, true
 }
@@ -143,7 +143,7 @@
 }
 
 // Ended books the end of an attempt; waited is the time from its last byte to the answer's first, 0: not known.
-func (r *Router) Ended(now Seconds, f Flight, status control.Status, waited Seconds) {
+func (r *Router) Ended(now Seconds, f Attempt, status control.Status, waited Seconds) {
 	r.now = now
 	if f.server == nil {
 		return
@@ -202,7 +202,7 @@
 }
 
 // Refused counts a try that control turned away for want of servers, by why it could not cross.
-func (r *Router) Refused(class int, v Verdict) { r.counts.Refused[class][v.Bar]++ }
+func (r *Router) Refused(class int, v Verdict) { r.counts.Refused[class][v.DenyReason]++ }
 
 // Tick looks at what time alone tells: attempts that are overdue, links that fell silent. It is to be called
 // about twenty times a second.
--- a/sites/sites.go
+++ b/sites/sites.go
@@ -54,44 +54,44 @@
 	return nil
 }
 
-// Cause is why an attempt went over a link.
-type Cause uint8
+// CrossReason is why an attempt went over a link.
+type CrossReason uint8
 
-// The causes. Near stands for no crossing at all.
+// The causes. Local stands for no crossing at all.
 const (
-	Near         Cause = iota
-	NearSlow           // the near site can't meet the wanted time for all that is asked of it
-	NearDraining       // near servers drain
-	NearGone           // no near server is there, or all are left out
+	Local         CrossReason = iota
+	LocalSlow           // the near site can't meet the wanted time for all that is asked of it
+	LocalDraining       // near servers drain
+	LocalUnavailable           // no near server is there, or all are left out
 	causes
 )
 
-func (c Cause) String() string {
+func (c CrossReason) String() string {
 	return [...]string{"near", "near too slow", "near draining", "near gone"}[c]
 }
 
-// Bar is why a try that the near site can't take well may not cross either.
-type Bar uint8
+// DenyReason is why a try that the near site can't take well may not cross either.
+type DenyReason uint8
 
-// The bars. Open stands for none.
+// The bars. NotDenied stands for none.
 const (
-	Open     Bar = iota
-	NoTime       // the link would eat the time that is left, or the gain
+	NotDenied     DenyReason = iota
+	InsufficientTime       // the link would eat the time that is left, or the gain
 	LinkDown     // nothing comes back over the link
-	FarBusy      // the far site shows that it has no room to spare
-	FarGone      // no far server takes work
+	RemoteBusy      // the far site shows that it has no room to spare
+	RemoteUnavailable      // no far server takes work
 	bars
 )
 
-func (b Bar) String() string {
+func (b DenyReason) String() string {
 	return [...]string{"open", "no time", "link down", "far busy", "far gone"}[b]
 }
 
 // Verdict says which sites a try may go to, and the words under which that is counted.
 type Verdict struct {
 	Reach control.Reach
-	Cause Cause // of an attempt that goes to a far site within Reach
-	Bar   Bar   // why none may; counted if the try is refused
+	CrossReason CrossReason // of an attempt that goes to a far site within Reach
+	DenyReason   DenyReason   // why none may; counted if the try is refused
 }
 
 // Action is something the Router wants done.
--- a/sites/sites_test.go
+++ b/sites/sites_test.go
@@ -50,7 +50,7 @@
 func try(class int) Try { return Try{Class: class, Left: classes[class].Deadline} }
 
 // press makes the near window hold so many attempts by late answers, and fills it.
-func press(t testing.TB, r *Router, now Seconds, out int) (Seconds, []Flight) {
+func press(t testing.TB, r *Router, now Seconds, out int) (Seconds, []Attempt) {
 	t.Helper()
 	for range 200 {
 		f, ok := r.Sent(now, id(0, 0), move, Verdict{})
@@ -61,7 +61,7 @@
 		r.Ended(now, f, control.OK, 0)
 	}
 	r.sites[0].window.limit = float64(out)
-	var flights []Flight
+	var flights []Attempt
 	for n := range out {
 		f, _ := r.Sent(now, id(0, n%2), move, Verdict{})
 		flights = append(flights, f)
@@ -89,7 +89,7 @@
 	r := two(t, 4)
 	now, _ := press(t, r, 100, 19) // of 20: over nine tenths, and not full
 	r.sites[0].window.limit = 20
-	if v := r.Route(now, try(move)); v.Reach.First != 1 || v.Reach.Then != 0 || v.Cause != NearSlow {
+	if v := r.Route(now, try(move)); v.Reach.First != 1 || v.Reach.Then != 0 || v.CrossReason != LocalSlow {
 		t.Errorf("a move: %+v", v)
 	}
 	if v := r.Route(now, try(view)); v.Reach.First != 0 {
@@ -104,10 +104,10 @@
 func TestLinkMustNotEatTheTime(t *testing.T) {
 	r := two(t, 4)
 	now, _ := press(t, r, 100, 20)
-	if v := r.Route(now, Try{Class: move, Left: 0.2}); v.Reach.First != 0 || v.Reach.Then != 0 || v.Bar != NoTime {
+	if v := r.Route(now, Try{Class: move, Left: 0.2}); v.Reach.First != 0 || v.Reach.Then != 0 || v.DenyReason != InsufficientTime {
 		t.Errorf("with 200 ms left: %+v", v)
 	}
-	r.Refused(move, Verdict{Bar: NoTime})
+	r.Refused(move, Verdict{DenyReason: InsufficientTime})
 	if got := r.Report().Refused; len(got) != 1 || got[0].Why != "no time" {
 		t.Errorf("counted as %+v", got)
 	}
@@ -116,7 +116,7 @@
 func TestDrainOpensTheLinkAtOnce(t *testing.T) {
 	r := two(t, 4)
 	now := 100.0
-	var out []Flight
+	var out []Attempt
 	for i := 0; i < 200; i++ { // 30 out, on the average
 		now += 0.02
 		f, _ := r.Sent(now, id(0, i%4), move, r.Route(now, try(move)))
@@ -130,7 +130,7 @@
 	crossed := 0
 	for range 30 { // what the near site had out may be out over the link within the same moment
 		v := r.Route(now, try(move))
-		if v.Reach.First == 1 && v.Cause == NearDraining {
+		if v.Reach.First == 1 && v.CrossReason == LocalDraining {
 			r.Sent(now, id(1, 0), move, v)
 			crossed++
 		}
@@ -177,7 +177,7 @@
 	r := two(t, 4)
 	r.Members(100, list(4, control.Draining, control.Ready))
 	now := 100.0
-	var out []Flight
+	var out []Attempt
 	for i := range 6 {
 		f, _ := r.Sent(now, id(1, i%4), move, r.Route(now, try(move)))
 		out = append(out, f)
@@ -204,11 +204,11 @@
 	if gaveUp != 1 || probes < 10 {
 		t.Errorf("given up %d times, %d probes", gaveUp, probes)
 	}
-	if v := r.Route(now, try(move)); v.Bar != LinkDown {
+	if v := r.Route(now, try(move)); v.DenyReason != LinkDown {
 		t.Errorf("a try while it is down: %+v", v)
 	}
 	r.Probed(now, id(1, 0), control.OK, 0.08)
-	if v := r.Route(now, try(move)); v.Bar != LinkDown {
+	if v := r.Route(now, try(move)); v.DenyReason != LinkDown {
 		t.Errorf("one good probe: %+v", v)
 	}
 	r.Probed(now, id(1, 1), control.OK, 0.08)
@@ -243,7 +243,7 @@
 	far := &r.sites[1]
 	feed := func(took Seconds, n int) {
 		for range n {
-			var out []Flight
+			var out []Attempt
 			for range int(far.window.limit) + 1 {
 				f, _ := r.Sent(now, id(1, 0), move, Verdict{})
 				out = append(out, f)
@@ -269,8 +269,8 @@
 func TestSummaryInTheLog(t *testing.T) {
 	r := two(t, 2)
 	r.Tick(100, nil)
-	r.Sent(101, id(1, 0), move, Verdict{Cause: NearDraining})
-	r.Refused(view, Verdict{Bar: FarBusy})
+	r.Sent(101, id(1, 0), move, Verdict{CrossReason: LocalDraining})
+	r.Refused(view, Verdict{DenyReason: RemoteBusy})
 	var lines []string
 	for _, now := range []Seconds{102, 111, 122, 133} {
 		for _, a := range r.Tick(now, nil) {
@@ -293,7 +293,7 @@
 		near := &r.sites[0]
 		near.window.limit = limit
 		for range 200 {
-			var out []Flight
+			var out []Attempt
 			for near.window.takes(now, near.flights.out, near.window.limit, 0) {
 				f, _ := r.Sent(now, id(0, 0), move, Verdict{})
 				out = append(out, f)
@@ -331,7 +331,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := two(&testing.T{}, 3)
 		now, crossed := 100.0, uint64(0)
-		var out []Flight
+		var out []Attempt
 		states := rapid.SampledFrom([]control.MemberState{control.Ready, control.Ready, control.Draining, control.Removed})
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now += rapid.Float64Range(0, 0.3).Draw(t, "dt")
@@ -384,7 +384,7 @@
 					t.Fatalf("crossed without room: %d out of %g", far.flights.out, r.farRoom(far, c))
 				case v.Reach.First == 1 && near.ready > 0 && float64(near.flights.out)+1 <= near.window.limit*urgentAt:
 					t.Fatalf("crossed though the near site has room: %d out of %g", near.flights.out, near.window.limit)
-				case !crosses && v.Bar == Open && near.ready == 0:
+				case !crosses && v.DenyReason == NotDenied && near.ready == 0:
 					t.Fatalf("stayed without a reason: %+v", v)
 				}
 				site := r.sites[v.Reach.First]
