--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -18,15 +18,15 @@
 type Seconds = float64
 
 const (
-	delayQuantile  = 0.95 // of the answer times of a class; a first attempt may be out for so long
-	samplesNeeded  = 40.0 // answers of a class before its quantile is relied on
-	budgetEarned   = 0.05 // copies that each request earns
-	budgetMost     = 4.0  // copies that may be saved up
-	winsNeeded     = 0.5  // share of the copies that must answer first for the whole budget to be earned
-	winsWeight     = 0.15 // of the last copy in that share
-	trialShare     = 0.1  // of the budget that is earned while fewer do
-	crowdedFrom    = 0.05 // overload from which on no copy is sent
-	typicalsNeeded = 1.0  // typical answer times that must be left for a copy to be of use
+	delayQuantile    = 0.95 // of the answer times of a class; a first attempt may be out for so long
+	minSamples       = 40.0 // answers of a class before its quantile is relied on
+	budgetPerRequest = 0.05 // copies that each request earns
+	maxBudget        = 4.0  // copies that may be saved up
+	minWinShare      = 0.5  // share of the copies that must answer first for the whole budget to be earned
+	winWeight        = 0.15 // of the last copy in that share
+	trialBudgetShare = 0.1  // of the budget that is earned while fewer do
+	overloadLimit    = 0.05 // overload from which on no copy is sent
+	minTypicalTimes  = 1.0  // typical answer times that must be left for a copy to be of use
 )
 
 // Class is what a class of requests allows.
@@ -45,18 +45,18 @@
 // Hedger keeps the requests that may be hedged, the answer times of their classes and the budget. A nil Hedger
 // never hedges. It is not safe for concurrent use.
 type Hedger struct {
-	classes []classState
-	budget  float64
-	wins    float64 // share of the late copies that answered before the first attempt
+	classes  []classState
+	budget   float64
+	winShare float64 // share of the late copies that answered before the first attempt
 }
 
 type classState struct {
 	Class
 	times   Quantile
-	waiting []waiting // first attempts out, oldest first
+	pending []pendingAttempt // first attempts out, oldest first
 }
 
-type waiting struct {
+type pendingAttempt struct {
 	request uint64
 	sent    Seconds
 }
@@ -66,7 +66,7 @@
 	if !slices.ContainsFunc(classes, func(c Class) bool { return c.Allowed }) {
 		return nil
 	}
-	h := &Hedger{classes: make([]classState, len(classes)), budget: budgetMost, wins: 1}
+	h := &Hedger{classes: make([]classState, len(classes)), budget: maxBudget, winShare: 1}
 	for i, c := range classes {
 		h.classes[i].Class = c
 	}
@@ -78,13 +78,13 @@
 	if h == nil {
 		return
 	}
-	earned := budgetEarned
-	if h.wins < winsNeeded {
-		earned *= trialShare
+	earned := budgetPerRequest
+	if h.winShare < minWinShare {
+		earned *= trialBudgetShare
 	}
-	h.budget = min(budgetMost, h.budget+earned)
+	h.budget = min(maxBudget, h.budget+earned)
 	if c := &h.classes[class]; c.Allowed {
-		c.waiting = append(c.waiting, waiting{request, now})
+		c.pending = append(c.pending, pendingAttempt{request, now})
 	}
 }
 
@@ -102,15 +102,15 @@
 		return
 	}
 	c := &h.classes[class]
-	same := func(w waiting) bool { return w.request == request }
-	if i := slices.IndexFunc(c.waiting, same); i >= 0 {
-		c.waiting = slices.Delete(c.waiting, i, i+1)
+	matches := func(w pendingAttempt) bool { return w.request == request }
+	if i := slices.IndexFunc(c.pending, matches); i >= 0 {
+		c.pending = slices.Delete(c.pending, i, i+1)
 	}
 }
 
 // Delay is how long a first attempt of a class may be out before a copy is due; infinite while too little is known.
 func (h *Hedger) Delay(class int) Seconds {
-	if h == nil || h.classes[class].times.Samples() < samplesNeeded {
+	if h == nil || h.classes[class].times.Samples() < minSamples {
 		return math.Inf(1)
 	}
 	return h.classes[class].times.At(delayQuantile)
@@ -123,7 +123,7 @@
 		return next
 	}
 	for i := range h.classes {
-		if w := h.classes[i].waiting; len(w) > 0 {
+		if w := h.classes[i].pending; len(w) > 0 {
 			next = min(next, w[0].sent+h.Delay(i))
 		}
 	}
@@ -137,9 +137,9 @@
 	}
 	for i := range h.classes {
 		c, delay := &h.classes[i], h.Delay(i)
-		for len(c.waiting) > 0 && c.waiting[0].sent+delay <= now {
-			requests = append(requests, c.waiting[0].request)
-			c.waiting = c.waiting[1:]
+		for len(c.pending) > 0 && c.pending[0].sent+delay <= now {
+			requests = append(requests, c.pending[0].request)
+			c.pending = c.pending[1:]
 		}
 	}
 	return requests
@@ -147,7 +147,7 @@
 
 // Allow tells whether a copy that is due may be sent.
 func (h *Hedger) Allow(c Conditions) bool {
-	return h != nil && h.budget >= 1 && !c.Capped && c.Overload < crowdedFrom && c.Left >= typicalsNeeded*c.Typical
+	return h != nil && h.budget >= 1 && !c.Capped && c.Overload < overloadLimit && c.Left >= minTypicalTimes*c.Typical
 }
 
 // Spend pays for a copy that was sent.
@@ -160,8 +160,8 @@
 	if won {
 		result = 1
 	}
-	h.wins += (result - h.wins) * winsWeight
-	if h.wins < winsNeeded {
+	h.winShare += (result - h.winShare) * winWeight
+	if h.winShare < minWinShare {
 		h.budget = min(1, h.budget)
 	}
 }
@@ -179,7 +179,7 @@
 			h.classes[i].times = old[f].times
 		}
 		if i < len(old) {
-			h.classes[i].waiting = old[i].waiting
+			h.classes[i].pending = old[i].pending
 		}
 		h.classes[i].Class = c
 	}
--- a/hedge/hedge_test.go
+++ b/hedge/hedge_test.go
@@ -10,10 +10,10 @@
 )
 
 // calm are conditions under which nothing but the budget stands against a copy.
-var calm = hedge.Conditions{Left: 1, Typical: 0.1}
+var favorable = hedge.Conditions{Left: 1, Typical: 0.1}
 
 // learned is a Hedger that has seen answers of class 0 take a tenth of a second.
-func learned() *hedge.Hedger {
+func newTrainedHedger() *hedge.Hedger {
 	h := hedge.New([]hedge.Class{{Allowed: true}, {}})
 	for range 100 {
 		h.Answered(0, 0.1)
@@ -75,13 +75,13 @@
 	h.Sent(0, 1, 0)
 	h.Answered(0, 1)
 	h.Ended(1, 0)
-	if h.Due(100) != nil || h.Allow(calm) || !math.IsInf(h.Next(), 1) || !math.IsInf(h.Delay(0), 1) {
+	if h.Due(100) != nil || h.Allow(favorable) || !math.IsInf(h.Next(), 1) || !math.IsInf(h.Delay(0), 1) {
 		t.Error("a nil Hedger hedges")
 	}
 }
 
 func TestCopyIsDueAfterTheSlowestAnswersOfItsClass(t *testing.T) {
-	h := learned()
+	h := newTrainedHedger()
 	delay := h.Delay(0)
 	if delay < 0.1 || delay > 0.12 {
 		t.Fatalf("a delay of %v, want about 0.1", delay)
@@ -116,11 +116,11 @@
 }
 
 func TestCopiesStayASmallShareOfTheRequests(t *testing.T) {
-	h, copies := learned(), 0
+	h, copies := newTrainedHedger(), 0
 	for i := range uint64(1000) { // every request is slow
 		h.Sent(float64(i), i, 0)
 		for range h.Due(float64(i) + 0.9) {
-			if h.Allow(calm) {
+			if h.Allow(favorable) {
 				h.Spend()
 				copies++
 			}
@@ -132,12 +132,12 @@
 }
 
 // offered brings requests in that are all slow, and judges every copy alike.
-func offered(h *hedge.Hedger, from, requests int, won bool) (copies int) {
+func simulate(h *hedge.Hedger, from, requests int, won bool) (copies int) {
 	for i := range requests {
 		now := float64(from + i)
 		h.Sent(now, uint64(from+i), 0)
 		for range h.Due(now + 0.9) {
-			if h.Allow(calm) {
+			if h.Allow(favorable) {
 				h.Spend()
 				h.Judged(won)
 				copies++
@@ -148,30 +148,30 @@
 }
 
 func TestCopiesThatNeverWinBecomeTrials(t *testing.T) {
-	h := learned()
-	losing := offered(h, 0, 2000, false)
+	h := newTrainedHedger()
+	losing := simulate(h, 0, 2000, false)
 	if losing < 5 || losing > 20 {
 		t.Errorf("%d copies of 2000 requests although none answered first, want a few trials", losing)
 	}
-	offered(h, 2000, 2000, true)
-	if winning := offered(h, 4000, 2000, true); winning < 80 {
+	simulate(h, 2000, 2000, true)
+	if winning := simulate(h, 4000, 2000, true); winning < 80 {
 		t.Errorf("%d copies of 2000 requests although all answer first again", winning)
 	}
 }
 
 func TestNoCopyWhereItWouldNotHelp(t *testing.T) {
-	h := learned()
-	if !h.Allow(calm) {
+	h := newTrainedHedger()
+	if !h.Allow(favorable) {
 		t.Fatal("no copy although nothing stands against it")
 	}
-	for name, spoil := range map[string]func(*hedge.Conditions){
+	for name, worsen := range map[string]func(*hedge.Conditions){
 		"servers are crowded":            func(c *hedge.Conditions) { c.Overload = 0.5 },
 		"too late":                       func(c *hedge.Conditions) { c.Left = 0.05 },
 		"the customer has enough out":    func(c *hedge.Conditions) { c.Capped = true },
 		"answers take longer than usual": func(c *hedge.Conditions) { c.Typical = 2 },
 	} {
-		c := calm
-		spoil(&c)
+		c := favorable
+		worsen(&c)
 		if h.Allow(c) {
 			t.Errorf("%s: a copy all the same", name)
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -158,7 +158,7 @@
 	over    chan struct{} // closed with the final answer
 	cancels []context.CancelFunc
 	flights []sites.Attempt // one for each attempt, where there are sites
-	verdict sites.Verdict  // the last
+	verdict sites.Verdict   // the last
 	came    time.Time
 	out     int
 	mayRan  bool
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -18,8 +18,8 @@
 // AtWindowStart estimates the level at the start of a window from the total of the window before it, which was length
 // seconds long.
 func (b Bucket) AtWindowStart(length, previous float64) float64 {
-	use := previous / (b.Rate * length)
-	return b.Burst * max(0, 1-math.Pow(max(0, use), previousExponent))
+	utilization := previous / (b.Rate * length)
+	return b.Burst * max(0, 1-math.Pow(max(0, utilization), previousExponent))
 }
 
 // After estimates the level some seconds after it was start, if units were drawn evenly in between.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -9,12 +9,12 @@
 )
 
 // exact is the token bucket itself.
-type exact struct {
+type exactBucket struct {
 	quota.Bucket
 	level, at float64
 }
 
-func (e *exact) take(at, units float64) bool {
+func (e *exactBucket) take(at, units float64) bool {
 	e.level = min(e.Burst, e.level+e.Rate*(at-e.at))
 	e.at = at
 	if e.level < units {
@@ -26,8 +26,8 @@
 
 // played draws single units at random from an exact bucket for some windows of length seconds, at a multiple of its
 // rate, and returns the totals of the last whole window and of the part of a window after it, beside the true level.
-func played(rng *rand.Rand, b quota.Bucket, length, part, multiple float64) (previous, current, level float64) {
-	e := exact{Bucket: b, level: b.Burst}
+func simulate(rng *rand.Rand, b quota.Bucket, length, part, multiple float64) (previous, current, level float64) {
+	e := exactBucket{Bucket: b, level: b.Burst}
 	const windows = 5
 	start := windows * length
 	for at := 0.0; ; {
@@ -56,11 +56,11 @@
 		for multiple, within := range map[float64]float64{0.1: 0.05, 0.3: 0.1, 0.6: 0.125, 0.9: 0.45, 1.5: 0.125, 4: 0.125} {
 			length := b.Burst / b.Rate * math.Ceil(3*b.Rate/b.Burst)
 			bias := 0.0
-			const plays = 400
-			for range plays {
+			const runs = 400
+			for range runs {
 				part := length * rng.Float64()
-				previous, current, level := played(rng, b, length, part, multiple)
-				bias += (b.After(b.AtWindowStart(length, previous), part, current) - level) / b.Burst / plays
+				previous, current, level := simulate(rng, b, length, part, multiple)
+				bias += (b.After(b.AtWindowStart(length, previous), part, current) - level) / b.Burst / runs
 			}
 			if math.Abs(bias) > within {
 				t.Errorf("%+v at %.1f of its rate: %.3f of the burst off, want at most %.3f", b, multiple, bias, within)
--- a/sites/link.go
+++ b/sites/link.go
@@ -9,86 +9,86 @@
 // link is what is known of the way to a far site. A dead server is told from a dead link by whether anybody
 // there still answers.
 type link struct {
-	down   bool
-	heard  Seconds // last answer of anybody there, of any kind
-	rtt    Seconds // there and back: the least of late
-	misses int     // attempts and probes without an answer since then
-	missed string  // the server that missed first
-	many   bool    // another one missed as well
-	since  Seconds // when it went down
+	down          bool
+	lastAnswer    Seconds // last answer of anybody there, of any kind
+	rtt           Seconds // there and back: the least of late
+	misses        int     // attempts and probes without an answer since then
+	firstMissed   string  // the server that missed first
+	severalMissed bool    // another one missed as well
+	downAt        Seconds // when it went down
 
-	probing bool
-	probeAt Seconds // next probe
-	turn    int     // whom to probe
-	good    int     // probes answered in a row while it is down
-	need    int     // so many bring it back: more where it went down again soon
-	upAt    Seconds
+	probing      bool
+	nextProbe    Seconds // next probe
+	probeIndex   int     // whom to probe
+	goodProbes   int     // probes answered in a row while it is down
+	probesNeeded int     // so many bring it back: more where it went down again soon
+	upAt         Seconds
 }
 
 const (
-	missMost   = 3     // attempts and probes without an answer in between after which a link counts as down
-	quietLeast = 0.45  // s without an answer, with attempts out, after which it counts as down
-	quietMore  = 2.5   // multiple of the usual answer time that is waited for where it is longer
-	quietFew   = 2     // attempts that must be out for silence to count
-	probeRest  = 1.0   // s between probes while all is well
-	probeFast  = 0.15  // s between probes while the link is down or a probe got no answer
-	probeWait  = 0.15  // s that a probe may take beyond three round trips
-	upFirst    = 2     // answered probes in a row that bring a link back
-	upMost     = 8     // the most that are needed where it fails again soon
-	upSteady   = 10.0  // s that a link must have been up for upFirst to be enough again
-	rttRises   = 0.002 // share by which the round-trip time may rise per probe, to follow a way that became longer
+	maxMisses          = 3     // attempts and probes without an answer in between after which a link counts as down
+	minSilence         = 0.45  // s without an answer, with attempts out, after which it counts as down
+	silenceFactor      = 2.5   // multiple of the usual answer time that is waited for where it is longer
+	silenceMinAttempts = 2     // attempts that must be out for silence to count
+	probeInterval      = 1.0   // s between probes while all is well
+	fastProbeInterval  = 0.15  // s between probes while the link is down or a probe got no answer
+	probeSlack         = 0.15  // s that a probe may take beyond three round trips
+	minGoodProbes      = 2     // answered probes in a row that bring a link back
+	maxGoodProbes      = 8     // the most that are needed where it fails again soon
+	stableUpTime       = 10.0  // s that a link must have been up for upFirst to be enough again
+	rttRise            = 0.002 // share by which the round-trip time may rise per probe, to follow a way that became longer
 )
 
 // hear books any answer from a far site.
-func (r *Router) hear(st *site) {
-	st.link.heard, st.link.misses, st.link.missed, st.link.many = r.now, 0, "", false
+func (r *Router) recordContact(st *siteState) {
+	st.link.lastAnswer, st.link.misses, st.link.firstMissed, st.link.severalMissed = r.now, 0, "", false
 }
 
 // miss books an attempt or a probe that brought no answer. begun is when it was sent.
-func (r *Router) miss(st *site, id string, begun Seconds) {
+func (r *Router) recordMiss(st *siteState, id string, sent Seconds) {
 	l := &st.link
-	if l.heard > begun {
+	if l.lastAnswer > sent {
 		return // others answered meanwhile: it is the server, not the link
 	}
 	l.misses++
-	if l.missed == "" {
-		l.missed = id
-	} else if l.missed != id {
-		l.many = true
+	if l.firstMissed == "" {
+		l.firstMissed = id
+	} else if l.firstMissed != id {
+		l.severalMissed = true
 	}
 }
 
 // look judges the link of a far site and appends what follows.
-func (r *Router) look(i int, actions []Action) []Action {
+func (r *Router) checkLink(i int, actions []Action) []Action {
 	st := &r.sites[i]
 	l := &st.link
 	if !l.down {
-		oldest, any := st.flights.oldest()
-		usual := 0.0
+		oldest, hasOldest := st.attempts.oldest()
+		slowest := 0.0
 		for _, c := range st.classes {
-			usual = max(usual, c.high)
+			slowest = max(slowest, c.highTime)
 		}
-		silent := any && st.flights.out >= quietFew && l.heard < oldest && r.now-oldest > max(quietLeast, quietMore*usual)
-		lost := l.misses >= missMost && (l.many || len(st.servers) < 2)
+		silent := hasOldest && st.attempts.count >= silenceMinAttempts && l.lastAnswer < oldest && r.now-oldest > max(minSilence, silenceFactor*slowest)
+		lost := l.misses >= maxMisses && (l.severalMissed || len(st.servers) < 2)
 		if silent || lost {
-			if r.now-l.upAt > upSteady {
-				l.need = upFirst
+			if r.now-l.upAt > stableUpTime {
+				l.probesNeeded = minGoodProbes
 			} else {
-				l.need = min(upMost, 2*max(1, l.need))
+				l.probesNeeded = min(maxGoodProbes, 2*max(1, l.probesNeeded))
 			}
-			l.down, l.since, l.good, l.probeAt = true, r.now, 0, r.now
+			l.down, l.downAt, l.goodProbes, l.nextProbe = true, r.now, 0, r.now
 			actions = append(actions, GiveUp{i},
-				Log{fmt.Sprintf("the link to %s is down: heard %.2f s ago, %d missed", st.Name, r.now-l.heard, l.misses)})
+				Log{fmt.Sprintf("the link to %s is down: heard %.2f s ago, %d missed", st.Name, r.now-l.lastAnswer, l.misses)})
 		}
 	}
-	if l.probing || r.now < l.probeAt || len(st.servers) == 0 {
+	if l.probing || r.now < l.nextProbe || len(st.servers) == 0 {
 		return actions
 	}
 	for range st.servers {
-		l.turn++
-		if s := st.servers[l.turn%len(st.servers)]; s.state == control.Ready && (s.strikes < leftOut || l.down) {
+		l.probeIndex++
+		if s := st.servers[l.probeIndex%len(st.servers)]; s.state == control.Ready && (s.failures < ejectAfter || l.down) {
 			l.probing = true
-			return append(actions, Probe{s.id, 3*l.rtt + probeWait})
+			return append(actions, Probe{s.id, 3*l.rtt + probeSlack})
 		}
 	}
 	return actions
@@ -108,31 +108,31 @@
 	l := &st.link
 	l.probing = false
 	fast := l.down
-	if answered(status) {
-		r.hear(st)
-		l.rtt = min(elapsed, l.rtt*(1+rttRises))
-		s.strikes = 0
-		if l.good++; l.down && l.good >= l.need {
+	if reachedServer(status) {
+		r.recordContact(st)
+		l.rtt = min(elapsed, l.rtt*(1+rttRise))
+		s.failures = 0
+		if l.goodProbes++; l.down && l.goodProbes >= l.probesNeeded {
 			l.down, l.upAt = false, now
-			if r.sites[r.set.Own].ready > 0 { // else all that the link carried is to come back at once
-				st.window.limit = max(farStart, st.window.limit/2)
+			if r.sites[r.settings.Own].ready > 0 { // else all that the link carried is to come back at once
+				st.window.limit = max(remoteStart, st.window.limit/2)
 			}
-			st.window.slow, st.window.late, st.window.used = false, 0, now
+			st.window.delayed, st.window.late, st.window.lastUsed = false, 0, now
 			fast = false
 			for _, s := range st.servers {
-				s.strikes = 0
+				s.failures = 0
 			}
-			r.weigh(s.site)
-			r.back = append(r.back, s.site)
-			r.say("the link to %s is up again after %.2f s", st.Name, now-l.since)
+			r.updateWeight(s.site)
+			r.restored = append(r.restored, s.site)
+			r.logf("the link to %s is up again after %.2f s", st.Name, now-l.downAt)
 		}
 	} else {
-		l.good, fast = 0, true
-		r.miss(st, id, now-elapsed)
+		l.goodProbes, fast = 0, true
+		r.recordMiss(st, id, now-elapsed)
 	}
-	pause := probeRest
+	interval := probeInterval
 	if fast {
-		pause = probeFast
+		interval = fastProbeInterval
 	}
-	l.probeAt = now + pause*(0.75+0.5*r.rng.Float64()) // gateways that start together do not probe in step
+	l.nextProbe = now + interval*(0.75+0.5*r.rng.Float64()) // gateways that start together do not probe in step
 }
--- a/sites/route.go
+++ b/sites/route.go
@@ -16,90 +16,90 @@
 }
 
 const (
-	urgentAt = 0.9  // share of the near window from which on the most urgent class crosses
-	otherAt  = 1.0  // share from which on the least urgent class does
-	farOther = 0.75 // share of a far window that the least urgent class may fill
-	reweigh  = 0.1  // s for which a weight is used while servers warm up
-	setUp    = 1.0  // round trips that opening a connection may cost
+	mostUrgentShare        = 0.9  // share of the near window from which on the most urgent class crosses
+	leastUrgentShare       = 1.0  // share from which on the least urgent class does
+	leastUrgentRemoteShare = 0.75 // share of a far window that the least urgent class may fill
+	maxWeightAge           = 0.1  // s for which a weight is used while servers warm up
+	connectRoundTrips      = 1.0  // round trips that opening a connection may cost
 )
 
 // Route says which sites a try may go to now. It neither allocates nor looks at single servers.
 func (r *Router) Route(now Seconds, t Try) Verdict {
 	r.now = now
-	own := r.set.Own
-	near := &r.sites[own]
-	if near.cold && now-near.weighed > reweigh {
-		r.weigh(own)
+	own := r.settings.Own
+	local := &r.sites[own]
+	if local.warmingUp && now-local.weighedAt > maxWeightAge {
+		r.updateWeight(own)
 	}
-	stay := Verdict{Reach: control.Reach{First: own, Then: own}}
+	verdict := Verdict{Reach: control.Reach{First: own, Then: own}}
 	if t.Bound { // nobody else drops its repeat
-		stay.Reach = control.Reach{First: t.At, Then: t.At}
+		verdict.Reach = control.Reach{First: t.At, Then: t.At}
 		if t.At != own {
-			stay.CrossReason = r.cause(near)
+			verdict.CrossReason = r.crossReason(local)
 			if r.sites[t.At].link.down {
-				stay.Reach, stay.DenyReason = control.Reach{First: own, Then: own}, LinkDown // control finds no server of its group
+				verdict.Reach, verdict.DenyReason = control.Reach{First: own, Then: own}, LinkDown // control finds no server of its group
 			}
 		}
-		return stay
+		return verdict
 	}
 	urgency := r.urgency[t.Class]
-	part := otherAt - (otherAt-urgentAt)*urgency
-	room := near.ready > 0 && near.window.takes(now, near.flights.out, near.window.limit*part, 0)
-	cause := r.cause(near)
-	bar := RemoteUnavailable
-	for _, f := range r.far {
-		b := r.barred(f, t, near, cause, room)
-		if b == NotDenied {
-			if room { // the near site serves; the far one stands by for what control turns away here
-				return Verdict{Reach: control.Reach{First: own, Then: f, Room: near.window.calm()}, CrossReason: cause}
+	share := leastUrgentShare - (leastUrgentShare-mostUrgentShare)*urgency
+	localHasRoom := local.ready > 0 && local.window.admits(now, local.attempts.count, local.window.limit*share, 0)
+	crossReason := r.crossReason(local)
+	denyReason := RemoteUnavailable
+	for _, f := range r.remotes {
+		reason := r.denyReason(f, t, local, crossReason, localHasRoom)
+		if reason == NotDenied {
+			if localHasRoom { // the near site serves; the far one stands by for what control turns away here
+				return Verdict{Reach: control.Reach{First: own, Then: f, Room: local.window.uncongested()}, CrossReason: crossReason}
 			}
-			return Verdict{Reach: control.Reach{First: f, Then: own, Room: r.sites[f].window.calm()}, CrossReason: cause}
+			return Verdict{Reach: control.Reach{First: f, Then: own, Room: r.sites[f].window.uncongested()}, CrossReason: crossReason}
 		}
-		if bar == RemoteUnavailable {
-			bar = b // of the nearest, unless it has nobody
+		if denyReason == RemoteUnavailable {
+			denyReason = reason // of the nearest, unless it has nobody
 		}
 	}
-	stay.DenyReason = bar
-	stay.Reach.Room = room && near.window.calm()
+	verdict.DenyReason = denyReason
+	verdict.Reach.Room = localHasRoom && local.window.uncongested()
 	// Nobody helps: what is beyond the window would only make the rest late. Now the urgent ones come last to it.
-	part = urgentAt + (otherAt-urgentAt)*urgency
+	share = mostUrgentShare + (leastUrgentShare-mostUrgentShare)*urgency
 	// A far site that is only busy will soon help again: until then control sheds by what it sees.
-	stay.Reach.Full = near.ready > 0 && (bar == LinkDown || !near.window.calm()) && !near.window.takes(now, near.flights.out, near.window.limit*part, 0)
-	return stay
+	verdict.Reach.Full = local.ready > 0 && (denyReason == LinkDown || !local.window.uncongested()) && !local.window.admits(now, local.attempts.count, local.window.limit*share, 0)
+	return verdict
 }
 
 // cause is the word for what crosses now.
-func (r *Router) cause(near *site) CrossReason {
+func (r *Router) crossReason(local *siteState) CrossReason {
 	switch {
-	case near.draining > 0:
+	case local.draining > 0:
 		return LocalDraining
-	case near.ready == 0:
+	case local.ready == 0:
 		return LocalUnavailable
 	}
 	return LocalSlow
 }
 
 // barred tells whether a try may go to a far site, and why not.
-func (r *Router) barred(f int, t Try, near *site, cause CrossReason, room bool) DenyReason {
-	far := &r.sites[f]
-	if far.cold && r.now-far.weighed > reweigh {
-		r.weigh(f)
-	}
-	class, aim := &far.classes[t.Class], r.set.Classes[t.Class].Aim
-	needs := class.high + setUp*far.link.rtt
-	late := near.ready > 0 && t.Elapsed+needs > aim // a near site that is there answers late as well
+func (r *Router) denyReason(f int, t Try, local *siteState, crossReason CrossReason, localHasRoom bool) DenyReason {
+	remote := &r.sites[f]
+	if remote.warmingUp && r.now-remote.weighedAt > maxWeightAge {
+		r.updateWeight(f)
+	}
+	class, aim := &remote.classes[t.Class], r.settings.Classes[t.Class].Aim
+	required := class.highTime + connectRoundTrips*remote.link.rtt
+	tooLate := local.ready > 0 && t.Elapsed+required > aim // a near site that is there answers late as well
 	switch {
-	case far.ready == 0:
+	case remote.ready == 0:
 		return RemoteUnavailable
-	case far.link.down:
+	case remote.link.down:
 		return LinkDown
-	case needs > t.Left, late:
+	case required > t.Left, tooLate:
 		return InsufficientTime
 	}
-	if !room {
-		far.window.open(r.now, float64(near.flights.out))
+	if !localHasRoom {
+		remote.window.resetIfIdle(r.now, float64(local.attempts.count))
 	}
-	if !far.window.takes(r.now, far.flights.out, r.farRoom(far, t.Class), class.low) {
+	if !remote.window.admits(r.now, remote.attempts.count, r.remoteLimit(remote, t.Class), class.baseline) {
 		return RemoteBusy
 	}
 	return NotDenied
@@ -107,98 +107,98 @@
 
 // farRoom is how many attempts of a class may be out at a far site: the urgent ones keep a part for themselves
 // where it is short.
-func (r *Router) farRoom(far *site, class int) float64 {
-	room := far.window.limit * far.weight / max(1, float64(far.ready))
-	if r.sites[r.set.Own].ready == 0 { // no guest any more: there is nowhere else to go
-		room = max(room, 1)
+func (r *Router) remoteLimit(remote *siteState, class int) float64 {
+	limit := remote.window.limit * remote.weight / max(1, float64(remote.ready))
+	if r.sites[r.settings.Own].ready == 0 { // no guest any more: there is nowhere else to go
+		limit = max(limit, 1)
 	}
-	if far.window.calm() { // room for all: it grows as it is used
-		return room
+	if remote.window.uncongested() { // room for all: it grows as it is used
+		return limit
 	}
-	return room * (farOther + (1-farOther)*r.urgency[class])
+	return limit * (leastUrgentRemoteShare + (1-leastUrgentRemoteShare)*r.urgency[class])
 }
 
 // Sent books an attempt that control sends; v is the verdict it goes by. ok is false for a server not known.
-func (r *Router) Sent(now Seconds, id string, class int, v Verdict) (f Attempt, ok bool) {
+func (r *Router) Sent(now Seconds, id string, class int, v Verdict) (a Attempt, ok bool) {
 	r.now = now
 	s := r.servers[id]
 	if s == nil {
 		return Attempt{Site: -1}, false
 	}
 	st := &r.sites[s.site]
-	f = Attempt{Site: s.site, seq: st.flights.add(now, class, s), class: class, sent: now, server: s, cross: s.site != r.set.Own}
-	st.window.used = now
-	if f.cross {
+	a = Attempt{Site: s.site, seq: st.attempts.add(now, class, s), class: class, sent: now, server: s, remote: s.site != r.settings.Own}
+	st.window.lastUsed = now
+	if a.remote {
 		if v.CrossReason == Local {
-			v.CrossReason = r.cause(&r.sites[r.set.Own])
+			v.CrossReason = r.crossReason(&r.sites[r.settings.Own])
 		}
 		r.counts.Crossed[s.site][class][v.CrossReason]++
 	}
-	return f, true
+	return a, true
 }
 
 // answered tells whether an end proves that the server was reached and spoke.
-func answered(s control.Status) bool {
+func reachedServer(s control.Status) bool {
 	return s == control.OK || s == control.Error || s == control.Full
 }
 
 // Ended books the end of an attempt; waited is the time from its last byte to the answer's first, 0: not known.
-func (r *Router) Ended(now Seconds, f Attempt, status control.Status, waited Seconds) {
+func (r *Router) Ended(now Seconds, a Attempt, status control.Status, waited Seconds) {
 	r.now = now
-	if f.server == nil {
+	if a.server == nil {
 		return
 	}
-	st := &r.sites[f.Site]
-	told, ok := st.flights.end(now, f.seq)
+	st := &r.sites[a.Site]
+	countedLate, ok := st.attempts.end(now, a.seq)
 	if !ok {
 		return
 	}
-	took, c := now-f.sent, &st.classes[f.class]
+	took, c := now-a.sent, &st.classes[a.class]
 	if waited <= 0 || waited > took {
 		waited = took
 	}
-	if answered(status) {
-		r.hear(st)
-		if f.cross {
-			r.counts.Answered[f.Site]++
+	if reachedServer(status) {
+		r.recordContact(st)
+		if a.remote {
+			r.counts.Answered[a.Site]++
 		}
 	}
 	switch status {
 	case control.OK:
-		if f.server.strikes >= leftOut {
-			f.server.strikes = 0
-			r.weigh(f.Site)
+		if a.server.failures >= ejectAfter {
+			a.server.failures = 0
+			r.updateWeight(a.Site)
 		}
-		f.server.strikes = 0
-		if !told {
-			st.window.answer(now, waited > r.lateAt(f.server, f.class), float64(st.flights.out), c.low)
+		a.server.failures = 0
+		if !countedLate {
+			st.window.recordAnswer(now, waited > r.lateAfter(a.server, a.class), float64(st.attempts.count), c.baseline)
 		}
-		warm := r.warmth(f.server)
-		f.server.low[f.class] = least(f.server.low[f.class], waited*warm, now-c.lowAt)
-		c.learn(now, waited*warm, took)
+		share := r.capacityShare(a.server)
+		a.server.baselines[a.class] = trackBaseline(a.server.baselines[a.class], waited*share, now-c.baselineAt)
+		c.recordAnswer(now, waited*share, took)
 	case control.Full:
-		st.window.answer(now, true, float64(st.flights.out), c.low)
+		st.window.recordAnswer(now, true, float64(st.attempts.count), c.baseline)
 	case control.Reset, control.ConnectFailed, control.Error, control.Timeout:
-		if f.server.strikes++; f.server.strikes == leftOut {
-			r.weigh(f.Site)
+		if a.server.failures++; a.server.failures == ejectAfter {
+			r.updateWeight(a.Site)
 		}
-		if f.cross && status != control.Error {
-			r.miss(st, f.server.id, f.sent)
+		if a.remote && status != control.Error {
+			r.recordMiss(st, a.server.id, a.sent)
 		}
 	}
 }
 
 // lateAt is the time after which an answer of a server is late.
-func (r *Router) lateAt(s *server, class int) Seconds {
-	aim := r.set.Classes[class].Aim
-	if s.site == r.set.Own {
-		return nearLate * aim
+func (r *Router) lateAfter(s *server, class int) Seconds {
+	aim := r.settings.Classes[class].Aim
+	if s.site == r.settings.Own {
+		return localLateShare * aim
 	}
-	low := s.low[class]
-	if low == 0 {
-		low = r.sites[s.site].classes[class].low
+	baseline := s.baselines[class]
+	if baseline == 0 {
+		baseline = r.sites[s.site].classes[class].baseline
 	}
-	return (low + farLate*aim) / r.warmth(s) // a cold one is slow, not crowded
+	return (baseline + remoteLateShare*aim) / r.capacityShare(s) // a cold one is slow, not crowded
 }
 
 // Refused counts a try that control turned away for want of servers, by why it could not cross.
@@ -210,37 +210,37 @@
 	r.now = now
 	for i := range r.sites {
 		st := &r.sites[i]
-		if st.cold && now-st.weighed > reweigh {
-			r.weigh(i)
+		if st.warmingUp && now-st.weighedAt > maxWeightAge {
+			r.updateWeight(i)
 		}
-		for seq := st.flights.first; seq < st.flights.next; seq++ {
-			l := st.flights.at(seq)
-			if l.ended || l.told {
+		for seq := st.attempts.first; seq < st.attempts.next; seq++ {
+			entry := st.attempts.at(seq)
+			if entry.ended || entry.countedLate {
 				continue
 			}
-			if now-l.sent > r.lateAt(l.server, l.class) { // Danger: where nothing is answered no answer tells of it
-				l.told = true
-				st.window.answer(now, true, float64(st.flights.out), st.classes[l.class].low)
+			if now-entry.sent > r.lateAfter(entry.server, entry.class) { // Danger: where nothing is answered no answer tells of it
+				entry.countedLate = true
+				st.window.recordAnswer(now, true, float64(st.attempts.count), st.classes[entry.class].baseline)
 			}
 		}
-		if i != r.set.Own {
-			actions = r.look(i, actions)
+		if i != r.settings.Own {
+			actions = r.checkLink(i, actions)
 		}
 	}
-	for _, i := range r.back {
+	for _, i := range r.restored {
 		actions = append(actions, Restored{i})
 	}
-	r.back = r.back[:0]
-	r.summary()
-	for _, text := range r.log {
+	r.restored = r.restored[:0]
+	r.logSummary()
+	for _, text := range r.logLines {
 		actions = append(actions, Log{text})
 	}
-	r.log = r.log[:0]
+	r.logLines = r.logLines[:0]
 	return actions
 }
 
-func (r *Router) say(format string, args ...any) {
-	if len(r.log) < 64 {
-		r.log = append(r.log, fmt.Sprintf(format, args...))
+func (r *Router) logf(format string, args ...any) {
+	if len(r.logLines) < 64 {
+		r.logLines = append(r.logLines, fmt.Sprintf(format, args...))
 	}
 }
--- a/sites/sites.go
+++ b/sites/sites.go
@@ -59,11 +59,11 @@
 
 // The causes. Local stands for no crossing at all.
 const (
-	Local         CrossReason = iota
-	LocalSlow           // the near site can't meet the wanted time for all that is asked of it
-	LocalDraining       // near servers drain
-	LocalUnavailable           // no near server is there, or all are left out
-	causes
+	Local            CrossReason = iota
+	LocalSlow                    // the near site can't meet the wanted time for all that is asked of it
+	LocalDraining                // near servers drain
+	LocalUnavailable             // no near server is there, or all are left out
+	crossReasons
 )
 
 func (c CrossReason) String() string {
@@ -75,12 +75,12 @@
 
 // The bars. NotDenied stands for none.
 const (
-	NotDenied     DenyReason = iota
-	InsufficientTime       // the link would eat the time that is left, or the gain
-	LinkDown     // nothing comes back over the link
-	RemoteBusy      // the far site shows that it has no room to spare
-	RemoteUnavailable      // no far server takes work
-	bars
+	NotDenied         DenyReason = iota
+	InsufficientTime             // the link would eat the time that is left, or the gain
+	LinkDown                     // nothing comes back over the link
+	RemoteBusy                   // the far site shows that it has no room to spare
+	RemoteUnavailable            // no far server takes work
+	denyReasons
 )
 
 func (b DenyReason) String() string {
@@ -89,9 +89,9 @@
 
 // Verdict says which sites a try may go to, and the words under which that is counted.
 type Verdict struct {
-	Reach control.Reach
+	Reach       control.Reach
 	CrossReason CrossReason // of an attempt that goes to a far site within Reach
-	DenyReason   DenyReason   // why none may; counted if the try is refused
+	DenyReason  DenyReason  // why none may; counted if the try is refused
 }
 
 // Action is something the Router wants done.
@@ -122,60 +122,60 @@
 
 // Router is the decision module for sites of one gateway. It is not safe for concurrent use.
 type Router struct {
-	set     Settings
-	rng     *rand.Rand
-	now     Seconds
-	sites   []site
-	far     []int // the others, nearest first
-	servers map[string]*server
-	urgency []float64 // by class, from worth a second of the wanted time: 0 for the least, 1 for the most
-	counts  Counts
-	log     []string // lines that wait for the next Tick
-	summed  Counts   // the counts at the last summary
-	sumAt   Seconds
-	back    []int // sites whose link came up since the last Tick
+	settings   Settings
+	rng        *rand.Rand
+	now        Seconds
+	sites      []siteState
+	remotes    []int // the others, nearest first
+	servers    map[string]*server
+	urgency    []float64 // by class, from worth a second of the wanted time: 0 for the least, 1 for the most
+	counts     Counts
+	logLines   []string // lines that wait for the next Tick
+	lastCounts Counts   // the counts at the last summary
+	summaryAt  Seconds
+	restored   []int // sites whose link came up since the last Tick
 }
 
 // site is what is known of one site.
-type site struct {
+type siteState struct {
 	Site
-	servers  []*server // on the list, in order of first sight
-	ready    int       // of them, ready and not left out
-	draining int
-	weight   float64 // of the ready ones, by their warmth
-	weighed  Seconds // when it was last taken
-	cold     bool    // some are
-
-	flights flights
-	classes []class
-	window  window
-	link    link
+	servers   []*server // on the list, in order of first sight
+	ready     int       // of them, ready and not left out
+	draining  int
+	weight    float64 // of the ready ones, by their warmth
+	weighedAt Seconds // when it was last taken
+	warmingUp bool    // some are
+
+	attempts attemptRing
+	classes  []classTimes
+	window   window
+	link     link
 }
 
 // class is what was learned of a class at a site.
-type class struct {
-	low   Seconds // about the least wait for an answer, link and all: the time without a queue
-	lowAt Seconds // when it was last moved
-	high  Seconds // a high quantile of the whole time of an attempt: what a try must have left
+type classTimes struct {
+	baseline   Seconds // about the least wait for an answer, link and all: the time without a queue
+	baselineAt Seconds // when it was last moved
+	highTime   Seconds // a high quantile of the whole time of an attempt: what a try must have left
 }
 
 // server is what is known of one server.
 type server struct {
-	id      string
-	site    int
-	state   control.MemberState
-	since   Seconds
-	strikes int       // failures in a row
-	low     []Seconds // by class, as that of its site. Danger: of all, a slow machine would look like a queue
+	id        string
+	site      int
+	state     control.MemberState
+	since     Seconds
+	failures  int       // failures in a row
+	baselines []Seconds // by class, as that of its site. Danger: of all, a slow machine would look like a queue
 }
 
 const (
-	leftOut    = 3    // failures in a row after which a server counts for nothing until it answers
-	firstLow   = 0.1  // share of the aim that low begins with
-	firstHigh  = 0.3  // share of the aim that high begins with
-	highPart   = 0.9  // quantile that high follows
-	quantileBy = 0.04 // share of itself by which an answer moves low or high at the most
-	lowRises   = 0.01 // share by which low may rise per second; faster, a standing queue would soon count as none
+	ejectAfter      = 3    // failures in a row after which a server counts for nothing until it answers
+	initialBaseline = 0.1  // share of the aim that low begins with
+	initialHighTime = 0.3  // share of the aim that high begins with
+	highQuantile    = 0.9  // quantile that high follows
+	quantileStep    = 0.04 // share of itself by which an answer moves low or high at the most
+	baselineRise    = 0.01 // share by which low may rise per second; faster, a standing queue would soon count as none
 )
 
 // New makes a Router.
@@ -183,8 +183,8 @@
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	r := &Router{set: s, rng: rand.New(rand.NewPCG(s.Seed, 0xbf58476d1ce4e5b9)), servers: map[string]*server{},
-		sites: make([]site, len(s.Sites)), counts: newCounts(len(s.Sites), len(s.Classes))}
+	r := &Router{settings: s, rng: rand.New(rand.NewPCG(s.Seed, 0xbf58476d1ce4e5b9)), servers: map[string]*server{},
+		sites: make([]siteState, len(s.Sites)), counts: newCounts(len(s.Sites), len(s.Classes))}
 	r.urgency = urgencies(s.Classes)
 	for i := range r.sites {
 		st := &r.sites[i]
@@ -192,13 +192,13 @@
 		st.window = newWindow(i == s.Own)
 		st.link.rtt = 2 * st.Distance
 		for _, c := range s.Classes {
-			st.classes = append(st.classes, firstClass(c, st.Distance))
+			st.classes = append(st.classes, initialTimes(c, st.Distance))
 		}
 		if i != s.Own {
-			r.far = append(r.far, i)
+			r.remotes = append(r.remotes, i)
 		}
 	}
-	slices.SortStableFunc(r.far, func(a, b int) int {
+	slices.SortStableFunc(r.remotes, func(a, b int) int {
 		if s.Sites[a].Distance < s.Sites[b].Distance {
 			return -1
 		}
@@ -213,46 +213,46 @@
 	if e.Kind == control.Failed {
 		return
 	}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, m := range e.Entries {
-		named[m.Server] = true
+		listed[m.Server] = true
 		if m.Site < 0 || m.Site >= len(r.sites) {
-			m.Site = r.set.Own
+			m.Site = r.settings.Own
 		}
 		s := r.servers[m.Server]
 		if s != nil && (m.State == control.Removed || s.site != m.Site) {
-			r.drop(s)
+			r.removeServer(s)
 			s = nil
 		}
 		if m.State == control.Removed {
 			continue
 		}
 		if s == nil {
-			s = &server{id: m.Server, site: m.Site, low: make([]Seconds, len(r.set.Classes))}
+			s = &server{id: m.Server, site: m.Site, baselines: make([]Seconds, len(r.settings.Classes))}
 			r.servers[s.id] = s
 			r.sites[m.Site].servers = append(r.sites[m.Site].servers, s)
 		}
 		if m.Since > s.since { // a new life: what its former one did says nothing
-			s.since, s.strikes = m.Since, 0
-			clear(s.low)
+			s.since, s.failures = m.Since, 0
+			clear(s.baselines)
 		}
 		s.state = m.State
 	}
 	if e.Kind != control.Delta {
 		for _, st := range r.sites {
 			for _, s := range slices.Clone(st.servers) {
-				if !named[s.id] {
-					r.drop(s)
+				if !listed[s.id] {
+					r.removeServer(s)
 				}
 			}
 		}
 	}
 	for i := range r.sites {
-		r.weigh(i)
+		r.updateWeight(i)
 	}
 }
 
-func (r *Router) drop(s *server) {
+func (r *Router) removeServer(s *server) {
 	delete(r.servers, s.id)
 	st := &r.sites[s.site]
 	st.servers = slices.DeleteFunc(st.servers, func(o *server) bool { return o == s })
@@ -260,40 +260,40 @@
 
 // weigh takes what a site can do anew. Danger: a hall that drains at once; its load must find the far site open
 // within the same moment, so what the near site loses is granted to the link.
-func (r *Router) weigh(i int) {
+func (r *Router) updateWeight(i int) {
 	st := &r.sites[i]
-	before, had := st.weight, len(st.servers) > 0
-	st.ready, st.draining, st.weight, st.weighed, st.cold = 0, 0, 0, r.now, false
+	oldWeight, hadServers := st.weight, len(st.servers) > 0
+	st.ready, st.draining, st.weight, st.weighedAt, st.warmingUp = 0, 0, 0, r.now, false
 	for _, s := range st.servers {
 		switch {
 		case s.state == control.Draining:
 			st.draining++
-		case s.strikes < leftOut:
+		case s.failures < ejectAfter:
 			st.ready++
-			warm := r.warmth(s)
-			st.cold = st.cold || warm < 1
-			st.weight += warm
+			share := r.capacityShare(s)
+			st.warmingUp = st.warmingUp || share < 1
+			st.weight += share
 		}
 	}
-	if i != r.set.Own || before <= 0 || st.weight >= before {
+	if i != r.settings.Own || oldWeight <= 0 || st.weight >= oldWeight {
 		return
 	}
-	lost := 1 - st.weight/before
-	if st.ready == 0 && had {
-		r.say("no near server takes work: %d drain, %d are left out", st.draining, len(st.servers)-st.draining)
+	lostShare := 1 - st.weight/oldWeight
+	if st.ready == 0 && hadServers {
+		r.logf("no near server takes work: %d drain, %d are left out", st.draining, len(st.servers)-st.draining)
 	}
-	out := st.flights.mean(r.now)
-	st.window.shrink(1 - lost)
-	for _, f := range r.far {
-		far := &r.sites[f]
-		stretch := 1 + far.link.rtt/max(st.classes[0].low, 1e-3)
-		far.window.grant(r.now, lost*out*stretch)
+	inFlight := st.attempts.mean(r.now)
+	st.window.shrink(1 - lostShare)
+	for _, f := range r.remotes {
+		remote := &r.sites[f]
+		rttFactor := 1 + remote.link.rtt/max(st.classes[0].baseline, 1e-3)
+		remote.window.grant(r.now, lostShare*inFlight*rttFactor)
 	}
 }
 
 // warmth is the share of its capacity that a server has at the least.
-func (r *Router) warmth(s *server) float64 {
-	g := &r.set.Guarantees
+func (r *Router) capacityShare(s *server) float64 {
+	g := &r.settings.Guarantees
 	if age := r.now - s.since; s.since > 0 && age < g.Ramp {
 		return g.ColdFrom + (1-g.ColdFrom)*max(0, age/g.Ramp)
 	}
@@ -301,21 +301,21 @@
 }
 
 // least moves what counts as the time without a queue: down at once, up over minutes.
-func least(low, waited Seconds, since Seconds) Seconds {
-	if low == 0 || waited < low {
-		return max(waited, low*(1-quantileBy))
+func trackBaseline(baseline, waited Seconds, elapsed Seconds) Seconds {
+	if baseline == 0 || waited < baseline {
+		return max(waited, baseline*(1-quantileStep))
 	}
-	return low * (1 + min(quantileBy, lowRises*max(0, since)))
+	return baseline * (1 + min(quantileStep, baselineRise*max(0, elapsed)))
 }
 
 // learn books the time of an answer: the wait for its first byte, and all that the attempt took.
-func (c *class) learn(now, waited, took Seconds) {
-	c.low = least(c.low, waited, now-c.lowAt)
-	c.lowAt = now
-	if took > c.high {
-		c.high += c.high * quantileBy * highPart
+func (c *classTimes) recordAnswer(now, waited, took Seconds) {
+	c.baseline = trackBaseline(c.baseline, waited, now-c.baselineAt)
+	c.baselineAt = now
+	if took > c.highTime {
+		c.highTime += c.highTime * quantileStep * highQuantile
 	} else {
-		c.high -= c.high * quantileBy * (1 - highPart)
+		c.highTime -= c.highTime * quantileStep * (1 - highQuantile)
 	}
-	c.high = max(c.high, c.low)
+	c.highTime = max(c.highTime, c.baseline)
 }
--- a/sites/sites_test.go
+++ b/sites/sites_test.go
@@ -20,7 +20,7 @@
 )
 
 // two is a router at the site near, 40 ms from far, with so many servers at each.
-func two(t testing.TB, servers int) *Router {
+func newTestRouter(t testing.TB, servers int) *Router {
 	t.Helper()
 	r, err := New(Settings{
 		Sites: []Site{{Name: "near"}, {Name: "far", Distance: 0.04}}, Classes: classes,
@@ -29,31 +29,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Members(100, list(servers, control.Ready, control.Ready))
+	r.Members(100, serverList(servers, control.Ready, control.Ready))
 	return r
 }
 
-func id(site, n int) string {
+func serverID(site, n int) string {
 	return string(rune('a'+site)) + string(rune('0'+n/10)) + string(rune('0'+n%10))
 }
 
-func list(servers int, near, far control.MemberState) control.Members {
+func serverList(servers int, local, remote control.MemberState) control.Members {
 	m := control.Members{Kind: control.Snapshot}
-	for site, state := range []control.MemberState{near, far} {
+	for site, state := range []control.MemberState{local, remote} {
 		for n := range servers {
-			m.Entries = append(m.Entries, control.Member{Server: id(site, n), Site: site, State: state})
+			m.Entries = append(m.Entries, control.Member{Server: serverID(site, n), Site: site, State: state})
 		}
 	}
 	return m
 }
 
-func try(class int) Try { return Try{Class: class, Left: classes[class].Deadline} }
+func newTry(class int) Try { return Try{Class: class, Left: classes[class].Deadline} }
 
 // press makes the near window hold so many attempts by late answers, and fills it.
-func press(t testing.TB, r *Router, now Seconds, out int) (Seconds, []Attempt) {
+func fillLocalWindow(t testing.TB, r *Router, now Seconds, out int) (Seconds, []Attempt) {
 	t.Helper()
 	for range 200 {
-		f, ok := r.Sent(now, id(0, 0), move, Verdict{})
+		f, ok := r.Sent(now, serverID(0, 0), move, Verdict{})
 		if !ok {
 			t.Fatal("the server is not known")
 		}
@@ -61,23 +61,23 @@
 		r.Ended(now, f, control.OK, 0)
 	}
 	r.sites[0].window.limit = float64(out)
-	var flights []Attempt
+	var attempts []Attempt
 	for n := range out {
-		f, _ := r.Sent(now, id(0, n%2), move, Verdict{})
-		flights = append(flights, f)
+		f, _ := r.Sent(now, serverID(0, n%2), move, Verdict{})
+		attempts = append(attempts, f)
 	}
-	return now, flights
+	return now, attempts
 }
 
 func TestNearIsPreferredWhileItSuffices(t *testing.T) {
-	r, now := two(t, 4), 100.0
+	r, now := newTestRouter(t, 4), 100.0
 	for range 2000 {
 		now += 0.01
-		v := r.Route(now, try(move))
+		v := r.Route(now, newTry(move))
 		if v.Reach.First != 0 {
 			t.Fatalf("at %g: %+v", now, v)
 		}
-		f, _ := r.Sent(now, id(0, 1), move, v)
+		f, _ := r.Sent(now, serverID(0, 1), move, v)
 		r.Ended(now+0.15, f, control.OK, 0.15)
 	}
 	if r.Crossings() != 0 {
@@ -86,24 +86,24 @@
 }
 
 func TestExcessCrossesMovesFirst(t *testing.T) {
-	r := two(t, 4)
-	now, _ := press(t, r, 100, 19) // of 20: over nine tenths, and not full
+	r := newTestRouter(t, 4)
+	now, _ := fillLocalWindow(t, r, 100, 19) // of 20: over nine tenths, and not full
 	r.sites[0].window.limit = 20
-	if v := r.Route(now, try(move)); v.Reach.First != 1 || v.Reach.Then != 0 || v.CrossReason != LocalSlow {
+	if v := r.Route(now, newTry(move)); v.Reach.First != 1 || v.Reach.Then != 0 || v.CrossReason != LocalSlow {
 		t.Errorf("a move: %+v", v)
 	}
-	if v := r.Route(now, try(view)); v.Reach.First != 0 {
+	if v := r.Route(now, newTry(view)); v.Reach.First != 0 {
 		t.Errorf("a view: %+v", v)
 	}
 	r.sites[0].window.limit = 19
-	if v := r.Route(now, try(view)); v.Reach.First != 1 {
+	if v := r.Route(now, newTry(view)); v.Reach.First != 1 {
 		t.Errorf("a view at a full window: %+v", v)
 	}
 }
 
-func TestLinkMustNotEatTheTime(t *testing.T) {
-	r := two(t, 4)
-	now, _ := press(t, r, 100, 20)
+func TestNoCrossingWithoutTimeLeft(t *testing.T) {
+	r := newTestRouter(t, 4)
+	now, _ := fillLocalWindow(t, r, 100, 20)
 	if v := r.Route(now, Try{Class: move, Left: 0.2}); v.Reach.First != 0 || v.Reach.Then != 0 || v.DenyReason != InsufficientTime {
 		t.Errorf("with 200 ms left: %+v", v)
 	}
@@ -114,24 +114,24 @@
 }
 
 func TestDrainOpensTheLinkAtOnce(t *testing.T) {
-	r := two(t, 4)
+	r := newTestRouter(t, 4)
 	now := 100.0
 	var out []Attempt
 	for i := 0; i < 200; i++ { // 30 out, on the average
 		now += 0.02
-		f, _ := r.Sent(now, id(0, i%4), move, r.Route(now, try(move)))
+		f, _ := r.Sent(now, serverID(0, i%4), move, r.Route(now, newTry(move)))
 		out = append(out, f)
 		if len(out) > 30 {
 			r.Ended(now, out[0], control.OK, 0.5)
 			out = out[1:]
 		}
 	}
-	r.Members(now, list(4, control.Draining, control.Ready))
+	r.Members(now, serverList(4, control.Draining, control.Ready))
 	crossed := 0
 	for range 30 { // what the near site had out may be out over the link within the same moment
-		v := r.Route(now, try(move))
+		v := r.Route(now, newTry(move))
 		if v.Reach.First == 1 && v.CrossReason == LocalDraining {
-			r.Sent(now, id(1, 0), move, v)
+			r.Sent(now, serverID(1, 0), move, v)
 			crossed++
 		}
 	}
@@ -144,8 +144,8 @@
 }
 
 func TestColdFarSiteGetsLittle(t *testing.T) {
-	r := two(t, 4)
-	m := list(4, control.Draining, control.Ready)
+	r := newTestRouter(t, 4)
+	m := serverList(4, control.Draining, control.Ready)
 	for i := range m.Entries {
 		if m.Entries[i].Site == 1 {
 			m.Entries[i].Since = 99
@@ -153,20 +153,20 @@
 	}
 	r.Members(100, m)
 	r.sites[1].window.limit = 40
-	cold := r.farRoom(&r.sites[1], move)
+	cold := r.remoteLimit(&r.sites[1], move)
 	r.Tick(120, nil)
-	if warm := r.farRoom(&r.sites[1], move); cold > 0.25*warm || warm < 39 {
+	if warm := r.remoteLimit(&r.sites[1], move); cold > 0.25*warm || warm < 39 {
 		t.Errorf("room for %g cold and %g warm", cold, warm)
 	}
 }
 
 func TestBoundTryStaysAtItsSite(t *testing.T) {
-	r := two(t, 4)
+	r := newTestRouter(t, 4)
 	v := r.Route(100, Try{Class: move, Left: 4, Bound: true, At: 1})
 	if v.Reach != (control.Reach{First: 1, Then: 1}) {
 		t.Errorf("it ran at the far site: %+v", v)
 	}
-	r.Members(100, list(4, control.Draining, control.Ready))
+	r.Members(100, serverList(4, control.Draining, control.Ready))
 	if v = r.Route(100, Try{Class: move, Left: 4, Bound: true}); v.Reach != (control.Reach{}) {
 		t.Errorf("it ran at the near site: %+v", v)
 	}
@@ -174,15 +174,15 @@
 
 // A link that says nothing is down, is given up, probed, and used again after two good probes.
 func TestSilentLink(t *testing.T) {
-	r := two(t, 4)
-	r.Members(100, list(4, control.Draining, control.Ready))
+	r := newTestRouter(t, 4)
+	r.Members(100, serverList(4, control.Draining, control.Ready))
 	now := 100.0
 	var out []Attempt
 	for i := range 6 {
-		f, _ := r.Sent(now, id(1, i%4), move, r.Route(now, try(move)))
+		f, _ := r.Sent(now, serverID(1, i%4), move, r.Route(now, newTry(move)))
 		out = append(out, f)
 	}
-	var probes, gaveUp int
+	var probes, givenUp int
 	step := func() {
 		now += 0.05
 		for _, a := range r.Tick(now, nil) {
@@ -191,7 +191,7 @@
 				probes++
 				r.Probed(now+0.01, a.Server, control.Timeout, 0.01)
 			case GiveUp:
-				gaveUp++
+				givenUp++
 				for _, f := range out {
 					r.Ended(now, f, control.Cancelled, 0)
 				}
@@ -201,29 +201,29 @@
 	for range 100 {
 		step()
 	}
-	if gaveUp != 1 || probes < 10 {
-		t.Errorf("given up %d times, %d probes", gaveUp, probes)
+	if givenUp != 1 || probes < 10 {
+		t.Errorf("given up %d times, %d probes", givenUp, probes)
 	}
-	if v := r.Route(now, try(move)); v.DenyReason != LinkDown {
+	if v := r.Route(now, newTry(move)); v.DenyReason != LinkDown {
 		t.Errorf("a try while it is down: %+v", v)
 	}
-	r.Probed(now, id(1, 0), control.OK, 0.08)
-	if v := r.Route(now, try(move)); v.DenyReason != LinkDown {
+	r.Probed(now, serverID(1, 0), control.OK, 0.08)
+	if v := r.Route(now, newTry(move)); v.DenyReason != LinkDown {
 		t.Errorf("one good probe: %+v", v)
 	}
-	r.Probed(now, id(1, 1), control.OK, 0.08)
-	if v := r.Route(now+1, try(move)); v.Reach.First != 1 {
+	r.Probed(now, serverID(1, 1), control.OK, 0.08)
+	if v := r.Route(now+1, newTry(move)); v.Reach.First != 1 {
 		t.Errorf("two good probes: %+v", v)
 	}
 }
 
 // One dead server is no dead link: others answer.
 func TestDeadServerIsNoDeadLink(t *testing.T) {
-	r, now := two(t, 4), 100.0
+	r, now := newTestRouter(t, 4), 100.0
 	for range 100 {
 		now += 0.05
-		dead, _ := r.Sent(now, id(1, 0), view, Verdict{})
-		f, _ := r.Sent(now, id(1, 1), view, Verdict{})
+		dead, _ := r.Sent(now, serverID(1, 0), view, Verdict{})
+		f, _ := r.Sent(now, serverID(1, 1), view, Verdict{})
 		r.Ended(now+0.2, f, control.OK, 0.2)
 		r.Ended(now+0.2, dead, control.ConnectFailed, 0)
 		for _, a := range r.Tick(now+0.2, nil) {
@@ -238,14 +238,14 @@
 }
 
 // Delay at the far site closes the window of a guest before the far site's own clients feel it.
-func TestGuestBacksOff(t *testing.T) {
-	r, now := two(t, 4), 100.0
-	far := &r.sites[1]
+func TestRemoteWindowBacksOff(t *testing.T) {
+	r, now := newTestRouter(t, 4), 100.0
+	remote := &r.sites[1]
 	feed := func(took Seconds, n int) {
 		for range n {
 			var out []Attempt
-			for range int(far.window.limit) + 1 {
-				f, _ := r.Sent(now, id(1, 0), move, Verdict{})
+			for range int(remote.window.limit) + 1 {
+				f, _ := r.Sent(now, serverID(1, 0), move, Verdict{})
 				out = append(out, f)
 			}
 			now += took
@@ -255,21 +255,21 @@
 		}
 	}
 	feed(0.2, 8)
-	open := far.window.limit
+	limit := remote.window.limit
 	feed(0.7, 8)
-	if shut := far.window.limit; open < 8 || shut > open/3 {
-		t.Errorf("window %g, then %g with a queue", open, shut)
+	if delayedLimit := remote.window.limit; limit < 8 || delayedLimit > limit/3 {
+		t.Errorf("window %g, then %g with a queue", limit, delayedLimit)
 	}
-	if low := far.classes[move].low; low > 0.3 {
+	if low := remote.classes[move].baseline; low > 0.3 {
 		t.Errorf("the queue became the usual: %g s", low)
 	}
 }
 
 // What crossed and what could not is said once, in one line.
 func TestSummaryInTheLog(t *testing.T) {
-	r := two(t, 2)
+	r := newTestRouter(t, 2)
 	r.Tick(100, nil)
-	r.Sent(101, id(1, 0), move, Verdict{CrossReason: LocalDraining})
+	r.Sent(101, serverID(1, 0), move, Verdict{CrossReason: LocalDraining})
 	r.Refused(view, Verdict{DenyReason: RemoteBusy})
 	var lines []string
 	for _, now := range []Seconds{102, 111, 122, 133} {
@@ -278,7 +278,7 @@
 				lines = append(lines, l.Text)
 			}
 		}
-		r.Probed(now, id(1, 0), control.OK, 0.08)
+		r.Probed(now, serverID(1, 0), control.OK, 0.08)
 	}
 	want := "crossed: 1 of class 1 to far (near draining) 1 of class 0 refused (far busy)"
 	if len(lines) != 1 || lines[0] != want {
@@ -289,13 +289,13 @@
 // A window that was cut to next to nothing grows again as soon as answers are in time.
 func TestSmallWindowGrows(t *testing.T) {
 	for _, limit := range []float64{1, 1.7, 2.9} {
-		r, now := two(t, 4), 100.0
-		near := &r.sites[0]
-		near.window.limit = limit
+		r, now := newTestRouter(t, 4), 100.0
+		local := &r.sites[0]
+		local.window.limit = limit
 		for range 200 {
 			var out []Attempt
-			for near.window.takes(now, near.flights.out, near.window.limit, 0) {
-				f, _ := r.Sent(now, id(0, 0), move, Verdict{})
+			for local.window.admits(now, local.attempts.count, local.window.limit, 0) {
+				f, _ := r.Sent(now, serverID(0, 0), move, Verdict{})
 				out = append(out, f)
 			}
 			now += 0.15
@@ -303,8 +303,8 @@
 				r.Ended(now, f, control.OK, 0.15)
 			}
 		}
-		if near.window.limit < 20 {
-			t.Errorf("from %g it came to %g", limit, near.window.limit)
+		if local.window.limit < 20 {
+			t.Errorf("from %g it came to %g", limit, local.window.limit)
 		}
 	}
 }
@@ -327,9 +327,9 @@
 
 // Whatever happens in whatever order: a try goes to the far site only with its link up, servers there, time
 // left and room; a bound one goes to its own site or nowhere; the counts are what was sent; windows stay sane.
-func TestRouterKeepsItsPromises(t *testing.T) {
+func TestRouterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := two(&testing.T{}, 3)
+		r := newTestRouter(&testing.T{}, 3)
 		now, crossed := 100.0, uint64(0)
 		var out []Attempt
 		states := rapid.SampledFrom([]control.MemberState{control.Ready, control.Ready, control.Draining, control.Removed})
@@ -338,7 +338,7 @@
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
 				m := control.Member{Site: rapid.IntRange(0, 1).Draw(t, "site"), State: states.Draw(t, "state")}
-				m.Server = id(m.Site, rapid.IntRange(0, 2).Draw(t, "server"))
+				m.Server = serverID(m.Site, rapid.IntRange(0, 2).Draw(t, "server"))
 				if rapid.Bool().Draw(t, "fresh") {
 					m.Since = now
 				}
@@ -367,24 +367,24 @@
 				}
 			default:
 				c := rapid.IntRange(0, 1).Draw(t, "class")
-				k := Try{Class: c, Left: rapid.Float64Range(0.01, 7).Draw(t, "left"), Elapsed: rapid.Float64Range(0, 1).Draw(t, "elapsed")}
+				try := Try{Class: c, Left: rapid.Float64Range(0.01, 7).Draw(t, "left"), Elapsed: rapid.Float64Range(0, 1).Draw(t, "elapsed")}
 				if rapid.IntRange(0, 9).Draw(t, "bound") == 0 {
-					k.Bound, k.At = true, rapid.IntRange(0, 1).Draw(t, "at")
+					try.Bound, try.At = true, rapid.IntRange(0, 1).Draw(t, "at")
 				}
-				v := r.Route(now, k)
-				near, far := &r.sites[0], &r.sites[1]
+				v := r.Route(now, try)
+				local, remote := &r.sites[0], &r.sites[1]
 				crosses := v.Reach.First == 1 || v.Reach.Then == 1
 				switch {
-				case k.Bound && crosses != (k.At == 1 && !far.link.down):
-					t.Fatalf("bound to %d: %+v", k.At, v)
-				case k.Bound:
-				case crosses && (far.link.down || far.ready == 0 || far.classes[c].high+far.link.rtt > k.Left):
-					t.Fatalf("crossed in vain: %+v, left %g", v, k.Left)
-				case crosses && float64(far.flights.out)+1 > max(1, r.farRoom(far, c)):
-					t.Fatalf("crossed without room: %d out of %g", far.flights.out, r.farRoom(far, c))
-				case v.Reach.First == 1 && near.ready > 0 && float64(near.flights.out)+1 <= near.window.limit*urgentAt:
-					t.Fatalf("crossed though the near site has room: %d out of %g", near.flights.out, near.window.limit)
-				case !crosses && v.DenyReason == NotDenied && near.ready == 0:
+				case try.Bound && crosses != (try.At == 1 && !remote.link.down):
+					t.Fatalf("bound to %d: %+v", try.At, v)
+				case try.Bound:
+				case crosses && (remote.link.down || remote.ready == 0 || remote.classes[c].highTime+remote.link.rtt > try.Left):
+					t.Fatalf("crossed in vain: %+v, left %g", v, try.Left)
+				case crosses && float64(remote.attempts.count)+1 > max(1, r.remoteLimit(remote, c)):
+					t.Fatalf("crossed without room: %d out of %g", remote.attempts.count, r.remoteLimit(remote, c))
+				case v.Reach.First == 1 && local.ready > 0 && float64(local.attempts.count)+1 <= local.window.limit*mostUrgentShare:
+					t.Fatalf("crossed though the near site has room: %d out of %g", local.attempts.count, local.window.limit)
+				case !crosses && v.DenyReason == NotDenied && local.ready == 0:
 					t.Fatalf("stayed without a reason: %+v", v)
 				}
 				site := r.sites[v.Reach.First]
@@ -395,25 +395,25 @@
 				if !ok {
 					t.Fatal("not sent")
 				}
-				if f.cross {
+				if f.remote {
 					crossed++
 				}
 				out = append(out, f)
 			}
-			held := [2]int{}
+			outBySite := [2]int{}
 			for _, f := range out {
-				held[f.Site]++
+				outBySite[f.Site]++
 			}
 			for i := range r.sites {
 				st := &r.sites[i]
-				if st.flights.out != held[i] {
-					t.Fatalf("site %d: %d out, booked %d", i, held[i], st.flights.out)
+				if st.attempts.count != outBySite[i] {
+					t.Fatalf("site %d: %d out, booked %d", i, outBySite[i], st.attempts.count)
 				}
-				if !(st.window.limit >= farLeast) || i == 1 && math.IsInf(st.window.limit, 1) {
+				if !(st.window.limit >= remoteMinLimit) || i == 1 && math.IsInf(st.window.limit, 1) {
 					t.Fatalf("site %d: window %g", i, st.window.limit)
 				}
 				for _, c := range st.classes {
-					if !(c.low > 0) || !(c.high >= c.low) || math.IsInf(c.high, 1) {
+					if !(c.baseline > 0) || !(c.highTime >= c.baseline) || math.IsInf(c.highTime, 1) {
 						t.Fatalf("site %d: quantiles %+v", i, c)
 					}
 				}
@@ -426,12 +426,12 @@
 }
 
 func BenchmarkRoute(b *testing.B) {
-	r := two(b, 50)
+	r := newTestRouter(b, 50)
 	now := 100.0
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 0.001
-		v := r.Route(now, try(i&1))
+		v := r.Route(now, newTry(i&1))
 		f, _ := r.Sent(now, r.sites[v.Reach.First].servers[i%50].id, i&1, v)
 		r.Ended(now+0.15, f, control.OK, 0.15)
 	}
