--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -1,12 +1,12 @@
-// Package hedge decides when a request is sent to a second server while the first is still at work on it: a hedged
-// request, after Jeffrey Dean and Luiz André Barroso, "The Tail at Scale", Communications of the ACM 56(2), 2013. It
-// does not choose the server, send or cancel anything: it does no I/O, reads no clock and starts no goroutine.
+// Package hedge decides when a copy of a request is sent to a second server while the first attempt is still in flight:
+// a hedged request, after Jeffrey Dean and Luiz André Barroso, "The Tail at Scale", Communications of the ACM 56(2),
+// 2013. It does not choose servers or send or cancel attempts: it does no I/O, reads no clock and starts no goroutine.
 //
-// A copy is due once the first attempt has been out for longer than nearly all answers of its class take. Copies are
-// paid from a budget that grows with the requests, so that they stay a small share of the load whatever happens, and
-// none is sent while servers are crowded: there the copy would delay others more than it helps. Where requests are slow
-// because of their own work, a copy is as slow: while copies seldom answer before the first attempt, only a few go out,
-// to learn whether that has changed.
+// A copy is due once the first attempt has been in flight for longer than nearly all answers of its class take. Copies
+// spend a budget that grows with the number of requests, so that they always remain a small share of the load. None is
+// sent while servers are overloaded, where a copy would delay other requests more than it helps its own. Where requests
+// are slow because of their own work, a copy is just as slow: while copies seldom answer before the first attempt, only
+// a few are sent, to detect when that changes.
 package hedge
 
 import (
@@ -14,46 +14,46 @@
 	"slices"
 )
 
-// Seconds is a time or a duration, as in package control.
+// Seconds is a point in time or a duration, as in package control.
 type Seconds = float64
 
 const (
-	delayQuantile    = 0.95 // of the answer times of a class; a first attempt may be out for so long
-	minSamples       = 40.0 // answers of a class before its quantile is relied on
-	budgetPerRequest = 0.05 // copies that each request earns
-	maxBudget        = 4.0  // copies that may be saved up
-	minWinShare      = 0.5  // share of the copies that must answer first for the whole budget to be earned
-	winWeight        = 0.15 // of the last copy in that share
-	trialBudgetShare = 0.1  // of the budget that is earned while fewer do
-	overloadLimit    = 0.05 // overload from which on no copy is sent
-	minTypicalTimes  = 1.0  // typical answer times that must be left for a copy to be of use
+	delayQuantile    = 0.95 // quantile of a class's answer times after which a copy is due
+	minSamples       = 40.0 // answers of a class that its quantile must be based on
+	budgetPerRequest = 0.05 // copies added to the budget per request
+	maxBudget        = 4.0  // copies that the budget holds at most
+	minWinShare      = 0.5  // share of the copies that must answer first for the full budget to be added
+	winWeight        = 0.15 // weight of the latest copy in that share
+	trialBudgetShare = 0.1  // share of the budget that is added while fewer copies answer first
+	overloadLimit    = 0.05 // overload at and above which no copy is sent
+	minTypicalTimes  = 1.0  // typical answer times that must remain for a copy to be useful
 )
 
-// Class is what a class of requests allows.
+// Class is the hedging policy of a class of requests.
 type Class struct {
-	Allowed bool // two copies of a request may be out at once
+	Allowed bool // two attempts of a request may be in flight at once
 }
 
-// Conditions are what the caller knows of a request whose copy is due.
+// Conditions describe a request whose copy is due, as far as the caller knows.
 type Conditions struct {
-	Overload float64 // of the servers; 0: none
-	Left     Seconds // until an answer is worth nothing
-	Typical  Seconds // that an answer of the class takes
-	Capped   bool    // the customer may have no further attempt out
+	Overload float64 // overload of the servers; 0: none
+	Left     Seconds // until an answer is no longer of use
+	Typical  Seconds // typical answer time of the class
+	Capped   bool    // the customer may have no further attempt in flight
 }
 
-// Hedger keeps the requests that may be hedged, the answer times of their classes and the budget. A nil Hedger
-// never hedges. It is not safe for concurrent use.
+// Hedger tracks the requests that may be hedged, the answer times of their classes and the budget. A nil Hedger never
+// hedges. It is not safe for concurrent use.
 type Hedger struct {
 	classes  []classState
 	budget   float64
-	winShare float64 // share of the late copies that answered before the first attempt
+	winShare float64 // average share of recent copies that answered before the first attempt
 }
 
 type classState struct {
 	Class
 	times   Quantile
-	pending []pendingAttempt // first attempts out, oldest first
+	pending []pendingAttempt // first attempts in flight, oldest first
 }
 
 type pendingAttempt struct {
@@ -61,7 +61,7 @@
 	sent    Seconds
 }
 
-// New makes a Hedger for these classes, or nil where none of them allows a second copy.
+// New returns a Hedger for these classes, or nil if none of them allows a second copy.
 func New(classes []Class) *Hedger {
 	if !slices.ContainsFunc(classes, func(c Class) bool { return c.Allowed }) {
 		return nil
@@ -73,7 +73,7 @@
 	return h
 }
 
-// Sent notes that the first attempt of a request has gone out.
+// Sent records that the first attempt of a request was sent.
 func (h *Hedger) Sent(now Seconds, request uint64, class int) {
 	if h == nil {
 		return
@@ -88,15 +88,15 @@
 	}
 }
 
-// Answered takes in how long an attempt was out before its answer came, or before it was given up: at least so long
-// would the answer have taken.
+// Answered records how long an attempt was in flight until it was answered or cancelled. For a cancelled attempt this is
+// a lower bound of the answer time.
 func (h *Hedger) Answered(class int, took Seconds) {
 	if h != nil && h.classes[class].Allowed {
 		h.classes[class].times.Add(took)
 	}
 }
 
-// Ended notes that a request has its final answer, or will not be hedged any more.
+// Ended records that a request has its final answer or can no longer be hedged.
 func (h *Hedger) Ended(request uint64, class int) {
 	if h == nil {
 		return
@@ -108,7 +108,8 @@
 	}
 }
 
-// Delay is how long a first attempt of a class may be out before a copy is due; infinite while too little is known.
+// Delay returns how long a first attempt of a class may be in flight before a copy is due; infinite while there are too
+// few samples.
 func (h *Hedger) Delay(class int) Seconds {
 	if h == nil || h.classes[class].times.Samples() < minSamples {
 		return math.Inf(1)
@@ -116,7 +117,7 @@
 	return h.classes[class].times.At(delayQuantile)
 }
 
-// Next is when the next copy is due; infinite where none is.
+// Next returns when the next copy is due; infinite if none is.
 func (h *Hedger) Next() Seconds {
 	next := math.Inf(1)
 	if h == nil {
@@ -130,7 +131,7 @@
 	return next
 }
 
-// Due takes the requests out whose copies are due. Each is to be put to Allow.
+// Due removes and returns the requests whose copies are due. The caller must ask Allow for each of them.
 func (h *Hedger) Due(now Seconds) (requests []uint64) {
 	if h == nil {
 		return nil
@@ -145,16 +146,16 @@
 	return requests
 }
 
-// Allow tells whether a copy that is due may be sent.
+// Allow reports whether a copy that is due may be sent.
 func (h *Hedger) Allow(c Conditions) bool {
 	return h != nil && h.budget >= 1 && !c.Capped && c.Overload < overloadLimit && c.Left >= minTypicalTimes*c.Typical
 }
 
-// Spend pays for a copy that was sent.
+// Spend deducts a copy that was sent from the budget.
 func (h *Hedger) Spend() { h.budget-- }
 
-// Judged takes in whether a copy answered before the first attempt. Where copies begin to lose, what was saved up for
-// them is lost too.
+// Judged records whether a copy answered before the first attempt. Once too few do, the accumulated budget is reduced to
+// one copy.
 func (h *Hedger) Judged(won bool) {
 	result := 0.0
 	if won {
@@ -166,8 +167,8 @@
 	}
 }
 
-// Reconfigure takes the classes over that hold from now on. from names, for each, the one whose answer times it begins
-// with; -1 for none. It returns what decides from now on: a nil Hedger turns into one where a class allows copies now.
+// Reconfigure replaces the classes. from[i] is the old class whose answer times the new class i starts with, -1 for
+// none. The caller must use the returned Hedger from then on: a nil one is replaced if a class now allows copies.
 func (h *Hedger) Reconfigure(classes []Class, from []int) *Hedger {
 	if h == nil {
 		return New(classes)
--- a/hedge/hedge_test.go
+++ b/hedge/hedge_test.go
@@ -9,10 +9,10 @@
 	"junctionring/hedge"
 )
 
-// calm are conditions under which nothing but the budget stands against a copy.
+// favorable are conditions under which only the budget can prevent a copy.
 var favorable = hedge.Conditions{Left: 1, Typical: 0.1}
 
-// learned is a Hedger that has seen answers of class 0 take a tenth of a second.
+// newTrainedHedger returns a Hedger that has recorded answers of class 0 that took a tenth of a second.
 func newTrainedHedger() *hedge.Hedger {
 	h := hedge.New([]hedge.Class{{Allowed: true}, {}})
 	for range 100 {
@@ -23,7 +23,7 @@
 }
 
 func TestQuantileOfKnownDistributions(t *testing.T) {
-	const bucketWidth = 1.19 // the resolution of the estimate, plus a little for chance
+	const bucketWidth = 1.19 // resolution of the estimate, plus a margin for chance
 	rng := rand.New(rand.NewPCG(1, 2))
 	for name, c := range map[string]struct {
 		draw func() float64
@@ -31,7 +31,9 @@
 	}{
 		"exponential": {rng.ExpFloat64, func(p float64) float64 { return -math.Log(1 - p) }},
 		"uniform":     {rng.Float64, func(p float64) float64 { return p }},
-		"lognormal":   {func() float64 { return math.Exp(rng.NormFloat64()) }, func(p float64) float64 { return math.Exp(math.Sqrt2 * math.Erfinv(2*p-1)) }},
+		"lognormal": {func() float64 { return math.Exp(rng.NormFloat64()) }, func(p float64) float64 {
+			return math.Exp(math.Sqrt2 * math.Erfinv(2*p-1))
+		}},
 	} {
 		var q hedge.Quantile
 		for range 5000 {
@@ -48,7 +50,7 @@
 func TestQuantileForgetsOldSamples(t *testing.T) {
 	var q hedge.Quantile
 	if q.At(0.95) != 0 {
-		t.Error("a quantile of no samples")
+		t.Error("the quantile of no samples is not 0")
 	}
 	for range 2000 {
 		q.Add(3)
@@ -70,7 +72,7 @@
 func TestNilHedgerNeverHedges(t *testing.T) {
 	h := hedge.New([]hedge.Class{{}, {}})
 	if h != nil {
-		t.Fatal("a Hedger although no class allows a second copy")
+		t.Fatal("New returned a Hedger although no class allows a second copy")
 	}
 	h.Sent(0, 1, 0)
 	h.Answered(0, 1)
@@ -87,20 +89,20 @@
 		t.Fatalf("a delay of %v, want about 0.1", delay)
 	}
 	h.Sent(5, 1, 0)
-	h.Sent(5, 2, 1) // its class allows none
+	h.Sent(5, 2, 1) // class 1 allows no copies
 	h.Sent(5.05, 3, 0)
 	if got := h.Next(); got != 5+delay {
 		t.Errorf("the next copy is due at %v, want %v", got, 5+delay)
 	}
 	if got := h.Due(5 + delay - 1e-9); got != nil {
-		t.Errorf("due too early: %v", got)
+		t.Errorf("copies due before the delay has passed: %v", got)
 	}
 	if got := h.Due(5 + delay); !slices.Equal(got, []uint64{1}) {
 		t.Errorf("due: %v, want request 1", got)
 	}
 	h.Ended(3, 0)
 	if got := h.Due(100); got != nil {
-		t.Errorf("due although it has its answer, or was due before: %v", got)
+		t.Errorf("copies due for requests that were answered or returned before: %v", got)
 	}
 }
 
@@ -131,7 +133,7 @@
 	}
 }
 
-// offered brings requests in that are all slow, and judges every copy alike.
+// simulate sends requests that are all slow and records the same result for every copy. It returns the number of copies.
 func simulate(h *hedge.Hedger, from, requests int, won bool) (copies int) {
 	for i := range requests {
 		now := float64(from + i)
@@ -162,18 +164,18 @@
 func TestNoCopyWhereItWouldNotHelp(t *testing.T) {
 	h := newTrainedHedger()
 	if !h.Allow(favorable) {
-		t.Fatal("no copy although nothing stands against it")
+		t.Fatal("a copy is refused under favorable conditions")
 	}
 	for name, worsen := range map[string]func(*hedge.Conditions){
-		"servers are crowded":            func(c *hedge.Conditions) { c.Overload = 0.5 },
+		"servers are overloaded":         func(c *hedge.Conditions) { c.Overload = 0.5 },
 		"too late":                       func(c *hedge.Conditions) { c.Left = 0.05 },
-		"the customer has enough out":    func(c *hedge.Conditions) { c.Capped = true },
+		"the customer is at its limit":   func(c *hedge.Conditions) { c.Capped = true },
 		"answers take longer than usual": func(c *hedge.Conditions) { c.Typical = 2 },
 	} {
 		c := favorable
 		worsen(&c)
 		if h.Allow(c) {
-			t.Errorf("%s: a copy all the same", name)
+			t.Errorf("%s: a copy is allowed nevertheless", name)
 		}
 	}
 }
--- a/hedge/quantile.go
+++ b/hedge/quantile.go
@@ -3,20 +3,20 @@
 import "math"
 
 const (
-	shortestTime     = 0.001 // s; shorter answer times fall into the first bucket
+	shortestTime     = 0.001 // s; shorter answer times are counted in the first bucket
 	bucketsPerDouble = 4     // buckets for each doubling of the answer time: an estimate is at most 19 % too long
-	bucketCount      = 64    // up to 55 s; longer answer times fall into the last bucket
-	sampleMemory     = 400.0 // samples over which the weight of an old one falls to 1/e
+	bucketCount      = 64    // up to 55 s; longer answer times are counted in the last bucket
+	sampleMemory     = 400.0 // samples after which the weight of an old one has fallen to 1/e
 )
 
 // Quantile estimates quantiles of a stream of times in constant memory: a histogram with logarithmic buckets in which
-// old samples fade. Its zero value is ready for use.
+// the weight of old samples decays. Its zero value is ready for use.
 type Quantile struct {
 	weights [bucketCount]float64
 	total   float64
 }
 
-// Add takes one sample in.
+// Add records one sample.
 func (q *Quantile) Add(sample Seconds) {
 	const keep = 1 - 1/sampleMemory
 	for i := range q.weights {
@@ -26,10 +26,10 @@
 	q.total = q.total*keep + 1
 }
 
-// Samples is the number of samples held, old ones by the weight that is left of them.
+// Samples returns the total weight of the samples, in which a new one counts 1 and old ones less.
 func (q *Quantile) Samples() float64 { return q.total }
 
-// At is the upper edge of the bucket that holds the quantile p, from 0 to 1; 0 without any sample.
+// At returns the upper edge of the bucket that holds the quantile p, from 0 to 1; 0 if there are no samples.
 func (q *Quantile) At(p float64) Seconds {
 	if q.total == 0 {
 		return 0
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -8,7 +8,7 @@
 	"junctionring/quota"
 )
 
-// exact is the token bucket itself.
+// exactBucket is a token bucket that tracks its true level.
 type exactBucket struct {
 	quota.Bucket
 	level, at float64
@@ -24,8 +24,9 @@
 	return true
 }
 
-// played draws single units at random from an exact bucket for some windows of length seconds, at a multiple of its
-// rate, and returns the totals of the last whole window and of the part of a window after it, beside the true level.
+// simulate draws single units at random times from an exact bucket, at a multiple of its rate, for some windows of
+// length seconds and part seconds of another. It returns the totals of the last whole window and of the part after it,
+// and the true level.
 func simulate(rng *rand.Rand, b quota.Bucket, length, part, multiple float64) (previous, current, level float64) {
 	e := exactBucket{Bucket: b, level: b.Burst}
 	const windows = 5
@@ -37,7 +38,7 @@
 			return previous, current, e.level
 		}
 		if !e.take(at, 1) {
-			continue // a gateway refuses it: it is in no total
+			continue // a gateway refuses the request, so no total includes it
 		}
 		switch {
 		case at > start:
@@ -48,8 +49,8 @@
 	}
 }
 
-// The estimate follows an exact bucket at any steady use: on average within an eighth of its burst, but near the full
-// rate. There two totals cannot tell a bucket that is nearly full from one that is nearly empty, and it errs low.
+// Under steady use, the estimate is on average within an eighth of the burst of an exact bucket, except near the full
+// rate: there two totals cannot distinguish a nearly full bucket from a nearly empty one, and the estimate is too low.
 func TestEstimateFollowsAnExactBucket(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, b := range []quota.Bucket{{Rate: 5, Burst: 16}, {Rate: 12, Burst: 27}, {Rate: 18, Burst: 18}} {
@@ -63,14 +64,14 @@
 				bias += (b.After(b.AtWindowStart(length, previous), part, current) - level) / b.Burst / runs
 			}
 			if math.Abs(bias) > within {
-				t.Errorf("%+v at %.1f of its rate: %.3f of the burst off, want at most %.3f", b, multiple, bias, within)
+				t.Errorf("%+v at %.1f of its rate: mean error %.3f of the burst, want at most %.3f", b, multiple, bias, within)
 			}
 		}
 	}
 }
 
-// For any totals, also such as no bucket could have given, the level lies between nothing and the burst, falls as a
-// total rises, and stays within the bounds that the present total gives alone.
+// For any totals, even impossible ones, the level lies between 0 and the burst, does not rise as the totals rise, and
+// stays within the bounds that the current total alone gives.
 func TestLevelStaysInBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 10000 {
@@ -83,12 +84,12 @@
 			t.Fatalf("%+v: level %v outside of %v to %v (burst %v)", b, level, least, greatest, b.Burst)
 		}
 		if more := b.After(b.AtWindowStart(length, previous+1), part, current+1); more > level {
-			t.Fatalf("%+v: level %v rises to %v with the totals", b, level, more)
+			t.Fatalf("%+v: level %v rises to %v as the totals rise", b, level, more)
 		}
 	}
 }
 
-// A window without use leaves the bucket full, and one that used all that came in leaves nothing for sure.
+// After a window without use the bucket counts as full, and after one that used the whole refill as empty.
 func TestWindowStart(t *testing.T) {
 	b := quota.Bucket{Rate: 4, Burst: 10}
 	for previous, want := range map[float64]float64{-1: 10, 0: 10, 12: 0, 100: 0} {
--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -1,39 +1,40 @@
-// Package shutdown plans a graceful shutdown: it says when each step is due. It does no I/O and reads no clock: all
-// times run from the moment at which the process was told to end.
+// Package shutdown plans a graceful shutdown: it computes when each step is due, counted from the moment at which the
+// process was told to end. It does not carry out the steps, does no I/O and reads no clock.
 package shutdown
 
 import "time"
 
 const (
-	// The platform kills a process that it has told to end no sooner than the longest deadline, or longestCounted
-	// where that is shorter, and killedAfter have gone by. What it finds unanswered then is lost.
+	// The platform kills a process no sooner than the longest request deadline, of which it counts at most deadlineCap,
+	// plus killMargin after telling it to end. Requests that are unanswered by then are lost.
 	deadlineCap = 3 * time.Second
 	killMargin  = 700 * time.Millisecond
 
-	// ShedReserve is kept behind Shed: for the answers of what is shed (LastWords), at the same time for the counter to take
-	// what was not added yet (LastUnits), and for a core that others use too.
+	// ShedReserve is the time kept between Plan.Shed and the kill: for the answers to shed requests (FinalAnswersTime),
+	// concurrently for adding outstanding units to the counter (FinalUnitsTime), and for delays on a core that other
+	// processes use too.
 	ShedReserve      = 450 * time.Millisecond
 	FinalAnswersTime = 200 * time.Millisecond
 	FinalUnitsTime   = 150 * time.Millisecond
 
-	lateConnectionsTime = 450 * time.Millisecond  // new connections keep coming for up to 0.4 s
-	closeTime           = 400 * time.Millisecond  // in which each answer closes its connection, so that no close crosses a request
-	minFinishTime       = 400 * time.Millisecond  // at least, for what is held when nothing more is taken
-	shortPlanDivisor    = 4                       // one part in so many, where the time is short
-	maxServingTime      = 2900 * time.Millisecond // at most: who has longer gives it to what is held
+	lateConnectionsTime = 450 * time.Millisecond  // new connections keep arriving for up to 0.4 s
+	closeTime           = 400 * time.Millisecond  // each answer closes its connection, so no close races with a request
+	minFinishTime       = 400 * time.Millisecond  // for finishing held requests once no new ones are accepted
+	shortPlanDivisor    = 4                       // where time is short, a period is limited to the time divided by this
+	maxServingTime      = 2900 * time.Millisecond // any further time goes to finishing held requests
 )
 
-// GracePeriod is how long a process may take to end where clients wait for so long at most.
+// GracePeriod returns how long a process may take to end if clients wait for at most longest.
 func GracePeriod(longest time.Duration) time.Duration { return min(longest, deadlineCap) + killMargin }
 
-// Plan is when each step is due, from the moment the process was told.
+// Plan holds when each step is due, counted from the moment at which the process was told to end.
 type Plan struct {
-	Close time.Duration // each answer closes its connection from here on; all is served until then
-	Stop  time.Duration // nothing new is taken; what is held is finished
-	Shed  time.Duration // what is still held gets its last answer, and what comes on open connections too
+	Close time.Duration // from here on each answer closes its connection; requests are still served
+	Stop  time.Duration // no new requests are accepted; held ones are finished
+	Shed  time.Duration // requests still held, and any that arrive on open connections, are refused
 }
 
-// PlanForShed is the plan of a process whose requests are shed so long after it was told.
+// PlanForShed returns the plan of a process that sheds its requests the given time after it was told to end.
 func PlanForShed(shed time.Duration) Plan {
 	plan := Plan{Shed: shed}
 	plan.Stop = min(maxServingTime, shed-min(minFinishTime, shed/shortPlanDivisor))
@@ -42,11 +43,11 @@
 	return plan
 }
 
-// PlanForKill is the plan of a process that is killed so long after it was told.
+// PlanForKill returns the plan of a process that is killed the given time after it was told to end.
 func PlanForKill(killed time.Duration) Plan { return PlanForShed(max(0, killed-ShedReserve)) }
 
-// Deadlines keeps the longest deadline in force, and those before it for as long as requests may be held that came
-// under them.
+// Deadlines tracks the longest request deadline of the current settings, and those of earlier settings for as long as
+// requests that arrived under them may still be held.
 type Deadlines struct {
 	current    time.Duration
 	superseded []supersededDeadline
@@ -54,12 +55,12 @@
 
 type supersededDeadline struct{ longest, until time.Duration }
 
-// Set puts the longest deadline of new settings in force. at is on any clock that only goes forward.
+// Set records the longest deadline of new settings. at is the time on any monotonic clock.
 func (d *Deadlines) Set(at, longest time.Duration) {
 	kept := d.superseded[:0]
-	for _, p := range d.superseded {
-		if p.until > at {
-			kept = append(kept, p)
+	for _, old := range d.superseded {
+		if old.until > at {
+			kept = append(kept, old)
 		}
 	}
 	d.superseded = kept
@@ -69,13 +70,13 @@
 	d.current = longest
 }
 
-// Shortest is the shortest of the longest deadlines that may count at a time: whoever ends a process may go by the
-// settings before the last.
+// Shortest returns the shortest of the longest deadlines that may apply at a time, as whoever ends the process may still
+// go by the previous settings.
 func (d *Deadlines) Shortest(at time.Duration) time.Duration {
 	shortest := d.current
-	for _, p := range d.superseded {
-		if p.until > at {
-			shortest = min(shortest, p.longest)
+	for _, old := range d.superseded {
+		if old.until > at {
+			shortest = min(shortest, old.longest)
 		}
 	}
 	return shortest
--- a/sites/count.go
+++ b/sites/count.go
@@ -5,61 +5,63 @@
 	"strings"
 )
 
-const summaryInterval = 10.0 // s between lines for the operators, where something crossed or could not
+const summaryInterval = 10.0 // s between summary lines in the log, where any attempts crossed or tries were refused
 
-// Counts is what crossed and what could not, since the start. The indexes are those of the settings.
+// Counts holds the attempts that crossed and the tries that could not, since the start. Sites and classes have the
+// indexes of the settings.
 type Counts struct {
-	Crossed  [][][crossReasons]uint64 // attempts sent over a link, by site and class
-	Refused  [][denyReasons]uint64    // tries refused for want of servers, by class and why they could not cross
-	Answered []uint64                 // attempts over a link that brought an answer, by site
+	Crossed  [][][crossReasons]uint64 // attempts sent over a link, by site, class and CrossReason
+	Refused  [][denyReasons]uint64    // tries refused because no server could take them, by class and DenyReason
+	Answered []uint64                 // attempts over a link that were answered, by site
 }
 
 func newCounts(sites, classes int) Counts {
-	c := Counts{Crossed: make([][][crossReasons]uint64, sites), Refused: make([][denyReasons]uint64, classes), Answered: make([]uint64, sites)}
+	c := Counts{Crossed: make([][][crossReasons]uint64, sites), Refused: make([][denyReasons]uint64, classes),
+		Answered: make([]uint64, sites)}
 	for i := range c.Crossed {
 		c.Crossed[i] = make([][crossReasons]uint64, classes)
 	}
 	return c
 }
 
-// Report is what an operator reads of the sites; times are in milliseconds.
+// Report is the state of the sites for operators. Times are in milliseconds.
 type Report struct {
 	Own     string          `json:"own"`
 	Sites   []SiteReport    `json:"sites"`
 	Refused []RefusalReport `json:"refused,omitempty"`
 }
 
-// SiteReport is a site's state and what went there.
+// SiteReport is the state of a site and the traffic sent to it.
 type SiteReport struct {
 	Name     string           `json:"name"`
 	Ready    int              `json:"ready"`
 	Draining int              `json:"draining"`
 	LeftOut  int              `json:"left_out"`
-	Weight   float64          `json:"weight"` // ready servers by their warmth
-	Out      int              `json:"out"`    // attempts out now
-	Window   float64          `json:"window"` // that may be out; -1: not bounded
-	Late     float64          `json:"late"`   // share of answers too late for the window
+	Weight   float64          `json:"weight"` // ready servers, each counted by its capacity share
+	Out      int              `json:"out"`    // attempts in flight
+	Window   float64          `json:"window"` // limit of attempts in flight; -1: none
+	Late     float64          `json:"late"`   // average share of late answers
 	Link     string           `json:"link,omitempty"`
 	RTT      float64          `json:"rtt_ms,omitempty"`
 	Crossed  []CrossingReport `json:"crossed,omitempty"`
 	Answered uint64           `json:"answered,omitempty"`
 }
 
-// CrossingReport counts attempts over a link.
+// CrossingReport counts the attempts of a class that crossed for one reason.
 type CrossingReport struct {
 	Class int    `json:"class"`
 	Cause string `json:"cause"`
 	Count uint64 `json:"count"`
 }
 
-// RefusalReport counts tries that were refused for want of servers.
+// RefusalReport counts the tries of a class that were refused because no server could take them.
 type RefusalReport struct {
 	Class int    `json:"class"`
 	Why   string `json:"why"`
 	Count uint64 `json:"count"`
 }
 
-// Report tells the state of all sites.
+// Report returns the state of all sites.
 func (r *Router) Report() Report {
 	report := Report{Own: r.sites[r.settings.Own].Name}
 	for i := range r.sites {
@@ -95,7 +97,7 @@
 	return report
 }
 
-// Crossings is how many attempts went over links, in all.
+// Crossings returns the total number of attempts sent over links.
 func (r *Router) Crossings() (n uint64) {
 	for _, site := range r.counts.Crossed {
 		for _, class := range site {
@@ -107,7 +109,7 @@
 	return n
 }
 
-// summary leaves a line of what crossed since the last one, and what was refused because it could not.
+// logSummary logs one line about the attempts that crossed and the tries that were refused since the last summary.
 func (r *Router) logSummary() {
 	if r.now-r.summaryAt < summaryInterval {
 		return
--- a/sites/flights.go
+++ b/sites/flights.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Attempt is an attempt that is out, as Sent returned it; Ended takes it back.
+// Attempt is an attempt in flight. Sent returns it, and Ended takes it when it ends.
 type Attempt struct {
 	Site   int
 	seq    uint64
@@ -12,71 +12,72 @@
 	remote bool
 }
 
-// flights are a site's attempts out, oldest first: a ring that grows to the most there ever were.
+// attemptRing is a ring buffer of a site's attempts in flight, oldest first. It grows to the highest number ever held.
 type attemptRing struct {
 	ring  []ringEntry
-	first uint64 // sequence number of the oldest that is kept
-	next  uint64 // and of the next to come
-	count int
+	first uint64 // sequence number of the oldest entry held
+	next  uint64 // sequence number of the next entry
+	count int    // attempts in flight
 
-	avg   float64 // attempts out, averaged
+	avg   float64 // moving average of count
 	avgAt Seconds
 }
 
-// leg is one place of the ring.
+// ringEntry is one attempt in the ring.
 type ringEntry struct {
 	sent        Seconds
 	class       int
 	server      *server
 	ended       bool
-	countedLate bool // counted as late already
+	countedLate bool // already counted as late
 }
 
-const averageTimeConstant = 0.5 // s over which attempts out are averaged
+const averageTimeConstant = 0.5 // s, time constant of the average number of attempts in flight
 
-func (f *attemptRing) add(now Seconds, class int, s *server) uint64 {
-	f.mean(now)
-	if f.next-f.first == uint64(len(f.ring)) {
-		ring := make([]ringEntry, max(16, 2*len(f.ring)))
-		for i := f.first; i < f.next; i++ {
-			ring[i%uint64(len(ring))] = f.ring[i%uint64(len(f.ring))]
+func (r *attemptRing) add(now Seconds, class int, s *server) uint64 {
+	r.mean(now)
+	if r.next-r.first == uint64(len(r.ring)) {
+		ring := make([]ringEntry, max(16, 2*len(r.ring)))
+		for i := r.first; i < r.next; i++ {
+			ring[i%uint64(len(ring))] = r.ring[i%uint64(len(r.ring))]
 		}
-		f.ring = ring
+		r.ring = ring
 	}
-	*f.at(f.next) = ringEntry{sent: now, class: class, server: s}
-	f.next++
-	f.count++
-	return f.next - 1
+	*r.at(r.next) = ringEntry{sent: now, class: class, server: s}
+	r.next++
+	r.count++
+	return r.next - 1
 }
 
-func (f *attemptRing) at(seq uint64) *ringEntry { return &f.ring[seq%uint64(len(f.ring))] }
+func (r *attemptRing) at(seq uint64) *ringEntry { return &r.ring[seq%uint64(len(r.ring))] }
 
-// end books an attempt's end, and tells whether it was counted as late before.
-func (f *attemptRing) end(now Seconds, seq uint64) (countedLate, ok bool) {
-	if seq < f.first || seq >= f.next || f.at(seq).ended {
+// end records the end of an attempt and returns whether the attempt was already counted as late. ok is false for an
+// attempt that is not in flight.
+func (r *attemptRing) end(now Seconds, seq uint64) (countedLate, ok bool) {
+	if seq < r.first || seq >= r.next || r.at(seq).ended {
 		return false, false
 	}
-	f.mean(now)
-	entry := f.at(seq)
+	r.mean(now)
+	entry := r.at(seq)
 	entry.ended = true
-	f.count--
-	for f.first < f.next && f.at(f.first).ended {
-		f.first++
+	r.count--
+	for r.first < r.next && r.at(r.first).ended {
+		r.first++
 	}
 	return entry.countedLate, true
 }
 
-// oldest is when the oldest attempt out was sent, and whether there is one.
-func (f *attemptRing) oldest() (Seconds, bool) {
-	if f.first == f.next {
+// oldest returns when the oldest attempt in flight was sent, and whether there is one.
+func (r *attemptRing) oldest() (Seconds, bool) {
+	if r.first == r.next {
 		return 0, false
 	}
-	return f.at(f.first).sent, true // the first that is kept has not ended
+	return r.at(r.first).sent, true // end drops ended entries from the front: the first one held is in flight
 }
 
-// mean is the number of attempts out, averaged over the last moments.
-func (f *attemptRing) mean(now Seconds) float64 {
-	k := math.Exp(-max(0, now-f.avgAt) / averageTimeConstant)
-	f.avg, f.avgAt = f.avg*k+float64(f.count)*(1-k), now
-	return f.avg
+// mean returns the number of attempts in flight, averaged over the last half second or so.
+func (r *attemptRing) mean(now Seconds) float64 {
+	k := math.Exp(-max(0, now-r.avgAt) / averageTimeConstant)
+	r.avg, r.avgAt = r.avg*k+float64(r.count)*(1-k), now
+	return r.avg
 }
--- a/sites/link.go
+++ b/sites/link.go
@@ -6,49 +6,49 @@
 	"junctionring/control"
 )
 
-// link is what is known of the way to a far site. A dead server is told from a dead link by whether anybody
-// there still answers.
+// link is the state of the link to a remote site. A failed server is told from a failed link by whether any server of
+// the site still answers.
 type link struct {
 	down          bool
-	lastAnswer    Seconds // last answer of anybody there, of any kind
-	rtt           Seconds // there and back: the least of late
-	misses        int     // attempts and probes without an answer since then
-	firstMissed   string  // the server that missed first
-	severalMissed bool    // another one missed as well
-	downAt        Seconds // when it went down
+	lastAnswer    Seconds // time of the last answer of any kind from any server there
+	rtt           Seconds // lowest recent round-trip time
+	misses        int     // attempts and probes that failed since lastAnswer
+	firstMissed   string  // server of the first of these
+	severalMissed bool    // another server failed to answer as well
+	downAt        Seconds // when the link went down
 
 	probing      bool
-	nextProbe    Seconds // next probe
-	probeIndex   int     // whom to probe
-	goodProbes   int     // probes answered in a row while it is down
-	probesNeeded int     // so many bring it back: more where it went down again soon
+	nextProbe    Seconds // when the next probe is due
+	probeIndex   int     // index of the last probed server
+	goodProbes   int     // consecutive answered probes
+	probesNeeded int     // consecutive answered probes that bring the link up; more if it went down again soon
 	upAt         Seconds
 }
 
 const (
-	maxMisses          = 3     // attempts and probes without an answer in between after which a link counts as down
-	minSilence         = 0.45  // s without an answer, with attempts out, after which it counts as down
-	silenceFactor      = 2.5   // multiple of the usual answer time that is waited for where it is longer
-	silenceMinAttempts = 2     // attempts that must be out for silence to count
-	probeInterval      = 1.0   // s between probes while all is well
-	fastProbeInterval  = 0.15  // s between probes while the link is down or a probe got no answer
-	probeSlack         = 0.15  // s that a probe may take beyond three round trips
-	minGoodProbes      = 2     // answered probes in a row that bring a link back
-	maxGoodProbes      = 8     // the most that are needed where it fails again soon
-	stableUpTime       = 10.0  // s that a link must have been up for upFirst to be enough again
-	rttRise            = 0.002 // share by which the round-trip time may rise per probe, to follow a way that became longer
+	maxMisses          = 3     // unanswered attempts and probes, with no answer in between, after which a link is down
+	minSilence         = 0.45  // s without an answer, with attempts in flight, after which a link is down
+	silenceFactor      = 2.5   // multiple of the high quantile of attempt times that replaces minSilence if longer
+	silenceMinAttempts = 2     // attempts that must be in flight for silence to count
+	probeInterval      = 1.0   // s between probes while the link works
+	fastProbeInterval  = 0.15  // s between probes while the link is down or the last probe got no answer
+	probeSlack         = 0.15  // s that a probe may take in addition to three round trips
+	minGoodProbes      = 2     // consecutive answered probes that bring a link up
+	maxGoodProbes      = 8     // most probes needed after repeated failures
+	stableUpTime       = 10.0  // s that a link must have been up for minGoodProbes to suffice again
+	rttRise            = 0.002 // share by which rtt may rise per probe, to follow a route that became longer
 )
 
-// hear books any answer from a far site.
+// recordContact records an answer of any kind from a remote site.
 func (r *Router) recordContact(st *siteState) {
 	st.link.lastAnswer, st.link.misses, st.link.firstMissed, st.link.severalMissed = r.now, 0, "", false
 }
 
-// miss books an attempt or a probe that brought no answer. begun is when it was sent.
+// recordMiss records an attempt or a probe that got no answer. sent is when it was sent.
 func (r *Router) recordMiss(st *siteState, id string, sent Seconds) {
 	l := &st.link
 	if l.lastAnswer > sent {
-		return // others answered meanwhile: it is the server, not the link
+		return // another answer arrived since: the server failed, not the link
 	}
 	l.misses++
 	if l.firstMissed == "" {
@@ -58,7 +58,7 @@
 	}
 }
 
-// look judges the link of a far site and appends what follows.
+// checkLink updates the state of the link to a remote site and appends the actions that follow.
 func (r *Router) checkLink(i int, actions []Action) []Action {
 	st := &r.sites[i]
 	l := &st.link
@@ -68,7 +68,8 @@
 		for _, c := range st.classes {
 			slowest = max(slowest, c.highTime)
 		}
-		silent := hasOldest && st.attempts.count >= silenceMinAttempts && l.lastAnswer < oldest && r.now-oldest > max(minSilence, silenceFactor*slowest)
+		silent := hasOldest && st.attempts.count >= silenceMinAttempts && l.lastAnswer < oldest &&
+			r.now-oldest > max(minSilence, silenceFactor*slowest)
 		lost := l.misses >= maxMisses && (l.severalMissed || len(st.servers) < 2)
 		if silent || lost {
 			if r.now-l.upAt > stableUpTime {
@@ -78,7 +79,8 @@
 			}
 			l.down, l.downAt, l.goodProbes, l.nextProbe = true, r.now, 0, r.now
 			actions = append(actions, GiveUp{i},
-				Log{fmt.Sprintf("the link to %s is down: heard %.2f s ago, %d missed", st.Name, r.now-l.lastAnswer, l.misses)})
+				Log{fmt.Sprintf("the link to %s is down: last answer %.2f s ago, %d attempts and probes unanswered",
+					st.Name, r.now-l.lastAnswer, l.misses)})
 		}
 	}
 	if l.probing || r.now < l.nextProbe || len(st.servers) == 0 {
@@ -94,12 +96,12 @@
 	return actions
 }
 
-// Probed takes the end of a Probe in; elapsed is the time that it took.
+// Probed records the result of a Probe; elapsed is the time that it took.
 func (r *Router) Probed(now Seconds, id string, status control.Status, elapsed Seconds) {
 	r.now = now
 	s := r.servers[id]
 	if s == nil {
-		for i := range r.sites { // it left the list meanwhile: nothing may wait for it for ever
+		for i := range r.sites { // the server left the list meanwhile: no link may wait for this probe any longer
 			r.sites[i].link.probing = false
 		}
 		return
@@ -114,7 +116,7 @@
 		s.failures = 0
 		if l.goodProbes++; l.down && l.goodProbes >= l.probesNeeded {
 			l.down, l.upAt = false, now
-			if r.sites[r.settings.Own].ready > 0 { // else all that the link carried is to come back at once
+			if r.sites[r.settings.Own].ready > 0 { // otherwise the link must carry its whole former load again at once
 				st.window.limit = max(remoteStart, st.window.limit/2)
 			}
 			st.window.delayed, st.window.late, st.window.lastUsed = false, 0, now
@@ -134,5 +136,6 @@
 	if fast {
 		interval = fastProbeInterval
 	}
-	l.nextProbe = now + interval*(0.75+0.5*r.rng.Float64()) // gateways that start together do not probe in step
+	// The jitter keeps gateways that start together from probing in step.
+	l.nextProbe = now + interval*(0.75+0.5*r.rng.Float64())
 }
--- a/sites/reconfigure.go
+++ b/sites/reconfigure.go
@@ -2,8 +2,8 @@
 
 import "junctionring/control"
 
-// Reconfigure takes new classes in. Numbers that were in use stay; from names, for each class, the one whose
-// learned times it begins with, -1 for none.
+// Reconfigure replaces the classes. Class numbers in use stay valid; from[n] is the old class whose learned times the
+// new class n starts with, -1 for none.
 func (r *Router) Reconfigure(now Seconds, classes []control.Class, from []int) {
 	r.now = now
 	r.settings.Classes = classes
@@ -46,7 +46,7 @@
 	}
 }
 
-// urgencies ranks classes by worth a second of the wanted time: 0 for the least, 1 for the most.
+// urgencies ranks the classes by worth per second of the aim: 0 for the lowest, 1 for the highest.
 func urgencies(classes []control.Class) (ranks []float64) {
 	least, most := classes[0].Worth/classes[0].Aim, 0.0
 	for _, c := range classes {
@@ -62,6 +62,7 @@
 	return ranks
 }
 
+// initialTimes returns the times of a class at a site before its first answer.
 func initialTimes(c control.Class, distance Seconds) classTimes {
 	return classTimes{baseline: c.Aim*initialBaseline + 2*distance, highTime: c.Aim*initialHighTime + 2*distance}
 }
--- a/sites/route.go
+++ b/sites/route.go
@@ -6,24 +6,24 @@
 	"junctionring/control"
 )
 
-// Try is what Route is asked of: a request at its first attempt, or at one that may follow.
+// Try is a request that needs a server for its first or a later attempt.
 type Try struct {
 	Class   int
-	Elapsed Seconds // since it came in
-	Left    Seconds // until its client gives up
-	Bound   bool    // an earlier attempt may have run, and its key is known at one site only
-	At      int     // that site
+	Elapsed Seconds // since the request arrived
+	Left    Seconds // until the client's deadline
+	Bound   bool    // an earlier attempt may have run, and only one site recognizes its key
+	At      int     // the site of a bound try
 }
 
 const (
-	mostUrgentShare        = 0.9  // share of the near window from which on the most urgent class crosses
-	leastUrgentShare       = 1.0  // share from which on the least urgent class does
-	leastUrgentRemoteShare = 0.75 // share of a far window that the least urgent class may fill
-	maxWeightAge           = 0.1  // s for which a weight is used while servers warm up
-	connectRoundTrips      = 1.0  // round trips that opening a connection may cost
+	mostUrgentShare        = 0.9  // share of the local window from which the most urgent class crosses
+	leastUrgentShare       = 1.0  // share of the local window from which the least urgent class crosses
+	leastUrgentRemoteShare = 0.75 // share of a remote window that the least urgent class may fill
+	maxWeightAge           = 0.1  // s for which a site's weight is used while its servers warm up
+	connectRoundTrips      = 1.0  // round trips that opening a connection may take
 )
 
-// Route says which sites a try may go to now. It neither allocates nor looks at single servers.
+// Route returns which sites a try may use now. It does not allocate and does not look at single servers.
 func (r *Router) Route(now Seconds, t Try) Verdict {
 	r.now = now
 	own := r.settings.Own
@@ -32,12 +32,13 @@
 		r.updateWeight(own)
 	}
 	verdict := Verdict{Reach: control.Reach{First: own, Then: own}}
-	if t.Bound { // nobody else drops its repeat
+	if t.Bound { // only the site of the earlier attempt recognizes a repeat
 		verdict.Reach = control.Reach{First: t.At, Then: t.At}
 		if t.At != own {
 			verdict.CrossReason = r.crossReason(local)
 			if r.sites[t.At].link.down {
-				verdict.Reach, verdict.DenyReason = control.Reach{First: own, Then: own}, LinkDown // control finds no server of its group
+				// At the local site control finds no server of the try's group.
+				verdict.Reach, verdict.DenyReason = control.Reach{First: own, Then: own}, LinkDown
 			}
 		}
 		return verdict
@@ -47,28 +48,32 @@
 	localHasRoom := local.ready > 0 && local.window.admits(now, local.attempts.count, local.window.limit*share, 0)
 	crossReason := r.crossReason(local)
 	denyReason := RemoteUnavailable
-	for _, f := range r.remotes {
+	for _, f := range r.remoteSites {
 		reason := r.denyReason(f, t, local, crossReason, localHasRoom)
 		if reason == NotDenied {
-			if localHasRoom { // the near site serves; the far one stands by for what control turns away here
-				return Verdict{Reach: control.Reach{First: own, Then: f, Room: local.window.uncongested()}, CrossReason: crossReason}
+			if localHasRoom { // the local site serves; the remote one is the fallback for what control sheds locally
+				return Verdict{Reach: control.Reach{First: own, Then: f, Room: local.window.uncongested()},
+					CrossReason: crossReason}
 			}
-			return Verdict{Reach: control.Reach{First: f, Then: own, Room: r.sites[f].window.uncongested()}, CrossReason: crossReason}
+			return Verdict{Reach: control.Reach{First: f, Then: own, Room: r.sites[f].window.uncongested()},
+				CrossReason: crossReason}
 		}
 		if denyReason == RemoteUnavailable {
-			denyReason = reason // of the nearest, unless it has nobody
+			denyReason = reason // report the nearest remote site that has servers
 		}
 	}
 	verdict.DenyReason = denyReason
 	verdict.Reach.Room = localHasRoom && local.window.uncongested()
-	// Nobody helps: what is beyond the window would only make the rest late. Now the urgent ones come last to it.
+	// No remote site can take the try, and attempts beyond the local window would only make the others late. The share is
+	// reversed: the most urgent class is now refused last.
 	share = mostUrgentShare + (leastUrgentShare-mostUrgentShare)*urgency
-	// A far site that is only busy will soon help again: until then control sheds by what it sees.
-	verdict.Reach.Full = local.ready > 0 && (denyReason == LinkDown || !local.window.uncongested()) && !local.window.admits(now, local.attempts.count, local.window.limit*share, 0)
+	// A remote site that is merely busy will soon have capacity again: until then control sheds by its own measure.
+	verdict.Reach.Full = local.ready > 0 && (denyReason == LinkDown || !local.window.uncongested()) &&
+		!local.window.admits(now, local.attempts.count, local.window.limit*share, 0)
 	return verdict
 }
 
-// cause is the word for what crosses now.
+// crossReason returns the reason under which attempts cross now.
 func (r *Router) crossReason(local *siteState) CrossReason {
 	switch {
 	case local.draining > 0:
@@ -79,7 +84,7 @@
 	return LocalSlow
 }
 
-// barred tells whether a try may go to a far site, and why not.
+// denyReason returns why a try may not use a remote site, or NotDenied.
 func (r *Router) denyReason(f int, t Try, local *siteState, crossReason CrossReason, localHasRoom bool) DenyReason {
 	remote := &r.sites[f]
 	if remote.warmingUp && r.now-remote.weighedAt > maxWeightAge {
@@ -87,7 +92,7 @@
 	}
 	class, aim := &remote.classes[t.Class], r.settings.Classes[t.Class].Aim
 	required := class.highTime + connectRoundTrips*remote.link.rtt
-	tooLate := local.ready > 0 && t.Elapsed+required > aim // a near site that is there answers late as well
+	tooLate := local.ready > 0 && t.Elapsed+required > aim // if both would answer late, the local site is as good
 	switch {
 	case remote.ready == 0:
 		return RemoteUnavailable
@@ -105,20 +110,20 @@
 	return NotDenied
 }
 
-// farRoom is how many attempts of a class may be out at a far site: the urgent ones keep a part for themselves
-// where it is short.
+// remoteLimit returns how many attempts of a class may be in flight at a remote site. While the site shows late answers,
+// a part is reserved for the more urgent classes.
 func (r *Router) remoteLimit(remote *siteState, class int) float64 {
 	limit := remote.window.limit * remote.weight / max(1, float64(remote.ready))
-	if r.sites[r.settings.Own].ready == 0 { // no guest any more: there is nowhere else to go
+	if r.sites[r.settings.Own].ready == 0 { // no alternative is left: always allow one attempt
 		limit = max(limit, 1)
 	}
-	if remote.window.uncongested() { // room for all: it grows as it is used
+	if remote.window.uncongested() { // capacity for all classes: the window grows as it is used
 		return limit
 	}
 	return limit * (leastUrgentRemoteShare + (1-leastUrgentRemoteShare)*r.urgency[class])
 }
 
-// Sent books an attempt that control sends; v is the verdict it goes by. ok is false for a server not known.
+// Sent records an attempt that control sends under the verdict v. ok is false for an unknown server.
 func (r *Router) Sent(now Seconds, id string, class int, v Verdict) (a Attempt, ok bool) {
 	r.now = now
 	s := r.servers[id]
@@ -126,7 +131,8 @@
 		return Attempt{Site: -1}, false
 	}
 	st := &r.sites[s.site]
-	a = Attempt{Site: s.site, seq: st.attempts.add(now, class, s), class: class, sent: now, server: s, remote: s.site != r.settings.Own}
+	a = Attempt{Site: s.site, seq: st.attempts.add(now, class, s), class: class, sent: now, server: s,
+		remote: s.site != r.settings.Own}
 	st.window.lastUsed = now
 	if a.remote {
 		if v.CrossReason == Local {
@@ -137,12 +143,13 @@
 	return a, true
 }
 
-// answered tells whether an end proves that the server was reached and spoke.
+// reachedServer reports whether an attempt's status proves that the server was reached and answered.
 func reachedServer(s control.Status) bool {
 	return s == control.OK || s == control.Error || s == control.Full
 }
 
-// Ended books the end of an attempt; waited is the time from its last byte to the answer's first, 0: not known.
+// Ended records the end of an attempt. waited is the time from the last byte of the request to the first byte of the
+// answer; 0 if not known.
 func (r *Router) Ended(now Seconds, a Attempt, status control.Status, waited Seconds) {
 	r.now = now
 	if a.server == nil {
@@ -188,7 +195,7 @@
 	}
 }
 
-// lateAt is the time after which an answer of a server is late.
+// lateAfter returns the time after which an answer of a server counts as late.
 func (r *Router) lateAfter(s *server, class int) Seconds {
 	aim := r.settings.Classes[class].Aim
 	if s.site == r.settings.Own {
@@ -198,14 +205,15 @@
 	if baseline == 0 {
 		baseline = r.sites[s.site].classes[class].baseline
 	}
-	return (baseline + remoteLateShare*aim) / r.capacityShare(s) // a cold one is slow, not crowded
+	// A server that is warming up is slow without being overloaded.
+	return (baseline + remoteLateShare*aim) / r.capacityShare(s)
 }
 
-// Refused counts a try that control turned away for want of servers, by why it could not cross.
+// Refused counts a try that control refused because no server could take it, by the reason why it could not cross.
 func (r *Router) Refused(class int, v Verdict) { r.counts.Refused[class][v.DenyReason]++ }
 
-// Tick looks at what time alone tells: attempts that are overdue, links that fell silent. It is to be called
-// about twenty times a second.
+// Tick handles what depends on time alone, overdue attempts and silent links, and appends the actions that follow. It
+// must be called about twenty times a second.
 func (r *Router) Tick(now Seconds, actions []Action) []Action {
 	r.now = now
 	for i := range r.sites {
@@ -218,7 +226,8 @@
 			if entry.ended || entry.countedLate {
 				continue
 			}
-			if now-entry.sent > r.lateAfter(entry.server, entry.class) { // Danger: where nothing is answered no answer tells of it
+			// Counted while in flight: where nothing is answered, no answer would report the delay.
+			if now-entry.sent > r.lateAfter(entry.server, entry.class) {
 				entry.countedLate = true
 				st.window.recordAnswer(now, true, float64(st.attempts.count), st.classes[entry.class].baseline)
 			}
@@ -239,6 +248,7 @@
 	return actions
 }
 
+// logf queues a log line for the next Tick. At most 64 lines are queued; further ones are dropped.
 func (r *Router) logf(format string, args ...any) {
 	if len(r.logLines) < 64 {
 		r.logLines = append(r.logLines, fmt.Sprintf(format, args...))
--- a/sites/sites.go
+++ b/sites/sites.go
@@ -1,10 +1,10 @@
-// Package sites decides which sites a try may go to: the near one, where the gateway stands, or a distant
-// one over a link. It owns what the gateway has seen of each site as a whole: attempts out, answers that came
-// late, the state of the link. It never chooses a server, never decides on a retry or a quota (control does),
-// and does no I/O, reads no clock and starts no goroutine: what it is told and when decides what it says.
+// Package sites decides which sites a try may use, the gateway's local site or a remote one over a link, from what the
+// gateway has observed of each site as a whole: attempts in flight, late answers and the state of the link. It does not
+// choose servers, retry or account for quota (package control does), does no I/O, reads no clock and starts no
+// goroutine.
 //
-// Unlike control it takes typed calls instead of an event interface: a value put into an interface costs an
-// allocation, and a decision here may cost none.
+// Its results depend only on the calls and the times that they carry. Unlike control it takes typed calls instead of an
+// event interface: converting a value to an interface allocates, and a routing decision must not allocate.
 package sites
 
 import (
@@ -17,52 +17,52 @@
 	"junctionring/control"
 )
 
-// Seconds is a time or a duration, on control's clock.
+// Seconds is a point in time or a duration on control's clock.
 type Seconds = control.Seconds
 
-// Site is one place where servers stand.
+// Site is a location with servers.
 type Site struct {
 	Name     string
-	Distance Seconds // one way, from the gateway; 0: its own
+	Distance Seconds // one-way latency from the gateway; 0 for the local site
 }
 
-// Settings is what a Router is told once.
+// Settings configures a Router.
 type Settings struct {
-	Own        int // index of the site that the gateway stands at
+	Own        int // index of the gateway's local site
 	Sites      []Site
 	Classes    []control.Class
-	Guarantees control.Guarantees // of cold servers
+	Guarantees control.Guarantees // capacity of servers that are warming up
 	Seed       uint64
 }
 
-// validate names what cannot be right.
+// validate returns an error for the first invalid setting.
 func (s *Settings) validate() error {
 	if s.Own < 0 || s.Own >= len(s.Sites) {
-		return fmt.Errorf("sites: own site %d of %d", s.Own, len(s.Sites))
+		return fmt.Errorf("sites: index of the own site out of range: %d of %d sites", s.Own, len(s.Sites))
 	}
 	if len(s.Classes) == 0 {
-		return errors.New("sites: no classes")
+		return errors.New("sites: no classes configured")
 	}
 	for i, site := range s.Sites {
 		if !(site.Distance >= 0) || math.IsInf(site.Distance, 0) {
-			return fmt.Errorf("sites: %s: distance %v is no time", site.Name, site.Distance)
+			return fmt.Errorf("sites: %s: invalid distance %v, want a finite time of at least 0", site.Name, site.Distance)
 		}
 		if (site.Distance == 0) != (i == s.Own) {
-			return fmt.Errorf("sites: %s: the own site, and no other, is at distance 0", site.Name)
+			return fmt.Errorf("sites: %s: distance %v, but only the own site must be at distance 0", site.Name, site.Distance)
 		}
 	}
 	return nil
 }
 
-// CrossReason is why an attempt went over a link.
+// CrossReason is why an attempt is sent over a link to a remote site.
 type CrossReason uint8
 
-// The causes. Local stands for no crossing at all.
+// The reasons for a crossing. Local means that the attempt does not cross.
 const (
 	Local            CrossReason = iota
-	LocalSlow                    // the near site can't meet the wanted time for all that is asked of it
-	LocalDraining                // near servers drain
-	LocalUnavailable             // no near server is there, or all are left out
+	LocalSlow                    // the local site cannot answer all its load within the aim
+	LocalDraining                // local servers are draining
+	LocalUnavailable             // the local site has no server, or all are ejected
 	crossReasons
 )
 
@@ -70,48 +70,49 @@
 	return [...]string{"near", "near too slow", "near draining", "near gone"}[c]
 }
 
-// DenyReason is why a try that the near site can't take well may not cross either.
+// DenyReason is why a try that the local site cannot serve in time may not cross to a remote site either.
 type DenyReason uint8
 
-// The bars. NotDenied stands for none.
+// The reasons against a crossing. NotDenied means that there is none.
 const (
 	NotDenied         DenyReason = iota
-	InsufficientTime             // the link would eat the time that is left, or the gain
-	LinkDown                     // nothing comes back over the link
-	RemoteBusy                   // the far site shows that it has no room to spare
-	RemoteUnavailable            // no far server takes work
+	InsufficientTime             // crossing takes too long for the deadline, or too long for the aim to be an advantage
+	LinkDown                     // no answers arrive over the link
+	RemoteBusy                   // the remote site has no spare capacity
+	RemoteUnavailable            // no remote server accepts requests
 	denyReasons
 )
 
-func (b DenyReason) String() string {
-	return [...]string{"open", "no time", "link down", "far busy", "far gone"}[b]
+func (d DenyReason) String() string {
+	return [...]string{"open", "no time", "link down", "far busy", "far gone"}[d]
 }
 
-// Verdict says which sites a try may go to, and the words under which that is counted.
+// Verdict says which sites a try may use, and the reasons under which the decision is counted.
 type Verdict struct {
 	Reach       control.Reach
-	CrossReason CrossReason // of an attempt that goes to a far site within Reach
-	DenyReason  DenyReason  // why none may; counted if the try is refused
+	CrossReason CrossReason // of an attempt to a remote site within Reach
+	DenyReason  DenyReason  // why no remote site may be used; counted if the try is refused
 }
 
-// Action is something the Router wants done.
+// Action is something that the Router asks its caller to do.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Probe asks a server over its link whether it is there; Probed must follow, within the time given.
+	// Probe checks whether a server can be reached over its link. The caller must report the result with Probed within
+	// the given time.
 	Probe struct {
 		Server string
 		Within Seconds
 	}
 
-	// Restored tells that a site's link is up again: what its servers failed to do meanwhile was the link's doing.
+	// Restored reports that a site's link is up again: failures of its servers in the meantime were caused by the link.
 	Restored struct{ Site int }
 
-	// GiveUp calls off what is out at a site: its link is down, and no answer will come.
+	// GiveUp cancels all attempts in flight at a site: its link is down, so no answer will arrive.
 	GiveUp struct{ Site int }
 
-	// Log leaves a line for the operators.
+	// Log writes a line to the operators' log.
 	Log struct{ Text string }
 )
 
@@ -120,31 +121,31 @@
 func (Restored) action() {}
 func (Log) action()      {}
 
-// Router is the decision module for sites of one gateway. It is not safe for concurrent use.
+// Router decides for one gateway which sites a try may use. It is not safe for concurrent use.
 type Router struct {
-	settings   Settings
-	rng        *rand.Rand
-	now        Seconds
-	sites      []siteState
-	remotes    []int // the others, nearest first
-	servers    map[string]*server
-	urgency    []float64 // by class, from worth a second of the wanted time: 0 for the least, 1 for the most
-	counts     Counts
-	logLines   []string // lines that wait for the next Tick
-	lastCounts Counts   // the counts at the last summary
-	summaryAt  Seconds
-	restored   []int // sites whose link came up since the last Tick
+	settings    Settings
+	rng         *rand.Rand
+	now         Seconds
+	sites       []siteState
+	remoteSites []int // all other sites, nearest first
+	servers     map[string]*server
+	urgency     []float64 // by class, ranked by worth per second of the aim: 0 for the lowest, 1 for the highest
+	counts      Counts
+	logLines    []string // lines that the next Tick returns
+	lastCounts  Counts   // counts at the last summary
+	summaryAt   Seconds
+	restored    []int // sites whose link came up since the last Tick, for Restored
 }
 
-// site is what is known of one site.
+// siteState is what is known of one site.
 type siteState struct {
 	Site
-	servers   []*server // on the list, in order of first sight
-	ready     int       // of them, ready and not left out
+	servers   []*server // listed servers, in the order in which they were first listed
+	ready     int       // listed servers that are ready and not ejected
 	draining  int
-	weight    float64 // of the ready ones, by their warmth
-	weighedAt Seconds // when it was last taken
-	warmingUp bool    // some are
+	weight    float64 // ready servers, each counted by its capacity share
+	weighedAt Seconds // when weight was last computed
+	warmingUp bool    // some ready servers are warming up
 
 	attempts attemptRing
 	classes  []classTimes
@@ -152,33 +153,35 @@
 	link     link
 }
 
-// class is what was learned of a class at a site.
+// classTimes holds the answer times that were learned for a class at a site.
 type classTimes struct {
-	baseline   Seconds // about the least wait for an answer, link and all: the time without a queue
-	baselineAt Seconds // when it was last moved
-	highTime   Seconds // a high quantile of the whole time of an attempt: what a try must have left
+	baseline   Seconds // about the shortest wait for an answer, link included: the time without queueing
+	baselineAt Seconds // when baseline was last updated
+	highTime   Seconds // high quantile of the total time of an attempt; a try must have this much time left
 }
 
 // server is what is known of one server.
 type server struct {
-	id        string
-	site      int
-	state     control.MemberState
-	since     Seconds
-	failures  int       // failures in a row
-	baselines []Seconds // by class, as that of its site. Danger: of all, a slow machine would look like a queue
+	id       string
+	site     int
+	state    control.MemberState
+	since    Seconds
+	failures int // consecutive failures
+	// Time without queueing by class, as in classTimes. It is kept for each server, as measured against a common baseline
+	// a slow machine would look like a queue.
+	baselines []Seconds
 }
 
 const (
-	ejectAfter      = 3    // failures in a row after which a server counts for nothing until it answers
-	initialBaseline = 0.1  // share of the aim that low begins with
-	initialHighTime = 0.3  // share of the aim that high begins with
-	highQuantile    = 0.9  // quantile that high follows
-	quantileStep    = 0.04 // share of itself by which an answer moves low or high at the most
-	baselineRise    = 0.01 // share by which low may rise per second; faster, a standing queue would soon count as none
+	ejectAfter      = 3    // consecutive failures after which a server does not count as ready until it answers
+	initialBaseline = 0.1  // baseline before any answer, as a share of the aim
+	initialHighTime = 0.3  // highTime before any answer, as a share of the aim
+	highQuantile    = 0.9  // quantile that highTime estimates
+	quantileStep    = 0.04 // greatest share by which one answer moves baseline or highTime
+	baselineRise    = 0.01 // share per second by which baseline may rise; if faster, it would soon absorb a standing queue
 )
 
-// New makes a Router.
+// New returns a Router, or an error if the settings are invalid.
 func New(s Settings) (*Router, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -195,10 +198,10 @@
 			st.classes = append(st.classes, initialTimes(c, st.Distance))
 		}
 		if i != s.Own {
-			r.remotes = append(r.remotes, i)
+			r.remoteSites = append(r.remoteSites, i)
 		}
 	}
-	slices.SortStableFunc(r.remotes, func(a, b int) int {
+	slices.SortStableFunc(r.remoteSites, func(a, b int) int {
 		if s.Sites[a].Distance < s.Sites[b].Distance {
 			return -1
 		}
@@ -207,7 +210,7 @@
 	return r, nil
 }
 
-// Members takes the server list in, or changes to it.
+// Members applies a server list, or changes to it.
 func (r *Router) Members(now Seconds, e control.Members) {
 	r.now = now
 	if e.Kind == control.Failed {
@@ -232,7 +235,7 @@
 			r.servers[s.id] = s
 			r.sites[m.Site].servers = append(r.sites[m.Site].servers, s)
 		}
-		if m.Since > s.since { // a new life: what its former one did says nothing
+		if m.Since > s.since { // the server restarted: what was learned before no longer applies
 			s.since, s.failures = m.Since, 0
 			clear(s.baselines)
 		}
@@ -258,8 +261,8 @@
 	st.servers = slices.DeleteFunc(st.servers, func(o *server) bool { return o == s })
 }
 
-// weigh takes what a site can do anew. Danger: a hall that drains at once; its load must find the far site open
-// within the same moment, so what the near site loses is granted to the link.
+// updateWeight recomputes the capacity of a site. When a whole hall drains at once, its load must be admitted at the
+// remote sites immediately, so the attempts that the local site loses capacity for are added to the remote windows.
 func (r *Router) updateWeight(i int) {
 	st := &r.sites[i]
 	oldWeight, hadServers := st.weight, len(st.servers) > 0
@@ -280,18 +283,19 @@
 	}
 	lostShare := 1 - st.weight/oldWeight
 	if st.ready == 0 && hadServers {
-		r.logf("no near server takes work: %d drain, %d are left out", st.draining, len(st.servers)-st.draining)
+		r.logf("no local server accepts requests: %d draining, %d ejected after failures",
+			st.draining, len(st.servers)-st.draining)
 	}
 	inFlight := st.attempts.mean(r.now)
 	st.window.shrink(1 - lostShare)
-	for _, f := range r.remotes {
+	for _, f := range r.remoteSites {
 		remote := &r.sites[f]
 		rttFactor := 1 + remote.link.rtt/max(st.classes[0].baseline, 1e-3)
 		remote.window.grant(r.now, lostShare*inFlight*rttFactor)
 	}
 }
 
-// warmth is the share of its capacity that a server has at the least.
+// capacityShare returns the share of its full capacity that a server is guaranteed to have.
 func (r *Router) capacityShare(s *server) float64 {
 	g := &r.settings.Guarantees
 	if age := r.now - s.since; s.since > 0 && age < g.Ramp {
@@ -300,7 +304,7 @@
 	return 1
 }
 
-// least moves what counts as the time without a queue: down at once, up over minutes.
+// trackBaseline returns the new estimate of the time without queueing: it falls at once and rises over minutes.
 func trackBaseline(baseline, waited Seconds, elapsed Seconds) Seconds {
 	if baseline == 0 || waited < baseline {
 		return max(waited, baseline*(1-quantileStep))
@@ -308,7 +312,7 @@
 	return baseline * (1 + min(quantileStep, baselineRise*max(0, elapsed)))
 }
 
-// learn books the time of an answer: the wait for its first byte, and all that the attempt took.
+// recordAnswer updates the times with an answer: the wait for its first byte, and the total time of the attempt.
 func (c *classTimes) recordAnswer(now, waited, took Seconds) {
 	c.baseline = trackBaseline(c.baseline, waited, now-c.baselineAt)
 	c.baselineAt = now
--- a/sites/sites_test.go
+++ b/sites/sites_test.go
@@ -19,7 +19,8 @@
 	move = 1
 )
 
-// two is a router at the site near, 40 ms from far, with so many servers at each.
+// newTestRouter returns a router at the site near, 40 ms one way from the site far, with the given number of servers at
+// each.
 func newTestRouter(t testing.TB, servers int) *Router {
 	t.Helper()
 	r, err := New(Settings{
@@ -49,13 +50,13 @@
 
 func newTry(class int) Try { return Try{Class: class, Left: classes[class].Deadline} }
 
-// press makes the near window hold so many attempts by late answers, and fills it.
+// fillLocalWindow cuts the local window by late answers, sets its limit to out attempts and fills it.
 func fillLocalWindow(t testing.TB, r *Router, now Seconds, out int) (Seconds, []Attempt) {
 	t.Helper()
 	for range 200 {
 		f, ok := r.Sent(now, serverID(0, 0), move, Verdict{})
 		if !ok {
-			t.Fatal("the server is not known")
+			t.Fatal("Sent does not know the server")
 		}
 		now += 0.6
 		r.Ended(now, f, control.OK, 0)
@@ -81,13 +82,13 @@
 		r.Ended(now+0.15, f, control.OK, 0.15)
 	}
 	if r.Crossings() != 0 {
-		t.Error("something crossed")
+		t.Error("attempts crossed although the local site suffices")
 	}
 }
 
 func TestExcessCrossesMovesFirst(t *testing.T) {
 	r := newTestRouter(t, 4)
-	now, _ := fillLocalWindow(t, r, 100, 19) // of 20: over nine tenths, and not full
+	now, _ := fillLocalWindow(t, r, 100, 19) // of 20: more than nine tenths, but not full
 	r.sites[0].window.limit = 20
 	if v := r.Route(now, newTry(move)); v.Reach.First != 1 || v.Reach.Then != 0 || v.CrossReason != LocalSlow {
 		t.Errorf("a move: %+v", v)
@@ -97,14 +98,15 @@
 	}
 	r.sites[0].window.limit = 19
 	if v := r.Route(now, newTry(view)); v.Reach.First != 1 {
-		t.Errorf("a view at a full window: %+v", v)
+		t.Errorf("a view with the window full: %+v", v)
 	}
 }
 
 func TestNoCrossingWithoutTimeLeft(t *testing.T) {
 	r := newTestRouter(t, 4)
 	now, _ := fillLocalWindow(t, r, 100, 20)
-	if v := r.Route(now, Try{Class: move, Left: 0.2}); v.Reach.First != 0 || v.Reach.Then != 0 || v.DenyReason != InsufficientTime {
+	if v := r.Route(now, Try{Class: move, Left: 0.2}); v.Reach.First != 0 || v.Reach.Then != 0 ||
+		v.DenyReason != InsufficientTime {
 		t.Errorf("with 200 ms left: %+v", v)
 	}
 	r.Refused(move, Verdict{DenyReason: InsufficientTime})
@@ -117,7 +119,7 @@
 	r := newTestRouter(t, 4)
 	now := 100.0
 	var out []Attempt
-	for i := 0; i < 200; i++ { // 30 out, on the average
+	for i := 0; i < 200; i++ { // 30 in flight on average
 		now += 0.02
 		f, _ := r.Sent(now, serverID(0, i%4), move, r.Route(now, newTry(move)))
 		out = append(out, f)
@@ -128,7 +130,7 @@
 	}
 	r.Members(now, serverList(4, control.Draining, control.Ready))
 	crossed := 0
-	for range 30 { // what the near site had out may be out over the link within the same moment
+	for range 30 { // as many as the local site had in flight may cross at once
 		v := r.Route(now, newTry(move))
 		if v.Reach.First == 1 && v.CrossReason == LocalDraining {
 			r.Sent(now, serverID(1, 0), move, v)
@@ -136,9 +138,10 @@
 		}
 	}
 	if crossed < 25 {
-		t.Errorf("%d of 30 crossed", crossed)
+		t.Errorf("%d of 30 attempts crossed, want at least 25", crossed)
 	}
-	if got := r.Report().Sites[1].Crossed; len(got) != 1 || got[0].Cause != "near draining" || got[0].Count != uint64(crossed) {
+	if got := r.Report().Sites[1].Crossed; len(got) != 1 || got[0].Cause != "near draining" ||
+		got[0].Count != uint64(crossed) {
 		t.Errorf("counted as %+v", got)
 	}
 }
@@ -156,7 +159,7 @@
 	cold := r.remoteLimit(&r.sites[1], move)
 	r.Tick(120, nil)
 	if warm := r.remoteLimit(&r.sites[1], move); cold > 0.25*warm || warm < 39 {
-		t.Errorf("room for %g cold and %g warm", cold, warm)
+		t.Errorf("limit %g while warming up, then %g", cold, warm)
 	}
 }
 
@@ -164,15 +167,16 @@
 	r := newTestRouter(t, 4)
 	v := r.Route(100, Try{Class: move, Left: 4, Bound: true, At: 1})
 	if v.Reach != (control.Reach{First: 1, Then: 1}) {
-		t.Errorf("it ran at the far site: %+v", v)
+		t.Errorf("after an attempt at the remote site: %+v", v)
 	}
 	r.Members(100, serverList(4, control.Draining, control.Ready))
 	if v = r.Route(100, Try{Class: move, Left: 4, Bound: true}); v.Reach != (control.Reach{}) {
-		t.Errorf("it ran at the near site: %+v", v)
+		t.Errorf("after an attempt at the local site: %+v", v)
 	}
 }
 
-// A link that says nothing is down, is given up, probed, and used again after two good probes.
+// A silent link counts as down: its attempts are cancelled once, it is probed, and it is used again after two answered
+// probes.
 func TestSilentLink(t *testing.T) {
 	r := newTestRouter(t, 4)
 	r.Members(100, serverList(4, control.Draining, control.Ready))
@@ -202,22 +206,22 @@
 		step()
 	}
 	if givenUp != 1 || probes < 10 {
-		t.Errorf("given up %d times, %d probes", givenUp, probes)
+		t.Errorf("attempts cancelled %d times, want 1; %d probes, want at least 10", givenUp, probes)
 	}
 	if v := r.Route(now, newTry(move)); v.DenyReason != LinkDown {
-		t.Errorf("a try while it is down: %+v", v)
+		t.Errorf("a try while the link is down: %+v", v)
 	}
 	r.Probed(now, serverID(1, 0), control.OK, 0.08)
 	if v := r.Route(now, newTry(move)); v.DenyReason != LinkDown {
-		t.Errorf("one good probe: %+v", v)
+		t.Errorf("a try after one answered probe: %+v", v)
 	}
 	r.Probed(now, serverID(1, 1), control.OK, 0.08)
 	if v := r.Route(now+1, newTry(move)); v.Reach.First != 1 {
-		t.Errorf("two good probes: %+v", v)
+		t.Errorf("a try after two answered probes: %+v", v)
 	}
 }
 
-// One dead server is no dead link: others answer.
+// A failed server does not make its link count as down while other servers answer.
 func TestDeadServerIsNoDeadLink(t *testing.T) {
 	r, now := newTestRouter(t, 4), 100.0
 	for range 100 {
@@ -228,7 +232,7 @@
 		r.Ended(now+0.2, dead, control.ConnectFailed, 0)
 		for _, a := range r.Tick(now+0.2, nil) {
 			if _, down := a.(GiveUp); down {
-				t.Fatal("the link counts as down")
+				t.Fatal("the link counts as down although a server answers")
 			}
 		}
 	}
@@ -237,7 +241,7 @@
 	}
 }
 
-// Delay at the far site closes the window of a guest before the far site's own clients feel it.
+// Queueing delay at the remote site shrinks the remote window before clients of that site notice the delay.
 func TestRemoteWindowBacksOff(t *testing.T) {
 	r, now := newTestRouter(t, 4), 100.0
 	remote := &r.sites[1]
@@ -258,14 +262,14 @@
 	limit := remote.window.limit
 	feed(0.7, 8)
 	if delayedLimit := remote.window.limit; limit < 8 || delayedLimit > limit/3 {
-		t.Errorf("window %g, then %g with a queue", limit, delayedLimit)
+		t.Errorf("limit %g, then %g with queueing delay", limit, delayedLimit)
 	}
 	if low := remote.classes[move].baseline; low > 0.3 {
-		t.Errorf("the queue became the usual: %g s", low)
+		t.Errorf("the baseline absorbed the queueing delay: %g s", low)
 	}
 }
 
-// What crossed and what could not is said once, in one line.
+// Crossings and refusals are logged once, in one line.
 func TestSummaryInTheLog(t *testing.T) {
 	r := newTestRouter(t, 2)
 	r.Tick(100, nil)
@@ -282,11 +286,11 @@
 	}
 	want := "crossed: 1 of class 1 to far (near draining) 1 of class 0 refused (far busy)"
 	if len(lines) != 1 || lines[0] != want {
-		t.Errorf("said %q", lines)
+		t.Errorf("logged %q, want %q", lines, want)
 	}
 }
 
-// A window that was cut to next to nothing grows again as soon as answers are in time.
+// A window that was cut to a very small limit grows again as soon as answers are in time.
 func TestSmallWindowGrows(t *testing.T) {
 	for _, limit := range []float64{1, 1.7, 2.9} {
 		r, now := newTestRouter(t, 4), 100.0
@@ -304,7 +308,7 @@
 			}
 		}
 		if local.window.limit < 20 {
-			t.Errorf("from %g it came to %g", limit, local.window.limit)
+			t.Errorf("limit grew from %g to %g, want at least 20", limit, local.window.limit)
 		}
 	}
 }
@@ -313,20 +317,21 @@
 	for name, s := range map[string]Settings{
 		"no sites":      {Classes: classes},
 		"no classes":    {Sites: []Site{{Name: "a"}}},
-		"own out":       {Own: 1, Sites: []Site{{Name: "a"}}, Classes: classes},
+		"own unknown":   {Own: 1, Sites: []Site{{Name: "a"}}, Classes: classes},
 		"not a number":  {Sites: []Site{{Name: "a"}, {Name: "b", Distance: math.NaN()}}, Classes: classes},
 		"negative":      {Sites: []Site{{Name: "a"}, {Name: "b", Distance: -1}}, Classes: classes},
-		"two at home":   {Sites: []Site{{Name: "a"}, {Name: "b"}}, Classes: classes},
-		"home far away": {Sites: []Site{{Name: "a", Distance: 1}}, Classes: classes},
+		"two own sites": {Sites: []Site{{Name: "a"}, {Name: "b"}}, Classes: classes},
+		"own is remote": {Sites: []Site{{Name: "a", Distance: 1}}, Classes: classes},
 	} {
 		if _, err := New(s); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: settings accepted", name)
 		}
 	}
 }
 
-// Whatever happens in whatever order: a try goes to the far site only with its link up, servers there, time
-// left and room; a bound one goes to its own site or nowhere; the counts are what was sent; windows stay sane.
+// For any sequence of events: a try may use the remote site only if its link is up, it has ready servers and capacity,
+// and enough time is left; a bound try uses its own site or none; counts match the attempts sent; limits and learned
+// times stay valid.
 func TestRouterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newTestRouter(&testing.T{}, 3)
@@ -362,12 +367,13 @@
 					status := rapid.SampledFrom([]control.Status{control.OK, control.OK, control.OK, control.Error, control.Full,
 						control.Timeout, control.Reset, control.ConnectFailed, control.Cancelled}).Draw(t, "status")
 					r.Ended(now, out[i], status, 0)
-					r.Ended(now, out[i], status, 0) // told twice: counted once
+					r.Ended(now, out[i], status, 0) // reported twice, counted once
 					out = append(out[:i], out[i+1:]...)
 				}
 			default:
 				c := rapid.IntRange(0, 1).Draw(t, "class")
-				try := Try{Class: c, Left: rapid.Float64Range(0.01, 7).Draw(t, "left"), Elapsed: rapid.Float64Range(0, 1).Draw(t, "elapsed")}
+				try := Try{Class: c, Left: rapid.Float64Range(0.01, 7).Draw(t, "left"),
+					Elapsed: rapid.Float64Range(0, 1).Draw(t, "elapsed")}
 				if rapid.IntRange(0, 9).Draw(t, "bound") == 0 {
 					try.Bound, try.At = true, rapid.IntRange(0, 1).Draw(t, "at")
 				}
@@ -379,13 +385,14 @@
 					t.Fatalf("bound to %d: %+v", try.At, v)
 				case try.Bound:
 				case crosses && (remote.link.down || remote.ready == 0 || remote.classes[c].highTime+remote.link.rtt > try.Left):
-					t.Fatalf("crossed in vain: %+v, left %g", v, try.Left)
+					t.Fatalf("may cross with no usable server or too little time: %+v, left %g", v, try.Left)
 				case crosses && float64(remote.attempts.count)+1 > max(1, r.remoteLimit(remote, c)):
-					t.Fatalf("crossed without room: %d out of %g", remote.attempts.count, r.remoteLimit(remote, c))
+					t.Fatalf("may cross beyond the limit: %d in flight, limit %g", remote.attempts.count, r.remoteLimit(remote, c))
 				case v.Reach.First == 1 && local.ready > 0 && float64(local.attempts.count)+1 <= local.window.limit*mostUrgentShare:
-					t.Fatalf("crossed though the near site has room: %d out of %g", local.attempts.count, local.window.limit)
+					t.Fatalf("crosses although the local window is not full: %d in flight, limit %g",
+						local.attempts.count, local.window.limit)
 				case !crosses && v.DenyReason == NotDenied && local.ready == 0:
-					t.Fatalf("stayed without a reason: %+v", v)
+					t.Fatalf("may not cross, without a reason, and no local server is ready: %+v", v)
 				}
 				site := r.sites[v.Reach.First]
 				if len(site.servers) == 0 {
@@ -393,7 +400,7 @@
 				}
 				f, ok := r.Sent(now, site.servers[0].id, c, v)
 				if !ok {
-					t.Fatal("not sent")
+					t.Fatal("Sent does not know a listed server")
 				}
 				if f.remote {
 					crossed++
@@ -407,14 +414,14 @@
 			for i := range r.sites {
 				st := &r.sites[i]
 				if st.attempts.count != outBySite[i] {
-					t.Fatalf("site %d: %d out, booked %d", i, outBySite[i], st.attempts.count)
+					t.Fatalf("site %d: %d attempts in flight, counted %d", i, outBySite[i], st.attempts.count)
 				}
 				if !(st.window.limit >= remoteMinLimit) || i == 1 && math.IsInf(st.window.limit, 1) {
-					t.Fatalf("site %d: window %g", i, st.window.limit)
+					t.Fatalf("site %d: invalid limit %g", i, st.window.limit)
 				}
 				for _, c := range st.classes {
 					if !(c.baseline > 0) || !(c.highTime >= c.baseline) || math.IsInf(c.highTime, 1) {
-						t.Fatalf("site %d: quantiles %+v", i, c)
+						t.Fatalf("site %d: invalid times %+v", i, c)
 					}
 				}
 			}
--- a/sites/window.go
+++ b/sites/window.go
@@ -2,47 +2,48 @@
 
 import "math"
 
-// window bounds a gateway's attempts out at a site. The near one is open until answers come late, and then
-// holds a standing queue that the near servers can work off in time. A far one is a scavenger's: it starts
-// small and backs off at a queueing delay that the far site's own clients do not feel yet.
+// window limits a gateway's attempts in flight at a site. The local window has no limit until answers arrive late; then
+// its limit allows a queue that the local servers can still work off in time. A remote window takes only spare capacity,
+// like a scavenger class of congestion control: it starts small and backs off at a queueing delay that clients of the
+// remote site do not notice yet.
 type window struct {
 	local       bool
-	limit       float64 // attempts out; of warm servers. Infinite: not yet learned
-	late        float64 // share of answers that come too late, averaged
-	lateUpdated Seconds // when that was last moved
-	cutAt       Seconds // last cut
-	lastUsed    Seconds // last time an attempt was begun under it
-	delayed     bool    // far: past its first sign of delay
+	limit       float64 // attempts in flight, for servers at full capacity; infinite until learned
+	late        float64 // moving average of the share of late answers
+	lateUpdated Seconds // when late was last updated
+	cutAt       Seconds // when the limit was last cut
+	lastUsed    Seconds // when an attempt was last sent under this window
+	delayed     bool    // of a remote window: queueing delay was seen
 }
 
-// Limits of a window, in attempts out, and how they grow.
+// Limits of a window, in attempts in flight, and how they grow.
 const (
-	remoteStart       = 0.5  // attempts: a far window's limit at the first crossing, at the least
-	remoteStartShare  = 0.1  // share of the near site's attempts out that it begins with, where that is more
-	remoteGrantExtra  = 2.0  // attempts that a far window has beside those that the near site lost servers for
-	idleReset         = 5.0  // s without a crossing after which what was learned of the far site is dropped
-	growUsage         = 0.6  // share of a window that must be out for answers in time to let it grow
-	localGrowth       = 2.0  // attempts added while as many answers come as the limit; a share of it would keep gateways unequal
-	remoteGrowth      = 0.5  // the same of a far window; a limit below 1 grows by no more than this per answer
-	remoteStartGrowth = 0.5  // attempts added per answer before the first sign of delay
-	localMinLimit     = 1.0  // attempts: the least limit
-	remoteMinLimit    = 0.02 // attempts: the least limit; below 1 one is out at a time, with rests between
+	remoteStart       = 0.5  // attempts: lowest limit of a remote window at the first crossing
+	remoteStartShare  = 0.1  // share of the local attempts in flight that it starts with if that is more
+	remoteGrantExtra  = 2.0  // attempts added to the load that the local site lost capacity for
+	idleReset         = 5.0  // s without a crossing after which a remote window starts anew
+	minGrowthUsage    = 0.6  // share of the limit that must be in flight for timely answers to raise it
+	localGrowth       = 2.0  // attempts added per limit's worth of answers; adding a share would keep gateways unequal
+	remoteGrowth      = 0.5  // the same for a remote window; a limit below 1 grows by at most this per answer
+	remoteStartGrowth = 0.5  // attempts added per answer until queueing delay is first seen
+	localMinLimit     = 1.0  // attempts: lowest limit of the local window
+	remoteMinLimit    = 0.02 // attempts: lowest limit of a remote window; below 1, single attempts are spaced out
 )
 
-// When an answer is late, and when late answers cut a window.
+// When an answer counts as late, and when late answers cut a window.
 const (
-	localLateShare         = 0.5  // share of the aim after which an answer of the near site is late
-	remoteLateShare        = 0.13 // the same of a far site, beyond the server's time without a queue
-	localLateWeight        = 0.03 // weight of an answer in the near average; two late ones by chance are no overload
-	remoteLateWeight       = 0.06 // weight of an answer in a far average, which sees fewer
-	lateTimeConstant       = 6.0  // s in which an average without answers falls to 1/e
-	localCutThreshold      = 0.15 // share of late answers above which the near window is cut
-	remoteCutThreshold     = 0.15 // share of late answers above which a far one is cut; a lossy link stalls one in twenty
-	localCutFactor         = 0.85 // share of the limit that a cut of the near window leaves
-	remoteCutFactor        = 0.75 // share of the limit that a cut of a far one leaves
-	localUncongestedShare  = 0.8  // share of nearShare below which the near window has room for all
-	remoteUncongestedShare = 0.5  // share of farMost below which a far one has
-	minCutInterval         = 0.25 // s between cuts at the least, so that the effect of one shows before the next
+	localLateShare         = 0.5  // share of the aim after which an answer of the local site is late
+	remoteLateShare        = 0.13 // the same for a remote site, in addition to the server's time without queueing
+	localLateWeight        = 0.03 // weight of an answer in the local average; two late answers by chance are no overload
+	remoteLateWeight       = 0.06 // weight of an answer in a remote average, which receives fewer answers
+	lateTimeConstant       = 6.0  // s after which an average without answers has fallen to 1/e
+	localCutThreshold      = 0.15 // share of late answers above which the local window is cut
+	remoteCutThreshold     = 0.15 // share of late answers above which a remote window is cut; a lossy link delays 1 in 20
+	localCutFactor         = 0.85 // share of the limit that a cut of the local window leaves
+	remoteCutFactor        = 0.75 // share of the limit that a cut of a remote window leaves
+	localUncongestedShare  = 0.8  // share of localCutThreshold below which the local window is uncongested
+	remoteUncongestedShare = 0.5  // share of remoteCutThreshold below which a remote window is uncongested
+	minCutInterval         = 0.25 // s between cuts at least, so that the effect of one is visible before the next
 )
 
 func newWindow(local bool) window {
@@ -52,14 +53,15 @@
 	return window{limit: remoteStart}
 }
 
-// open prepares a far window for a crossing. Danger: after a while it tells of a site that is no more.
+// resetIfIdle resets a remote window before a crossing if it has been idle: what it learned is out of date by then.
 func (w *window) resetIfIdle(now Seconds, localInFlight float64) {
 	if start := max(remoteStart, remoteStartShare*localInFlight); !w.local && now-w.lastUsed > idleReset {
 		w.limit, w.delayed, w.late = start, false, 0
 	}
 }
 
-// answer books whether an answer came late; out is how many are out, typical the time of one.
+// recordAnswer records whether an answer was late. inFlight is the number of attempts in flight, typical the usual time
+// of an answer.
 func (w *window) recordAnswer(now Seconds, late bool, inFlight float64, typical Seconds) {
 	sample := 0.0
 	if late {
@@ -69,18 +71,20 @@
 	if w.local {
 		weight, threshold, factor, minLimit = localLateWeight, localCutThreshold, localCutFactor, localMinLimit
 	}
-	w.late *= math.Exp(-max(0, now-w.lateUpdated) / lateTimeConstant) // Danger: a window so small that next to nothing moves it
+	// The average also decays with time, as a very small window gets hardly any answers to lower it.
+	w.late *= math.Exp(-max(0, now-w.lateUpdated) / lateTimeConstant)
 	w.lateUpdated = now
 	w.late += (sample - w.late) * weight
-	inUse := inFlight+1 >= math.Floor(w.limit)*growUsage // Danger: of 1.7 one is all that can be used
+	// Rounded down, as a limit of 1.7 allows only one attempt.
+	inUse := inFlight+1 >= math.Floor(w.limit)*minGrowthUsage
 	switch {
 	case w.late > threshold && now-w.cutAt > max(minCutInterval, typical) && (inUse || math.IsInf(w.limit, 1)):
-		// Danger: a near window that is not used up is no cause of late answers; cut, it would only send away.
+		// A local window that is not in use is not the cause of late answers: cutting it would only divert load.
 		w.limit = max(minLimit, min(w.limit, inFlight+1)*factor)
 		w.cutAt, w.delayed = now, true
 	case late || math.IsInf(w.limit, 1) || !inUse || w.late > threshold:
 	case !w.local && !w.delayed:
-		w.limit += remoteStartGrowth // half as much again with each round: nothing says yet that the far site feels it
+		w.limit += remoteStartGrowth // by half per round trip: there is no sign yet that the remote site is affected
 	case !w.local:
 		w.limit += remoteGrowth / max(1, w.limit)
 	default:
@@ -88,7 +92,8 @@
 	}
 }
 
-// takes tells whether one more may be out beside out, within a limit of part of the window.
+// admits reports whether one more attempt may be in flight beside inFlight, within limit. Below a limit of 1, a remote
+// window admits one attempt at a time, spaced so that on average no more than limit is in flight.
 func (w *window) admits(now Seconds, inFlight int, limit float64, typical Seconds) bool {
 	if limit >= 1 || w.local {
 		return float64(inFlight)+1 <= max(1, limit)
@@ -96,7 +101,7 @@
 	return inFlight == 0 && now-w.lastUsed >= typical*(1/limit-1)
 }
 
-// calm tells that next to nothing comes late: what is within the window has room.
+// uncongested reports that hardly any answers are late, so that attempts within the window need not be shed.
 func (w *window) uncongested() bool {
 	if w.local {
 		return w.late < localCutThreshold*localUncongestedShare
@@ -104,14 +109,14 @@
 	return w.late < remoteCutThreshold*remoteUncongestedShare
 }
 
-// shrink follows a site's loss of servers: a limit that was learned is one for those that were there.
+// shrink scales the limit after a site lost servers, as it was learned with the former number.
 func (w *window) shrink(factor float64) {
 	if !math.IsInf(w.limit, 1) {
 		w.limit = max(localMinLimit, w.limit*factor)
 	}
 }
 
-// grant opens a far window for work that the near site just lost.
+// grant raises the limit of a remote window for load that the local site just lost capacity for.
 func (w *window) grant(now Seconds, attempts float64) {
 	if now-w.lastUsed > idleReset {
 		w.delayed, w.late = false, 0
