--- a/fence/fence_test.go
+++ b/fence/fence_test.go
@@ -23,14 +23,14 @@
 		{"a", 5, false}, {"a", 5, false}, {"a", 4, true}, {"b", 1, false}, {"a", 9, false}, {"a", 5, true}, {"b", 1, false},
 	} {
 		err := g.Admit(step.name, step.token)
-		var stale *Stale
+		var stale *StaleTokenError
 		if errors.As(err, &stale) != step.stale || err != nil && !step.stale {
 			t.Errorf("%s %d: %v", step.name, step.token, err)
 		}
 	}
-	again, err := Open(path) // a process that died and came back
-	if err != nil || again.Seen("a") != 9 || again.Admit("a", 8) == nil || again.Admit("a", 9) != nil {
-		t.Errorf("after a restart %d was seen, %v", again.Seen("a"), err)
+	reopened, err := Open(path) // a process that died and came back
+	if err != nil || reopened.Highest("a") != 9 || reopened.Admit("a", 8) == nil || reopened.Admit("a", 9) != nil {
+		t.Errorf("after a restart %d was seen, %v", reopened.Highest("a"), err)
 	}
 	if g.Admit("", 1) == nil || g.Admit("a", 0) == nil {
 		t.Error("no name, or no token, was let in")
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.Admit("a", 1) == nil || g.Seen("a") != 0 {
+	if g.Admit("a", 1) == nil || g.Highest("a") != 0 {
 		t.Error("let in without a disk")
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -63,32 +63,32 @@
 
 func TestCallsAreGuarded(t *testing.T) {
 	g, _ := Open("")
-	done := 0
-	s := httptest.NewServer(g.Guard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { done++ })))
+	calls := 0
+	s := httptest.NewServer(g.Guard(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { calls++ })))
 	defer s.Close()
-	for _, c := range []struct {
-		method, fence string
-		status        int
+	for _, call := range []struct {
+		method, header string
+		status         int
 	}{
 		{"PUT", "", 200}, {"PUT", "release 7", 200}, {"PUT", "release 7", 200}, {"PUT", "release 6", 409}, {"PUT", "other 6", 200},
 		{"PUT", "release", 400}, {"PUT", "release x", 400}, {"PUT", "release 0", 400}, {"PUT", " 3", 400}, {"PUT", "release -1", 400},
 		{"GET", "release 1", 200}, {"PUT", "", 200},
 	} {
-		r, _ := http.NewRequest(c.method, s.URL, nil)
-		if c.fence != "" {
-			r.Header.Set(Header, c.fence)
+		r, _ := http.NewRequest(call.method, s.URL, nil)
+		if call.header != "" {
+			r.Header.Set(Header, call.header)
 		}
-		a, err := http.DefaultClient.Do(r)
+		response, err := http.DefaultClient.Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Body.Close()
-		if a.StatusCode != c.status {
-			t.Errorf("%s with %q: %d, want %d", c.method, c.fence, a.StatusCode, c.status)
+		response.Body.Close()
+		if response.StatusCode != call.status {
+			t.Errorf("%s with %q: %d, want %d", call.method, call.header, response.StatusCode, call.status)
 		}
 	}
-	if done != 6 {
-		t.Errorf("%d calls came through, want 6", done)
+	if calls != 6 {
+		t.Errorf("%d calls came through, want 6", calls)
 	}
 }
 
--- a/fence/redisfence/redisfence.go
+++ b/fence/redisfence/redisfence.go
@@ -14,16 +14,16 @@
 	"junctionring/fence"
 )
 
-// Text is the script, as the store runs it: KEYS are the value's and the token's, ARGV the token and the value. It
+// ScriptText is the script, as the store runs it: KEYS are the value's and the token's, ARGV the token and the value. It
 // returns the token that overtook this one, or nothing. Tokens are compared as text of one length: the store's numbers
 // hold 53 bits, and a token has 64.
-const Text = `local seen = redis.call('GET', KEYS[2])
+const ScriptText = `local seen = redis.call('GET', KEYS[2])
 if seen and seen > ARGV[1] then return seen end
 redis.call('SET', KEYS[2], ARGV[1])
 redis.call('SET', KEYS[1], ARGV[2])
 return false`
 
-var script = redis.NewScript(Text)
+var script = redis.NewScript(ScriptText)
 
 // Store writes to a Redis store under leases.
 type Store struct {
@@ -48,5 +48,5 @@
 	if err != nil {
 		return fmt.Errorf("lease %s: the store holds %q for its token", lease, seen)
 	}
-	return &fence.Stale{Name: lease, Token: token, Seen: n}
+	return &fence.StaleTokenError{Name: lease, Token: token, Seen: n}
 }
--- a/fence/redisfence/redisfence_test.go
+++ b/fence/redisfence/redisfence_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	store.Script(Text, func(get func(string) (string, bool), set func(key, value string), keys, args []string) (string, bool) {
+	store.Script(ScriptText, func(get func(string) (string, bool), set func(key, value string), keys, args []string) (string, bool) {
 		if seen, there := get(keys[1]); there && seen > args[0] {
 			return seen, true
 		}
@@ -40,7 +40,7 @@
 		{"late", math.MaxUint64 - 1, true}, // they differ beyond the 53 bits of a store's number
 	} {
 		err := s.Set(t.Context(), "plan", w.value, "export", w.token)
-		var stale *fence.Stale
+		var stale *fence.StaleTokenError
 		if errors.As(err, &stale) != w.stale || err != nil && !w.stale {
 			t.Errorf("%s under %d: %v", w.value, w.token, err)
 		}
--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -121,7 +121,7 @@
 func (n *Node) command(x entry) {
 	e := n.g.State.Apply(*x.Cmd)
 	if s := n.raft.BasicStatus(); x.Cmd.Op == lease.Lead && x.Cmd.Term == s.GetTerm() && s.RaftState == raft.StateLeader {
-		n.watch = lease.NewWatch(n.clock(), n.g.State, n.c.Life.Duration)
+		n.watch = lease.NewExpiryTracker(n.clock(), n.g.State, n.c.Life.Duration)
 		n.log.Info("in office", "term", x.Cmd.Term, "sessions", len(n.g.State.Sessions), "sealed", n.g.State.Sealed)
 	} else if n.watch != nil {
 		n.watch.Applied(n.clock(), n.g.State, *x.Cmd, e)
@@ -135,7 +135,7 @@
 		return
 	}
 	n.report(x.Cmd, e)
-	for _, id := range e.Touched {
+	for _, id := range e.AffectedSessions {
 		st := n.streams[id]
 		if st == nil {
 			continue
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, c := range e.Changes { // without who sees it a unit is out of sight
-		if (c.Kind == lease.Silent || c.Kind == lease.Left) && (c.Member.Kind == AgentKind || c.Member.Kind == WardenKind) {
+		if (c.Kind == lease.Expired || c.Kind == lease.Left) && (c.Member.Kind == AgentKind || c.Member.Kind == WardenKind) {
 			for unit, u := range n.g.Fleet.Budget.Units {
 				if u.By == c.Member.Name {
 					n.roll(rollout.Command{Op: rollout.Lose, Unit: unit}, nil)
@@ -181,7 +181,7 @@
 	case c.Op == lease.Unseal:
 		n.log.Info("leases are given from now on")
 	}
-	for _, g := range e.Given {
+	for _, g := range e.Granted {
 		n.log.Info("lease given", "lease", g.Name, "token", g.Token, "session", g.Session)
 	}
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -211,7 +211,7 @@
 		t.Fatal(err)
 	}
 	<-held.Lost()
-	if _, _, ok := held.Token(); ok || held.Cause() != lease.Withdrew {
+	if _, _, ok := held.Token(); ok || held.Cause() != lease.CauseRevoked {
 		t.Errorf("a revoked holder may act: %v, %q", ok, held.Cause())
 	}
 	select {
@@ -460,7 +460,7 @@
 func FuzzDecode(f *testing.F) {
 	g := newGroup()
 	g.State.Apply(lease.Command{Op: lease.Lead, Term: 1, Epoch: 1})
-	g.State.Apply(lease.Command{Op: lease.Open, Session: "s", Life: life})
+	g.State.Apply(lease.Command{Op: lease.Open, Session: "s", TTL: life})
 	f.Add(encode(g))
 	f.Add(encode(entry{Cmd: &lease.Command{Op: lease.Acquire, Session: "s", Name: "l", Seq: 1}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/coordinator/node.go
+++ b/internal/coordinator/node.go
@@ -70,7 +70,7 @@
 	applied uint64
 	peers   *peers
 
-	watch     *lease.Watch // nil: not in office
+	watch     *lease.ExpiryTracker // nil: not in office
 	leader    uint64
 	wasLeader bool
 	term      uint64 // of its office
--- a/internal/coordinator/service.go
+++ b/internal/coordinator/service.go
@@ -223,7 +223,7 @@
 		st.close()
 		return
 	}
-	n.propose(lease.Command{Op: lease.Open, Session: st.session, Life: time.Duration(o.LifeMs) * time.Millisecond,
+	n.propose(lease.Command{Op: lease.Open, Session: st.session, TTL: time.Duration(o.LifeMs) * time.Millisecond,
 		Member: o.Member.Lease(), Bounds: n.c.bounds()}, func(e lease.Effect, err error) {
 		switch {
 		case err != nil:
@@ -310,7 +310,7 @@
 			return struct{}{}, status.Errorf(codes.ResourceExhausted, "%d watch already, the most that are told here: come back in %v", len(n.watchers), fullPause)
 		}
 		state := n.g.State
-		missed, ok := state.Missed(a.After)
+		missed, ok := state.ChangesSince(a.After)
 		if a.Whole || !ok {
 			missed = nil
 			for _, id := range slices.Sorted(maps.Keys(state.Sessions)) {
@@ -397,8 +397,8 @@
 		}
 		for _, id := range slices.Sorted(maps.Keys(state.Sessions)) {
 			who := state.Sessions[id]
-			a.Sessions = append(a.Sessions, &leasepb.Session{Id: id, Member: leasepb.FromMember(who.Member), LifeMs: who.Life.Milliseconds(),
-				LeftMs: n.watch.Left(n.clock(), id).Milliseconds()})
+			a.Sessions = append(a.Sessions, &leasepb.Session{Id: id, Member: leasepb.FromMember(who.Member), LifeMs: who.TTL.Milliseconds(),
+				LeftMs: n.watch.Remaining(n.clock(), id).Milliseconds()})
 		}
 		return a, nil
 	})
--- a/internal/lab/leases/roles.go
+++ b/internal/lab/leases/roles.go
@@ -280,7 +280,7 @@
 				if _, err := fmt.Sscanf(in.Text(), "%s %d %s", &e.Lease, &e.Token, &e.Who); err != nil {
 					return
 				}
-				var stale *fence.Stale
+				var stale *fence.StaleTokenError
 				switch err := gate.Admit(e.Lease, e.Token); {
 				case err == nil:
 					e.OK = true
--- a/internal/leaseholder/client.go
+++ b/internal/leaseholder/client.go
@@ -47,7 +47,7 @@
 // Client keeps one session, and a new one when that is lost.
 type Client struct {
 	o     Options
-	rules lease.Rules
+	rules lease.Timing
 	clock func() time.Duration
 	wall  func() time.Duration
 	ask   chan any
@@ -100,10 +100,10 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	c := &Client{o: o, clock: o.Clock, ask: make(chan any, mailbox), ended: make(chan struct{}), leases: map[string]*Lease{},
-		rules: lease.Rules{Life: o.Life, Drift: o.Drift, Margin: o.Margin, Pause: o.Life / 2, Jump: o.Life / 4},
+		rules: lease.Timing{TTL: o.Life, Drift: o.Drift, Margin: o.Margin, MaxPause: o.Life / 2, MaxClockJump: o.Life / 4},
 		pause: backoff.NewExponentialBackOff(), turn: rand.IntN(len(o.Coordinators))}
-	if c.rules.Span() < o.Life/4 {
-		return nil, fmt.Errorf("life %v with a margin of %v and a drift of %g leaves %v to act in", o.Life, o.Margin, o.Drift, c.rules.Span())
+	if c.rules.Validity() < o.Life/4 {
+		return nil, fmt.Errorf("life %v with a margin of %v and a drift of %g leaves %v to act in", o.Life, o.Margin, o.Drift, c.rules.Validity())
 	}
 	begun := time.Now()
 	if c.clock == nil {
@@ -180,7 +180,7 @@
 		c.hangUp()
 		close(c.ended)
 		for _, l := range c.leases {
-			l.end(lease.Asked)
+			l.end(lease.CauseReleased)
 		}
 	}()
 	c.begin()
--- a/internal/leaseholder/hold.go
+++ b/internal/leaseholder/hold.go
@@ -105,7 +105,7 @@
 		case <-lost:
 			lost = nil
 			patience := h.grace
-			if h.lease.Cause() != lease.Withdrew {
+			if h.lease.Cause() != lease.CauseRevoked {
 				patience = 0
 			}
 			h.stop(string(h.lease.Cause()), min(patience, h.lease.Left()-killBefore))
--- a/internal/leaseholder/requests.go
+++ b/internal/leaseholder/requests.go
@@ -17,26 +17,26 @@
 		}
 		m.l.wanted = true
 		c.leases[m.l.Name] = m.l
-		c.h.Want(m.l.Name)
+		c.h.Acquire(m.l.Name)
 	case release:
-		if c.leases[m.l.Name] != m.l || !m.l.wanted && c.h.Phase(m.l.Name) != lease.Withdrawn {
+		if c.leases[m.l.Name] != m.l || !m.l.wanted && c.h.Phase(m.l.Name) != lease.Revoked {
 			if m.done != nil {
 				close(m.done)
 			}
 			return
 		}
 		m.l.wanted, m.l.released = false, m.done
-		c.follow(c.h.Drop(m.l.Name, nil))
-		m.l.end(lease.Asked)
+		c.follow(c.h.Release(m.l.Name, nil))
+		m.l.end(lease.CauseReleased)
 	case report:
 		c.o.Member = m.m
-		c.h.Say(m.m)
+		c.h.Report(m.m)
 	case closing:
 		c.closing = m.done
 		for _, l := range c.leases {
 			l.grant.Store(nil)
 			l.wanted = false
-			l.end(lease.Asked)
+			l.end(lease.CauseReleased)
 		}
 		if c.stream == nil || !c.stream.send(&leasepb.FromHolder{Is: &leasepb.FromHolder_Close{Close: true}}) {
 			c.close() // its life ends it
@@ -51,11 +51,11 @@
 		case lease.Start:
 			l := c.leases[a.Name]
 			if l == nil || !l.wanted {
-				c.h.Drop(a.Name, nil)
+				c.h.Release(a.Name, nil)
 				continue
 			}
 			c.o.Log.Info("lease held", "lease", a.Name, "token", a.Token)
-			until, _ := c.h.Until()
+			until, _ := c.h.ValidUntil()
 			l.grant.Store(&grant{a.Token, until})
 			l.last.Store(int64(until))
 			select {
@@ -69,7 +69,7 @@
 				l.wanted = false
 				l.end(a.Cause)
 			}
-		case lease.Over:
+		case lease.SessionEnded:
 			if c.closing != nil {
 				close(c.closing)
 				c.closing = nil
@@ -90,7 +90,7 @@
 
 // publish tells the process's own threads until when they may act.
 func (c *Client) publish() {
-	until, ok := c.h.Until()
+	until, ok := c.h.ValidUntil()
 	for name, l := range c.leases {
 		g := l.grant.Load()
 		switch {
--- a/internal/leaseholder/session.go
+++ b/internal/leaseholder/session.go
@@ -21,7 +21,7 @@
 	c.hangUp()
 	for name, l := range c.leases {
 		if l.wanted {
-			c.h.Want(name)
+			c.h.Acquire(name)
 		}
 	}
 	c.again(0)
@@ -74,7 +74,7 @@
 func (c *Client) renew() {
 	if c.stream != nil && c.stream.opened {
 		// A stream that has answered nothing for most of a life is of no use.
-		if c.clock()-c.stream.heard > c.rules.Life*2/5 {
+		if c.clock()-c.stream.heard > c.rules.TTL*2/5 {
 			c.o.Log.Warn("the coordinator is silent", "address", c.stream.address)
 			c.again(0)
 			return
@@ -88,7 +88,7 @@
 }
 
 func (c *Client) sendAsk() {
-	a, ok := c.h.Next()
+	a, ok := c.h.NextRequest()
 	if !ok || c.stream == nil || !c.stream.opened || c.asked == a.Seq {
 		return
 	}
@@ -138,12 +138,12 @@
 			c.asked = 0
 		}
 	case *leasepb.ToHolder_Told:
-		c.follow(c.h.Told(now, viewIn(is.Told), nil))
+		c.follow(c.h.ViewReceived(now, viewIn(is.Told), nil))
 	case *leasepb.ToHolder_Gone:
 		if c.closing == nil {
 			c.o.Log.Warn("the coordinators ended the session", "session", c.session)
 		}
-		c.follow(c.h.Gone(nil))
+		c.follow(c.h.SessionGone(nil))
 	case *leasepb.ToHolder_Busy:
 		after := time.Duration(is.Busy.RetryAfterMs) * time.Millisecond
 		c.o.Log.Warn("the coordinators are busy", "why", is.Busy.Why, "after", after)
--- a/internal/leaseholder/watch.go
+++ b/internal/leaseholder/watch.go
@@ -20,7 +20,7 @@
 
 // ChangeWord is a change in a word.
 func ChangeWord(k lease.ChangeKind) string {
-	return map[lease.ChangeKind]string{lease.Joined: "joined", lease.Changed: "changed", lease.Left: "left", lease.Silent: "silent"}[k]
+	return map[lease.ChangeKind]string{lease.Joined: "joined", lease.Changed: "changed", lease.Left: "left", lease.Expired: "silent"}[k]
 }
 
 // Run tells each change in order, none twice, until ctx ends. After a stream was lost, what was missed is told; where
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -9,17 +9,17 @@
 // A pause or a jump that a process can see ends its session, and a slow answer does in time: it stops before its end.
 func TestAHolderStopsBeforeItMust(t *testing.T) {
 	const s = time.Second
-	r := Rules{Life: 10 * s, Drift: 0.01, Margin: s, Pause: 5 * s, Jump: 2 * s}
+	r := Timing{TTL: 10 * s, Drift: 0.01, Margin: s, MaxPause: 5 * s, MaxClockJump: 2 * s}
 	held := func() *Holder {
 		h := NewHolder(r)
 		h.Tick(0, 0, nil)
 		n := h.Renew(0)
-		h.Want("l")
+		h.Acquire("l")
 		h.Renewed(s, n, View{Rev: 2, Held: []Grant{{"l", 7}}}, nil)
 		return h
 	}
-	if span := r.Span(); span >= 9*s || span < 8*s {
-		t.Errorf("of a life of 10 s %v are left to act in", span)
+	if validity := r.Validity(); validity >= 9*s || validity < 8*s {
+		t.Errorf("of a life of 10 s %v are left to act in", validity)
 	}
 	for _, c := range []struct {
 		name       string
@@ -27,35 +27,35 @@
 		want       Cause
 	}{
 		{"in time", []time.Duration{4 * s, 8 * s}, []time.Duration{4 * s, 8 * s}, ""},
-		{"no answer", []time.Duration{4 * s, 8 * s, 9 * s}, []time.Duration{4 * s, 8 * s, 9 * s}, Ran},
-		{"paused", []time.Duration{1 * s, 7 * s}, []time.Duration{1 * s, 7 * s}, Paused},
-		{"suspended: the monotonic clock stood still", []time.Duration{1 * s, 2 * s}, []time.Duration{1 * s, 8 * s}, Jumped},
-		{"the wall clock set back", []time.Duration{1 * s, 2 * s}, []time.Duration{1 * s, -60 * s}, Jumped},
+		{"no answer", []time.Duration{4 * s, 8 * s, 9 * s}, []time.Duration{4 * s, 8 * s, 9 * s}, CauseRenewalTimeout},
+		{"paused", []time.Duration{1 * s, 7 * s}, []time.Duration{1 * s, 7 * s}, CausePaused},
+		{"suspended: the monotonic clock stood still", []time.Duration{1 * s, 2 * s}, []time.Duration{1 * s, 8 * s}, CauseClockJump},
+		{"the wall clock set back", []time.Duration{1 * s, 2 * s}, []time.Duration{1 * s, -60 * s}, CauseClockJump},
 	} {
 		h := held()
-		if token, left, ok := h.May(s, "l"); !ok || token != 7 || left != r.Span()-s {
-			t.Fatalf("it may not act at first: %d %v %v", token, left, ok)
+		if token, remaining, ok := h.MayAct(s, "l"); !ok || token != 7 || remaining != r.Validity()-s {
+			t.Fatalf("it may not act at first: %d %v %v", token, remaining, ok)
 		}
-		var do []any
+		var actions []any
 		for i := range c.mono {
-			do = h.Tick(c.mono[i], c.wall[i], do)
+			actions = h.Tick(c.mono[i], c.wall[i], actions)
 		}
-		why, over := h.Over()
-		if _, _, may := h.May(c.mono[len(c.mono)-1], "l"); over == may || why != c.want {
-			t.Errorf("%s: over for %q, may act %v", c.name, why, may)
+		cause, ended := h.Ended()
+		if _, _, mayAct := h.MayAct(c.mono[len(c.mono)-1], "l"); ended == mayAct || cause != c.want {
+			t.Errorf("%s: over for %q, may act %v", c.name, cause, mayAct)
 		}
-		if want := fmt.Sprint([]any{Stop{Grant{"l", 7}, c.want}, Over{c.want}}); over && fmt.Sprint(do) != want {
-			t.Errorf("%s: %v, want %v", c.name, do, want)
+		if want := fmt.Sprint([]any{Stop{Grant{"l", 7}, c.want}, SessionEnded{c.want}}); ended && fmt.Sprint(actions) != want {
+			t.Errorf("%s: %v, want %v", c.name, actions, want)
 		}
 	}
 }
 
 func TestWatchersMissNothing(t *testing.T) {
 	s := NewState()
-	for i := range 3 * keptChanges {
+	for i := range 3 * retainedChanges {
 		id := fmt.Sprint(i / 2)
 		if i%2 == 0 {
-			s.Apply(Command{Op: Open, Session: id, Life: time.Second})
+			s.Apply(Command{Op: Open, Session: id, TTL: time.Second})
 		} else {
 			s.Apply(Command{Op: Close, Session: id})
 		}
@@ -65,15 +65,15 @@
 		n     int
 		ok    bool
 	}{
-		{s.Seq, 0, true}, {s.Seq - 1, 1, true}, {s.Seq - keptChanges, keptChanges, true}, {s.Seq - keptChanges - 1, 0, false}, {0, 0, false}, {s.Seq + 1, 0, false},
+		{s.Seq, 0, true}, {s.Seq - 1, 1, true}, {s.Seq - retainedChanges, retainedChanges, true}, {s.Seq - retainedChanges - 1, 0, false}, {0, 0, false}, {s.Seq + 1, 0, false},
 	} {
-		missed, ok := s.Missed(c.after)
-		if ok != c.ok || len(missed) != c.n {
-			t.Errorf("after %d: %d, %v; want %d, %v", c.after, len(missed), ok, c.n, c.ok)
+		changes, ok := s.ChangesSince(c.after)
+		if ok != c.ok || len(changes) != c.n {
+			t.Errorf("after %d: %d, %v; want %d, %v", c.after, len(changes), ok, c.n, c.ok)
 		}
-		for i, m := range missed {
-			if m.Seq != c.after+uint64(i)+1 {
-				t.Fatalf("after %d comes %d", c.after, m.Seq)
+		for i, change := range changes {
+			if change.Seq != c.after+uint64(i)+1 {
+				t.Fatalf("after %d comes %d", c.after, change.Seq)
 			}
 		}
 	}
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -12,80 +12,80 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// worldsMost ends a search after the depth at which it is reached; docs/leases.md states what larger ones found.
-var worldsMost = flag.Int("worlds", 5_000, "worlds of each play after which its search ends")
+// maxWorlds ends a search after the depth at which it is reached; docs/leases.md states what larger ones found.
+var maxWorlds = flag.Int("worlds", 5_000, "worlds of each play after which its search ends")
 
 // The world that the model goes through: one group of coordinators, two or three holders of one lease, a network
 // that keeps, loses, doubles and swaps messages, clocks whose rates differ by the most that the rules allow, leaders
 // that change, processes that are paused between their check and their act, revocations, and a backup put back.
 // Whoever acts is judged by the world itself, by what holders may do, never by what the keeper believes.
 const (
-	step      = 10 // units of a true clock
-	life      = 3 * step
-	driftRate = 0.1
+	step       = 10 // units of a true clock
+	sessionTTL = 3 * step
+	driftRate  = 0.1
 )
 
-var rates = [...]int{9, 10, 11} // of the holders' clocks; the leaders' run at 11, against the slowest holder
+var holderRates = [...]int{9, 10, 11} // of the holders' clocks; the leaders' run at 11, against the slowest holder
 
 type message struct {
-	kind    string // renew, arrived (at a leader, not confirmed yet), ask, renewed, answered, told, gone
-	holder  int
-	session string
-	number  uint64
-	ask     Ask
-	term    uint64
-	at      time.Duration
-	outcome Outcome
-	view    View
+	kind       string // renew, arrived (at a leader, not confirmed yet), ask, renewed, answered, told, gone
+	holder     int
+	session    string
+	number     uint64
+	request    Request
+	term       uint64
+	receivedAt time.Duration
+	outcome    Outcome
+	view       View
 }
 
-// budgets are how often each thing may still happen.
-type budgets struct{ lost, doubled, leaders, pauses, revokes, restores, drops, wants, renews, again, old, anew int }
+// budget are how often each thing may still happen.
+type budget struct{ lost, duplicated, leaders, pauses, revokes, restores, releases, acquires, renewals, resends, deposedCommands, newSessions int }
 
 type process struct {
-	h       *Holder
-	session string
-	born    int
-	paused  bool
-	stuck   uint64 // token of an act that was checked before the pause and is done after it
+	h           *Holder
+	session     string
+	sessions    int
+	paused      bool
+	pausedToken uint64 // token of an act that was checked before the pause and is done after it
 }
 
 type world struct {
-	now      int
-	state    *State
-	watch    *Watch
-	backup   *State
-	pending  []Command // proposed by the leader, not applied yet
-	zombie   *Watch    // a leader that doesn't know yet that it isn't
-	before   *State    // and what it knows
-	ps       []process
-	net      []message
-	seen     uint64 // by the guarded thing
-	acted    uint64 // by the judge: the highest token under which anybody acted
-	actor    string // and who
-	left     budgets
-	without  guard
-	unfenced bool
-	broken   string
+	now           int
+	state         *State
+	watch         *ExpiryTracker
+	backup        *State
+	pending       []Command      // proposed by the leader, not applied yet
+	deposed       *ExpiryTracker // a leader that doesn't know yet that it isn't
+	deposedState  *State         // and what it knows
+	processes     []process
+	network       []message
+	fenceToken    uint64 // by the guarded thing
+	highestActed  uint64 // by the judge: the highest token under which anybody acted
+	lastActor     string // and who
+	budget        budget
+	disabledGuard guard
+	fenceDisabled bool
+	violation     string
 }
 
-func rules() Rules {
-	return Rules{Life: life, Drift: driftRate, Margin: 2, Pause: 0, Jump: 0}
+func timing() Timing {
+	return Timing{TTL: sessionTTL, Drift: driftRate, Margin: 2, MaxPause: 0, MaxClockJump: 0}
 }
 
-func (w *world) clock(i int) time.Duration { return time.Duration(1000 + w.now*rates[i]) }
-func (w *world) leads() time.Duration      { return time.Duration(500 + w.now*11) }
+func (w *world) holderClock(i int) time.Duration { return time.Duration(1000 + w.now*holderRates[i]) }
+func (w *world) leaderClock() time.Duration      { return time.Duration(500 + w.now*11) }
 
-func newWorld(holders int, left budgets, without guard) *world {
+func newWorld(holders int, allowed budget, without guard) *world {
 	s := NewState()
-	s.without = without
+	s.disabledGuard = without
 	s.Apply(Command{Op: Lead, Term: 1, Epoch: 1})
 	s.Sealed = false
-	w := &world{state: s, left: left, without: without}
-	w.watch = NewWatch(w.leads(), s, life)
+	w := &world{state: s, budget: allowed, disabledGuard: without}
+	w.watch = NewExpiryTracker(w.leaderClock(), s, sessionTTL)
 	w.backup = copyState(s)
 	for i := range holders {
-		w.ps = append(w.ps, process{})
+		w.processes = append(w.processes, process{})
 		w.open(i)
 		w.deliver(w.take(0))
 		w.deliver(w.take(0))
@@ -95,25 +95,25 @@
 
 // open begins a session: its renewal with the number 1 carries the wish to open it.
 func (w *world) open(i int) {
-	p := &w.ps[i]
-	p.born++
-	p.session = fmt.Sprintf("s%d.%d", i, p.born)
-	p.h = NewHolder(rules())
-	p.h.without = w.without
-	w.net = append(w.net, message{kind: "open", holder: i, session: p.session, number: p.h.Renew(w.clock(i))})
+	p := &w.processes[i]
+	p.sessions++
+	p.session = fmt.Sprintf("s%d.%d", i, p.sessions)
+	p.h = NewHolder(timing())
+	p.h.disabledGuard = w.disabledGuard
+	w.network = append(w.network, message{kind: "open", holder: i, session: p.session, number: p.h.Renew(w.holderClock(i))})
 }
 
 func (w *world) take(i int) message {
-	m := w.net[i]
-	w.net = slices.Delete(w.net, i, i+1)
+	m := w.network[i]
+	w.network = slices.Delete(w.network, i, i+1)
 	return m
 }
 
-func (w *world) tell(e Effect) {
-	for _, id := range e.Touched {
-		for i, p := range w.ps {
+func (w *world) notify(e Effect) {
+	for _, id := range e.AffectedSessions {
+		for i, p := range w.processes {
 			if v, ok := w.state.View(id); p.session == id && ok {
-				w.net = append(w.net, message{kind: "told", holder: i, session: id, view: v})
+				w.network = append(w.network, message{kind: "told", holder: i, session: id, view: v})
 			}
 		}
 	}
@@ -121,18 +121,18 @@
 
 func (w *world) apply(c Command) Effect {
 	e := w.state.Apply(c)
-	w.watch.Applied(w.leads(), w.state, c, e)
-	w.tell(e)
+	w.watch.Applied(w.leaderClock(), w.state, c, e)
+	w.notify(e)
 	return e
 }
 
 func (w *world) deliver(m message) {
-	p := &w.ps[m.holder]
+	p := &w.processes[m.holder]
 	answer := func(k string, o Outcome, v View) {
-		w.net = append(w.net, message{kind: k, holder: m.holder, session: m.session, number: m.number, ask: m.ask, outcome: o, view: v})
+		w.network = append(w.network, message{kind: k, holder: m.holder, session: m.session, number: m.number, request: m.request, outcome: o, view: v})
 	}
 	confirm := func() {
-		if !w.watch.Renewed(m.at, w.state, m.session) {
+		if !w.watch.Renewed(m.receivedAt, w.state, m.session) {
 			answer("gone", Outcome{}, View{})
 			return
 		}
@@ -141,27 +141,27 @@
 	}
 	switch m.kind {
 	case "open":
-		w.apply(Command{Op: Open, Session: m.session, Life: life})
-		m.at = w.leads()
+		w.apply(Command{Op: Open, Session: m.session, TTL: sessionTTL})
+		m.receivedAt = w.leaderClock()
 		confirm()
 	case "renew":
-		if w.zombie != nil && w.without == leaderConfirmed { // the one that is not the leader any more answers at once
-			if w.zombie.Renewed(w.leads(), w.before, m.session) {
-				v, _ := w.before.View(m.session)
+		if w.deposed != nil && w.disabledGuard == guardLeaderConfirmed { // the one that is not the leader any more answers at once
+			if w.deposed.Renewed(w.leaderClock(), w.deposedState, m.session) {
+				v, _ := w.deposedState.View(m.session)
 				answer("renewed", Outcome{}, v)
 			}
 			return
 		}
-		m.kind, m.at, m.term = "arrived", w.leads(), w.state.Term
-		w.net = append(w.net, m)
+		m.kind, m.receivedAt, m.term = "arrived", w.leaderClock(), w.state.Term
+		w.network = append(w.network, m)
 	case "arrived":
 		if m.term == w.state.Term {
 			confirm()
 		}
 	case "ask":
-		e := w.apply(Command{Op: m.ask.Op, Session: m.session, Seq: m.ask.Seq, Name: "l", Token: m.ask.Token})
-		v, there := w.state.View(m.session)
-		if !there { // as the coordinator does: an unknown lease is an answer like others
+		e := w.apply(Command{Op: m.request.Op, Session: m.session, Seq: m.request.Seq, Name: "l", Token: m.request.Token})
+		v, exists := w.state.View(m.session)
+		if !exists { // as the coordinator does: an unknown lease is an answer like others
 			answer("gone", Outcome{}, View{})
 			return
 		}
@@ -170,103 +170,103 @@
 		if m.session != p.session {
 			return
 		}
-		now := w.clock(m.holder)
+		now := w.holderClock(m.holder)
 		p.h.Tick(now, now, nil)
 		switch m.kind {
 		case "renewed":
 			p.h.Renewed(now, m.number, m.view, nil)
 		case "answered":
-			p.h.Answered(now, m.ask.Seq, m.outcome, m.view, nil)
+			p.h.Answered(now, m.request.Seq, m.outcome, m.view, nil)
 		case "told":
-			p.h.Told(now, m.view, nil)
+			p.h.ViewReceived(now, m.view, nil)
 		case "gone":
 			if _, ok := w.state.Sessions[p.session]; !ok {
-				p.h.Gone(nil)
+				p.h.SessionGone(nil)
 			}
 		}
 	}
 }
 
-// passes lets one step of time pass: everybody looks at the clock.
-func (w *world) passes() {
+// advanceTime lets one step of time pass: everybody looks at the clock.
+func (w *world) advanceTime() {
 	w.now++
-	for i := range w.ps {
-		if !w.ps[i].paused {
-			w.ps[i].h.Tick(w.clock(i), w.clock(i), nil)
+	for i := range w.processes {
+		if !w.processes[i].paused {
+			w.processes[i].h.Tick(w.holderClock(i), w.holderClock(i), nil)
 		}
 	}
-	w.pending = append(w.pending, w.watch.Due(w.leads(), w.state)...)
-	if w.zombie != nil && w.left.old > 0 { // raft would drop what a deposed leader proposes; nothing may hang on it
-		if due := w.zombie.Due(w.leads(), w.before); len(due) > 0 {
-			w.left.old--
+	w.pending = append(w.pending, w.watch.Due(w.leaderClock(), w.state)...)
+	if w.deposed != nil && w.budget.deposedCommands > 0 { // raft would drop what a deposed leader proposes; nothing may hang on it
+		if due := w.deposed.Due(w.leaderClock(), w.deposedState); len(due) > 0 {
+			w.budget.deposedCommands--
 			w.pending = append(w.pending, due...)
 		}
 	}
 }
 
-func (w *world) newLeader(keep bool) {
-	w.zombie, w.before = w.watch, copyState(w.state)
-	late := w.pending
+func (w *world) newLeader(applyPending bool) {
+	w.deposed, w.deposedState = w.watch, copyState(w.state)
+	proposed := w.pending
 	w.pending = nil
-	if keep {
-		for _, c := range late {
-			w.tell(w.state.Apply(c))
+	if applyPending {
+		for _, c := range proposed {
+			w.notify(w.state.Apply(c))
 		}
-		late = nil
+		proposed = nil
 	}
 	w.state.Apply(Command{Op: Lead, Term: w.state.Term + 1, Epoch: 1})
-	w.watch = NewWatch(w.leads(), w.state, life)
-	w.pending = late // raft would drop them; that they count for nothing must not hang on it
+	w.watch = NewExpiryTracker(w.leaderClock(), w.state, sessionTTL)
+	w.pending = proposed // raft would drop them; that they count for nothing must not hang on it
 }
 
-// acts lets everybody act who may, and judges.
-func (w *world) acts() {
-	who := -1
-	for i := range w.ps {
-		p := &w.ps[i]
-		if s := w.state.Sessions[p.session]; w.without != stopBeforeRelease && s != nil && p.h.Phase("l") == Queued && len(s.Waits)+len(s.Holds) == 0 && s.Claimed <= p.h.rev {
-			w.broken = fmt.Sprintf("the queue lost holder %d", i)
+// actAll lets everybody act who may, and judges.
+func (w *world) actAll() {
+	acting := -1
+	for i := range w.processes {
+		p := &w.processes[i]
+		if s := w.state.Sessions[p.session]; w.disabledGuard != guardStopBeforeRelease && s != nil && p.h.Phase("l") == Queued && len(s.Waits)+len(s.Holds) == 0 && s.LeasesRev <= p.h.rev {
+			w.violation = fmt.Sprintf("the queue lost holder %d", i)
 		}
 		if p.paused {
 			continue
 		}
-		token, _, ok := p.h.May(w.clock(i), "l")
+		token, _, ok := p.h.MayAct(w.holderClock(i), "l")
 		if !ok {
 			continue
 		}
-		if who >= 0 {
-			w.broken = fmt.Sprintf("holders %d and %d may both act", who, i)
+		if acting >= 0 {
+			w.violation = fmt.Sprintf("holders %d and %d may both act", acting, i)
 		}
-		who = i
+		acting = i
 		w.act(p.session, token)
 	}
 }
 
 func (w *world) act(session string, token uint64) {
-	if token < w.seen && !w.unfenced {
+	if token < w.fenceToken && !w.fenceDisabled {
 		return
 	}
-	w.seen = max(w.seen, token)
-	if token < w.acted {
-		w.broken = fmt.Sprintf("an act under token %x was let in after one under %x", token, w.acted)
+	w.fenceToken = max(w.fenceToken, token)
+	if token < w.highestActed {
+		w.violation = fmt.Sprintf("an act under token %x was let in after one under %x", token, w.highestActed)
 	}
-	if token == w.acted && session != w.actor {
-		w.broken = fmt.Sprintf("%s acted under the token of %s", session, w.actor)
+	if token == w.highestActed && session != w.lastActor {
+		w.violation = fmt.Sprintf("%s acted under the token of %s", session, w.lastActor)
 	}
-	if token >= w.acted {
-		w.acted, w.actor = token, session
+	if token >= w.highestActed {
+		w.highestActed, w.lastActor = token, session
 	}
 }
 
 type event struct {
 	name string
-	do   func(w *world)
+	run  func(w *world)
 }
 
 // events are all that may happen next.
 func (w *world) events() (all []event) {
-	add := func(name string, do func(w *world)) { all = append(all, event{name, do}) }
-	add("a step of time", (*world).passes)
+	add := func(name string, run func(w *world)) { all = append(all, event{name, run}) }
+	add("a step of time", (*world).advanceTime)
 	if len(w.pending) > 0 {
 		add("the leader's command is applied", func(w *world) {
 			c := w.pending[0]
@@ -274,93 +274,93 @@
 			w.apply(c)
 		})
 	}
-	for i, m := range w.net {
-		if w.ps[m.holder].paused && (m.kind != "open" && m.kind != "renew" && m.kind != "ask" && m.kind != "arrived") {
+	for i, m := range w.network {
+		if w.processes[m.holder].paused && (m.kind != "open" && m.kind != "renew" && m.kind != "ask" && m.kind != "arrived") {
 			continue
 		}
 		name := fmt.Sprintf("%s of %s", m.kind, m.session)
 		add(name+" comes", func(w *world) { w.deliver(w.take(i)) })
-		if w.left.doubled > 0 {
-			add(name+" comes and will come again", func(w *world) { w.left.doubled--; w.deliver(w.net[i]) })
+		if w.budget.duplicated > 0 {
+			add(name+" comes and will come again", func(w *world) { w.budget.duplicated--; w.deliver(w.network[i]) })
 		}
-		if w.left.lost > 0 {
-			add(name+" is lost", func(w *world) { w.left.lost--; w.take(i) })
+		if w.budget.lost > 0 {
+			add(name+" is lost", func(w *world) { w.budget.lost--; w.take(i) })
 		}
 	}
-	for i := range w.ps {
-		p := &w.ps[i]
+	for i := range w.processes {
+		p := &w.processes[i]
 		if p.paused {
 			add(fmt.Sprintf("holder %d goes on", i), func(w *world) {
-				p := &w.ps[i]
+				p := &w.processes[i]
 				p.paused = false
-				if p.stuck != 0 {
-					w.act(p.session, p.stuck)
+				if p.pausedToken != 0 {
+					w.act(p.session, p.pausedToken)
 				}
-				p.stuck = 0
-				p.h.Tick(w.clock(i), w.clock(i), nil)
+				p.pausedToken = 0
+				p.h.Tick(w.holderClock(i), w.holderClock(i), nil)
 			})
 			continue
 		}
-		if _, over := p.h.Over(); over {
-			if w.left.anew > 0 {
-				add(fmt.Sprintf("holder %d begins anew", i), func(w *world) { w.left.anew--; w.open(i) })
+		if _, over := p.h.Ended(); over {
+			if w.budget.newSessions > 0 {
+				add(fmt.Sprintf("holder %d begins anew", i), func(w *world) { w.budget.newSessions--; w.open(i) })
 			}
 			continue
 		}
-		if w.left.renews > 0 {
+		if w.budget.renewals > 0 {
 			add(fmt.Sprintf("holder %d renews", i), func(w *world) {
-				w.left.renews--
-				w.net = append(w.net, message{kind: "renew", holder: i, session: w.ps[i].session, number: w.ps[i].h.Renew(w.clock(i))})
+				w.budget.renewals--
+				w.network = append(w.network, message{kind: "renew", holder: i, session: w.processes[i].session, number: w.processes[i].h.Renew(w.holderClock(i))})
 			})
 		}
-		if p.h.Phase("l") == None && w.left.wants > 0 {
-			add(fmt.Sprintf("holder %d wants", i), func(w *world) { w.left.wants--; w.ps[i].h.Want("l"); w.ask(i) })
+		if p.h.Phase("l") == None && w.budget.acquires > 0 {
+			add(fmt.Sprintf("holder %d wants", i), func(w *world) { w.budget.acquires--; w.processes[i].h.Acquire("l"); w.sendRequest(i) })
 		}
-		if p.h.Phase("l") != None && p.h.Phase("l") != Leaving && (w.left.drops > 0 || p.h.Phase("l") == Withdrawn) {
+		if p.h.Phase("l") != None && p.h.Phase("l") != Releasing && (w.budget.releases > 0 || p.h.Phase("l") == Revoked) {
 			add(fmt.Sprintf("holder %d gives back", i), func(w *world) {
-				if w.ps[i].h.Phase("l") != Withdrawn {
-					w.left.drops--
+				if w.processes[i].h.Phase("l") != Revoked {
+					w.budget.releases--
 				}
-				w.ps[i].h.Drop("l", nil)
-				w.ask(i)
+				w.processes[i].h.Release("l", nil)
+				w.sendRequest(i)
 			})
 		}
-		if a, ok := p.h.Next(); ok && w.left.again > 0 && !slices.ContainsFunc(w.net, func(m message) bool { return m.kind == "ask" && m.ask.Seq == a.Seq && m.holder == i }) {
-			add(fmt.Sprintf("holder %d asks again", i), func(w *world) { w.left.again--; w.ask(i) })
+		if a, ok := p.h.NextRequest(); ok && w.budget.resends > 0 && !slices.ContainsFunc(w.network, func(m message) bool { return m.kind == "ask" && m.request.Seq == a.Seq && m.holder == i }) {
+			add(fmt.Sprintf("holder %d asks again", i), func(w *world) { w.budget.resends--; w.sendRequest(i) })
 		}
-		if w.left.pauses > 0 {
+		if w.budget.pauses > 0 {
 			add(fmt.Sprintf("holder %d is paused in its act", i), func(w *world) {
-				w.left.pauses--
-				w.ps[i].paused = true
-				w.ps[i].stuck, _, _ = w.ps[i].h.May(w.clock(i), "l")
+				w.budget.pauses--
+				w.processes[i].paused = true
+				w.processes[i].pausedToken, _, _ = w.processes[i].h.MayAct(w.holderClock(i), "l")
 			})
 		}
 	}
-	if w.left.leaders > 0 {
-		add("another leader, what was proposed stays", func(w *world) { w.left.leaders--; w.newLeader(true) })
+	if w.budget.leaders > 0 {
+		add("another leader, what was proposed stays", func(w *world) { w.budget.leaders--; w.newLeader(true) })
 		if len(w.pending) > 0 {
-			add("another leader, what was proposed comes late", func(w *world) { w.left.leaders--; w.newLeader(false) })
+			add("another leader, what was proposed comes late", func(w *world) { w.budget.leaders--; w.newLeader(false) })
 		}
 	}
-	if l := w.state.Leases["l"]; w.left.revokes > 0 && l != nil && l.Holder != "" {
-		add("an operator revokes", func(w *world) { w.left.revokes--; w.apply(Command{Op: Revoke, Name: "l"}) })
+	if l := w.state.Leases["l"]; w.budget.revokes > 0 && l != nil && l.Holder != "" {
+		add("an operator revokes", func(w *world) { w.budget.revokes--; w.apply(Command{Op: Revoke, Name: "l"}) })
 	}
-	if w.left.restores > 0 {
+	if w.budget.restores > 0 {
 		add("the backup is put back", func(w *world) {
-			w.left.restores--
+			w.budget.restores--
 			w.state = copyState(w.backup)
 			w.state.Restored = true
 			w.pending = nil
 			w.newLeader(true)
-			w.zombie = nil
+			w.deposed = nil
 		})
 	}
 	return all
 }
 
-func (w *world) ask(i int) {
-	if a, ok := w.ps[i].h.Next(); ok {
-		w.net = append(w.net, message{kind: "ask", holder: i, session: w.ps[i].session, ask: a})
+func (w *world) sendRequest(i int) {
+	if a, ok := w.processes[i].h.NextRequest(); ok {
+		w.network = append(w.network, message{kind: "ask", holder: i, session: w.processes[i].session, request: a})
 	}
 }
 
@@ -381,27 +381,27 @@
 	return &c
 }
 
-func copyWatch(w *Watch) *Watch {
+func copyWatch(w *ExpiryTracker) *ExpiryTracker {
 	if w == nil {
 		return nil
 	}
 	c := *w
-	c.ends, c.ending, c.revoked = maps.Clone(w.ends), maps.Clone(w.ending), maps.Clone(w.revoked)
+	c.expiresAt, c.expiring, c.revoked = maps.Clone(w.expiresAt), maps.Clone(w.expiring), maps.Clone(w.revoked)
 	return &c
 }
 
 func (w *world) copy() *world {
 	c := *w
-	c.state, c.watch, c.zombie = copyState(w.state), copyWatch(w.watch), copyWatch(w.zombie)
-	c.pending, c.net, c.ps = slices.Clone(w.pending), slices.Clone(w.net), slices.Clone(w.ps)
-	for i := range c.ps {
-		h := *w.ps[i].h
-		h.sent, h.wants, h.asks = maps.Clone(h.sent), map[string]*want{}, slices.Clone(h.asks)
-		for k, v := range w.ps[i].h.wants {
+	c.state, c.watch, c.deposed = copyState(w.state), copyWatch(w.watch), copyWatch(w.deposed)
+	c.pending, c.network, c.processes = slices.Clone(w.pending), slices.Clone(w.network), slices.Clone(w.processes)
+	for i := range c.processes {
+		h := *w.processes[i].h
+		h.sentAt, h.leases, h.requests = maps.Clone(h.sentAt), map[string]*localLease{}, slices.Clone(h.requests)
+		for k, v := range w.processes[i].h.leases {
 			n := *v
-			h.wants[k] = &n
+			h.leases[k] = &n
 		}
-		c.ps[i].h = &h
+		c.processes[i].h = &h
 	}
 	return &c
 }
@@ -410,40 +410,40 @@
 func (w *world) key() string {
 	var b strings.Builder
 	s := w.state
-	fmt.Fprint(&b, s.Term, s.Token, s.Sealed, s.Rev, w.seen, w.acted, w.left, "|")
+	fmt.Fprint(&b, s.Term, s.Token, s.Sealed, s.Rev, w.fenceToken, w.highestActed, w.budget, "|")
 	for _, id := range sortedKeys(s.Sessions) {
 		v := s.Sessions[id]
-		fmt.Fprint(&b, id, v.Seq, v.Last, w.watch.ends[id]-w.leads(), w.watch.ending[id], ";")
+		fmt.Fprint(&b, id, v.Seq, v.Last, w.watch.expiresAt[id]-w.leaderClock(), w.watch.expiring[id], ";")
 	}
 	for _, id := range sortedKeys(s.Leases) {
-		fmt.Fprint(&b, *s.Leases[id], w.watch.revoked[id].frees-w.leads(), ";")
+		fmt.Fprint(&b, *s.Leases[id], w.watch.revoked[id].freeAt-w.leaderClock(), ";")
 	}
 	if s.Sealed {
-		fmt.Fprint(&b, w.watch.unseal-w.leads())
+		fmt.Fprint(&b, w.watch.unsealAt-w.leaderClock())
 	}
-	if w.zombie != nil && w.without == leaderConfirmed {
-		fmt.Fprint(&b, "z", w.before.Rev)
+	if w.deposed != nil && w.disabledGuard == guardLeaderConfirmed {
+		fmt.Fprint(&b, "z", w.deposedState.Rev)
 	}
 	fmt.Fprint(&b, w.pending, "|")
-	for i := range w.ps {
-		p := &w.ps[i]
+	for i := range w.processes {
+		p := &w.processes[i]
 		h := p.h
-		fmt.Fprint(&b, p.session, p.paused, p.stuck, h.over)
-		if h.over != "" {
+		fmt.Fprint(&b, p.session, p.paused, p.pausedToken, h.endCause)
+		if h.endCause != "" {
 			continue
 		}
-		fmt.Fprint(&b, h.alive, h.until-w.clock(i), h.rev, h.number, h.asks, h.seq)
-		for _, n := range slices.Sorted(maps.Keys(h.sent)) {
-			fmt.Fprint(&b, n, h.sent[n]-w.clock(i), ",")
+		fmt.Fprint(&b, h.renewedOnce, h.validUntil-w.holderClock(i), h.rev, h.lastRenewal, h.requests, h.lastSeq)
+		for _, n := range slices.Sorted(maps.Keys(h.sentAt)) {
+			fmt.Fprint(&b, n, h.sentAt[n]-w.holderClock(i), ",")
 		}
-		if l := h.wants["l"]; l != nil {
+		if l := h.leases["l"]; l != nil {
 			fmt.Fprint(&b, *l)
 		}
 	}
-	lines := make([]string, 0, len(w.net))
-	for _, m := range w.net {
+	lines := make([]string, 0, len(w.network))
+	for _, m := range w.network {
 		if m.kind == "arrived" {
-			m.at -= w.leads()
+			m.receivedAt -= w.leaderClock()
 		}
 		lines = append(lines, fmt.Sprint(m))
 	}
@@ -454,189 +454,189 @@
 
 // explore goes through every order of events, breadth first, to a depth or a number of worlds, and returns the
 // shortest way to a world that is broken.
-func explore(from *world, depth, most int) (trail []string, broken string, worlds, level int) {
+func explore(from *world, depth, limit int) (trace []string, violation string, worlds, reached int) {
 	type node struct {
-		w    *world
-		from int
-		how  string
+		w     *world
+		from  int
+		event string
 	}
 	seen := map[uint64]bool{}
 	nodes := []node{{w: from, from: -1}}
 	next := 1
-	for at := 0; at < len(nodes); at++ {
-		if at == next {
-			if level++; level == depth || len(nodes) > most {
+	for index := 0; index < len(nodes); index++ {
+		if index == next {
+			if reached++; reached == depth || len(nodes) > limit {
 				break
 			}
 			next = len(nodes)
 		}
-		w := nodes[at].w
-		nodes[at].w = nil
+		w := nodes[index].w
+		nodes[index].w = nil
 		for _, e := range w.events() {
 			c := w.copy()
-			e.do(c)
-			c.acts()
+			e.run(c)
+			c.actAll()
 			if k := xxhash.Sum64String(c.key()); !seen[k] {
 				seen[k] = true
 				if len(nodes)%64 == 0 {
-					if err := c.copy().settled(); err != nil {
-						c.broken = err.Error()
+					if err := c.copy().converges(); err != nil {
+						c.violation = err.Error()
 					}
 				}
-				nodes = append(nodes, node{c, at, e.name})
+				nodes = append(nodes, node{c, index, e.name})
 			}
-			if c.broken != "" {
-				trail = []string{e.name}
-				for n := at; n > 0; n = nodes[n].from {
-					trail = append(trail, nodes[n].how)
+			if c.violation != "" {
+				trace = []string{e.name}
+				for n := index; n > 0; n = nodes[n].from {
+					trace = append(trace, nodes[n].event)
 				}
-				slices.Reverse(trail)
-				return trail, c.broken, len(nodes), level
+				slices.Reverse(trace)
+				return trace, c.violation, len(nodes), reached
 			}
 		}
 	}
-	return nil, "", len(nodes), level
+	return nil, "", len(nodes), reached
 }
 
-// settled lets all faults end and everybody run: within a stated time somebody holds the lease, and everyone who
+// converges lets all faults end and everybody run: within a stated time somebody holds the lease, and everyone who
 // waits gets it in turn when each gives it back as soon as it has it.
-func (w *world) settled() error {
-	w.left, w.zombie = budgets{}, nil
+func (w *world) converges() error {
+	w.budget, w.deposed = budget{}, nil
 	got := map[int]bool{}
-	for i := range w.ps {
-		p := &w.ps[i]
-		p.paused, p.stuck = false, 0
-		p.h.Tick(w.clock(i), w.clock(i), nil)
+	for i := range w.processes {
+		p := &w.processes[i]
+		p.paused, p.pausedToken = false, 0
+		p.h.Tick(w.holderClock(i), w.holderClock(i), nil)
 	}
 	for range 40 { // steps: the life of a session and its renewal, for each holder in turn
-		for i := range w.ps {
-			p := &w.ps[i]
-			if _, over := p.h.Over(); over {
+		for i := range w.processes {
+			p := &w.processes[i]
+			if _, over := p.h.Ended(); over {
 				w.open(i)
-			} else if len(p.h.sent) < 8 {
-				w.net = append(w.net, message{kind: "renew", holder: i, session: p.session, number: p.h.Renew(w.clock(i))})
+			} else if len(p.h.sentAt) < 8 {
+				w.network = append(w.network, message{kind: "renew", holder: i, session: p.session, number: p.h.Renew(w.holderClock(i))})
 			}
-			if phase := p.h.Phase("l"); phase == Withdrawn {
-				p.h.Drop("l", nil)
+			if phase := p.h.Phase("l"); phase == Revoked {
+				p.h.Release("l", nil)
 			} else if phase == None && !got[i] {
-				p.h.Want("l")
+				p.h.Acquire("l")
 			}
-			w.ask(i)
+			w.sendRequest(i)
 		}
 		for range 200 {
 			if len(w.pending) > 0 {
 				c := w.pending[0]
 				w.pending = w.pending[1:]
 				w.apply(c)
-			} else if len(w.net) > 0 {
+			} else if len(w.network) > 0 {
 				w.deliver(w.take(0))
 			} else {
 				break
 			}
 		}
-		w.acts()
-		for i := range w.ps {
-			if _, _, ok := w.ps[i].h.May(w.clock(i), "l"); ok {
+		w.actAll()
+		for i := range w.processes {
+			if _, _, ok := w.processes[i].h.MayAct(w.holderClock(i), "l"); ok {
 				got[i] = true
-				w.ps[i].h.Drop("l", nil)
+				w.processes[i].h.Release("l", nil)
 			}
 		}
-		if len(got) == len(w.ps) {
+		if len(got) == len(w.processes) {
 			return nil
 		}
-		w.passes()
+		w.advanceTime()
 	}
 	return fmt.Errorf("40 steps after the last fault only %v had the lease", slices.Collect(maps.Keys(got)))
 }
 
-var plays = []struct {
+var scenarios = []struct {
 	name    string
 	holders int
-	left    budgets
+	budget  budget
 	depth   int
-	ready   func(w *world)
+	setup   func(w *world)
 }{
-	{"two holders from nothing", 2, budgets{lost: 1, doubled: 1, leaders: 1, wants: 2, drops: 1, renews: 2, again: 1, anew: 1}, 12, nil},
-	{"one holds, one waits", 2, budgets{lost: 1, doubled: 1, leaders: 1, pauses: 1, wants: 1, drops: 1, renews: 2, again: 1, old: 1, anew: 1}, 12, contended},
-	{"revoked", 2, budgets{lost: 1, revokes: 1, leaders: 1, pauses: 1, renews: 2, old: 1}, 16, contended},
-	{"a backup put back", 2, budgets{restores: 1, pauses: 1, lost: 1, wants: 1, renews: 2, anew: 1}, 16, contended},
-	{"three holders", 3, budgets{leaders: 1, pauses: 1, lost: 1, drops: 1, renews: 2, old: 1}, 12, contended},
+	{"two holders from nothing", 2, budget{lost: 1, duplicated: 1, leaders: 1, acquires: 2, releases: 1, renewals: 2, resends: 1, newSessions: 1}, 12, nil},
+	{"one holds, one waits", 2, budget{lost: 1, duplicated: 1, leaders: 1, pauses: 1, acquires: 1, releases: 1, renewals: 2, resends: 1, deposedCommands: 1, newSessions: 1}, 12, setupContended},
+	{"revoked", 2, budget{lost: 1, revokes: 1, leaders: 1, pauses: 1, renewals: 2, deposedCommands: 1}, 16, setupContended},
+	{"a backup put back", 2, budget{restores: 1, pauses: 1, lost: 1, acquires: 1, renewals: 2, newSessions: 1}, 16, setupContended},
+	{"three holders", 3, budget{leaders: 1, pauses: 1, lost: 1, releases: 1, renewals: 2, deposedCommands: 1}, 12, setupContended},
 }
 
-// contended lets the first holder have the lease and the others wait for it.
-func contended(w *world) {
-	for i := range w.ps {
-		w.ps[i].h.Want("l")
-		w.ask(i)
-		for len(w.net) > 0 {
+// setupContended lets the first holder have the lease and the others wait for it.
+func setupContended(w *world) {
+	for i := range w.processes {
+		w.processes[i].h.Acquire("l")
+		w.sendRequest(i)
+		for len(w.network) > 0 {
 			w.deliver(w.take(0))
 		}
 	}
 }
 
-// fresh has the one who waits renew a step after the one who holds.
-func fresh(w *world) {
-	contended(w)
-	w.passes()
-	w.net = append(w.net, message{kind: "renew", holder: 1, session: w.ps[1].session, number: w.ps[1].h.Renew(w.clock(1))})
-	for len(w.net) > 0 {
+// setupRecentRenewal has the one who waits renew a step after the one who holds.
+func setupRecentRenewal(w *world) {
+	setupContended(w)
+	w.advanceTime()
+	w.network = append(w.network, message{kind: "renew", holder: 1, session: w.processes[1].session, number: w.processes[1].h.Renew(w.holderClock(1))})
+	for len(w.network) > 0 {
 		w.deliver(w.take(0))
 	}
 }
 
-// deposed has a leader that doesn't know yet that another leads, and the one who waits renew there.
-func deposed(w *world) {
-	contended(w)
+// setupDeposedLeader has a leader that doesn't know yet that another leads, and the one who waits renew there.
+func setupDeposedLeader(w *world) {
+	setupContended(w)
 	w.newLeader(true)
-	w.passes()
-	w.net = append(w.net, message{kind: "renew", holder: 1, session: w.ps[1].session, number: w.ps[1].h.Renew(w.clock(1))})
-	for len(w.net) > 0 {
+	w.advanceTime()
+	w.network = append(w.network, message{kind: "renew", holder: 1, session: w.processes[1].session, number: w.processes[1].h.Renew(w.holderClock(1))})
+	for len(w.network) > 0 {
 		w.deliver(w.take(0))
 	}
 }
 
-// backedUp has the first holder hold the lease, which a backup taken with both sessions doesn't know.
-func backedUp(w *world) {
+// setupBackupBeforeGrant has the first holder hold the lease, which a backup taken with both sessions doesn't know.
+func setupBackupBeforeGrant(w *world) {
 	w.backup = copyState(w.state)
-	w.ps[0].h.Want("l")
-	w.ask(0)
-	for len(w.net) > 0 {
+	w.processes[0].h.Acquire("l")
+	w.sendRequest(0)
+	for len(w.network) > 0 {
 		w.deliver(w.take(0))
 	}
 }
 
-// untold has the second holder hold the lease without having been told, and the first wait for it.
-func untold(w *world) {
-	contended(w)
-	w.ps[0].h.Drop("l", nil)
-	w.ask(0)
+// setupUnnotifiedHolder has the second holder hold the lease without having been told, and the first wait for it.
+func setupUnnotifiedHolder(w *world) {
+	setupContended(w)
+	w.processes[0].h.Release("l", nil)
+	w.sendRequest(0)
 	w.deliver(w.take(0))
-	later := slices.IndexFunc(w.net, func(m message) bool { return m.holder == 1 })
-	held := w.take(later)
-	for len(w.net) > 0 {
+	index := slices.IndexFunc(w.network, func(m message) bool { return m.holder == 1 })
+	heldView := w.take(index)
+	for len(w.network) > 0 {
 		w.deliver(w.take(0))
 	}
-	w.ps[0].h.Want("l")
-	w.ask(0)
-	for len(w.net) > 0 {
+	w.processes[0].h.Acquire("l")
+	w.sendRequest(0)
+	for len(w.network) > 0 {
 		w.deliver(w.take(0))
 	}
-	w.net = append(w.net, held)
+	w.network = append(w.network, heldView)
 }
 
 func TestEveryOrderOfEvents(t *testing.T) {
-	for _, p := range plays {
-		t.Run(p.name, func(t *testing.T) {
+	for _, scenario := range scenarios {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(p.holders, p.left, nothing)
-			if p.ready != nil {
-				p.ready(w)
+			w := newWorld(scenario.holders, scenario.budget, guardNone)
+			if scenario.setup != nil {
+				scenario.setup(w)
 			}
-			begun := time.Now()
-			trail, broken, worlds, level := explore(w, p.depth, *worldsMost)
-			t.Logf("every order of %d events, %d worlds that differ, %v", level, worlds, time.Since(begun).Round(time.Millisecond))
-			if broken != "" {
-				t.Errorf("%s:\n  %s", broken, strings.Join(trail, "\n  "))
+			start := time.Now()
+			trace, violation, worlds, depth := explore(w, scenario.depth, *maxWorlds)
+			t.Logf("every order of %d events, %d worlds that differ, %v", depth, worlds, time.Since(start).Round(time.Millisecond))
+			if violation != "" {
+				t.Errorf("%s:\n  %s", violation, strings.Join(trace, "\n  "))
 			}
 		})
 	}
@@ -644,36 +644,36 @@
 
 // Each guard taken out is noticed, with a shortest way to the harm.
 func TestEachGuardIsNeeded(t *testing.T) {
-	for _, m := range []struct {
-		name  string
-		guard guard
-		ready func(w *world)
-		left  budgets
+	for _, test := range []struct {
+		name   string
+		guard  guard
+		setup  func(w *world)
+		budget budget
 	}{
-		{"the fence", nothing, contended, budgets{pauses: 1, renews: 1}},
-		{"a leader's commands end with its term", termOfCommands, fresh, budgets{leaders: 1, old: 1, renews: 1}},
-		{"asks count in order", seqOfAsks, contended, budgets{doubled: 1, drops: 1, wants: 1}},
-		{"a new leader waits for the lives before it", lifeAfterElection, contended, budgets{leaders: 1}},
-		{"only a confirmed leader renews", leaderConfirmed, deposed, budgets{renews: 1}},
-		{"a holder counts from its sending", spanFromSending, contended, budgets{renews: 2}},
-		{"drift and margin are taken off", driftAndMargin, contended, budgets{renews: 1}},
-		{"an older view counts for nothing", revisionOfViews, untold, budgets{revokes: 1, renews: 1}},
-		{"it stops before it gives back", stopBeforeRelease, contended, budgets{drops: 1}},
-		{"a new epoch after a backup is put back", epochAfterRestore, contended, budgets{restores: 1, wants: 1, anew: 1}},
-		{"nothing is given for a life after that", sealAfterRestore, backedUp, budgets{restores: 1, wants: 1}},
-		{"a revoked lease is kept back for a life", revokedForLife, contended, budgets{revokes: 1}},
+		{"the fence", guardNone, setupContended, budget{pauses: 1, renewals: 1}},
+		{"a leader's commands end with its term", guardCommandTerm, setupRecentRenewal, budget{leaders: 1, deposedCommands: 1, renewals: 1}},
+		{"asks count in order", guardRequestOrder, setupContended, budget{duplicated: 1, releases: 1, acquires: 1}},
+		{"a new leader waits for the lives before it", guardTTLAfterElection, setupContended, budget{leaders: 1}},
+		{"only a confirmed leader renews", guardLeaderConfirmed, setupDeposedLeader, budget{renewals: 1}},
+		{"a holder counts from its sending", guardValidityFromSend, setupContended, budget{renewals: 2}},
+		{"drift and margin are taken off", guardDriftAndMargin, setupContended, budget{renewals: 1}},
+		{"an older view counts for nothing", guardViewRevision, setupUnnotifiedHolder, budget{revokes: 1, renewals: 1}},
+		{"it stops before it gives back", guardStopBeforeRelease, setupContended, budget{releases: 1}},
+		{"a new epoch after a backup is put back", guardEpochAfterRestore, setupContended, budget{restores: 1, acquires: 1, newSessions: 1}},
+		{"nothing is given for a life after that", guardSealAfterRestore, setupBackupBeforeGrant, budget{restores: 1, acquires: 1}},
+		{"a revoked lease is kept back for a life", guardRevocationWait, setupContended, budget{revokes: 1}},
 	} {
-		t.Run(m.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(2, m.left, m.guard)
-			w.unfenced = m.guard == nothing
-			m.ready(w)
-			begun := time.Now()
-			trail, broken, worlds, _ := explore(w, 24, 400_000)
-			if broken == "" {
+			w := newWorld(2, test.budget, test.guard)
+			w.fenceDisabled = test.guard == guardNone
+			test.setup(w)
+			start := time.Now()
+			trace, violation, worlds, _ := explore(w, 24, 400_000)
+			if violation == "" {
 				t.Fatalf("without it nothing went wrong in %d worlds", worlds)
 			}
-			t.Logf("%s after %d events (%d worlds, %v):\n  %s", broken, len(trail), worlds, time.Since(begun).Round(time.Millisecond), strings.Join(trail, "\n  "))
+			t.Logf("%s after %d events (%d worlds, %v):\n  %s", violation, len(trace), worlds, time.Since(start).Round(time.Millisecond), strings.Join(trace, "\n  "))
 		})
 	}
 }
--- a/lease/state.go
+++ b/lease/state.go
@@ -29,12 +29,12 @@
 	Report                // a session tells how its member is
 )
 
-var opWords = [...]string{"none", "lead", "unseal", "open", "close", "expire", "acquire", "release", "revoke", "free", "report"}
+var opNames = [...]string{"none", "lead", "unseal", "open", "close", "expire", "acquire", "release", "revoke", "free", "report"}
 
 // String is the command in a word.
 func (o Op) String() string {
-	if int(o) < len(opWords) {
-		return opWords[o]
+	if int(o) < len(opNames) {
+		return opNames[o]
 	}
 	return "unknown"
 }
@@ -56,7 +56,7 @@
 	Epoch   uint32        `msgpack:"e,omitempty"` // Lead: of tokens, where a new one is due
 	Session string        `msgpack:"s,omitempty"`
 	Seq     uint64        `msgpack:"q,omitempty"` // of the session's asks: rises, so that one that comes late or twice is known
-	Life    time.Duration `msgpack:"l,omitempty"`
+	TTL     time.Duration `msgpack:"l,omitempty"`
 	Member  Member        `msgpack:"m,omitempty"`
 	Name    string        `msgpack:"n,omitempty"`
 	Token   uint64        `msgpack:"k,omitempty"`
@@ -98,8 +98,8 @@
 const (
 	Joined ChangeKind = iota + 1
 	Changed
-	Left   // it said so
-	Silent // its life passed
+	Left    // it said so
+	Expired // its life passed
 )
 
 // Change is one change of the membership. Seq has no gaps.
@@ -110,18 +110,18 @@
 	Member  Member     `msgpack:"m"`
 }
 
-// keptChanges is how many changes a watcher may have missed without being told a whole list.
-const keptChanges = 1024
+// retainedChanges is how many changes a watcher may have missed without being told a whole list.
+const retainedChanges = 1024
 
 // Session is one process that is there.
 type Session struct {
-	Life    time.Duration `msgpack:"l"`
-	Member  Member        `msgpack:"m"`
-	Seq     uint64        `msgpack:"q"` // of its newest ask
-	Last    Outcome       `msgpack:"o"` // of that one
-	Waits   []string      `msgpack:"w"` // leases it waits for
-	Holds   []string      `msgpack:"h"`
-	Claimed uint64        `msgpack:"c"` // revision at which its leases last changed
+	TTL       time.Duration `msgpack:"l"`
+	Member    Member        `msgpack:"m"`
+	Seq       uint64        `msgpack:"q"` // of its newest ask
+	Last      Outcome       `msgpack:"o"` // of that one
+	Waits     []string      `msgpack:"w"` // leases it waits for
+	Holds     []string      `msgpack:"h"`
+	LeasesRev uint64        `msgpack:"c"` // revision at which its leases last changed
 }
 
 // Lease is one name that a session holds or waits for. One that nobody does is not kept: tokens are of the whole
@@ -146,26 +146,26 @@
 	Seq      uint64              `msgpack:"q"` // of the newest change
 	Changes  []Change            `msgpack:"c"`
 
-	without guard
+	disabledGuard guard
 }
 
 // guard names one of the guards, so that tests can take it out and see that their checks notice.
 type guard int
 
 const (
-	nothing guard = iota
-	termOfCommands
-	seqOfAsks
-	lifeAfterElection
-	leaderConfirmed
-	spanFromSending
-	driftAndMargin
-	revisionOfViews
-	stopBeforeRelease
-	epochAfterRestore
-	sealAfterRestore
-	revokedForLife
-	endsWithPause
+	guardNone guard = iota
+	guardCommandTerm
+	guardRequestOrder
+	guardTTLAfterElection
+	guardLeaderConfirmed
+	guardValidityFromSend
+	guardDriftAndMargin
+	guardViewRevision
+	guardStopBeforeRelease
+	guardEpochAfterRestore
+	guardSealAfterRestore
+	guardRevocationWait
+	guardEndOnPause
 )
 
 // NewState is a state before its first leader.
@@ -173,8 +173,8 @@
 	return &State{Sessions: map[string]*Session{}, Leases: map[string]*Lease{}}
 }
 
-// Given is a lease that a session got.
-type Given struct {
+// SessionGrant is a lease that a session got.
+type SessionGrant struct {
 	Grant
 	Session string
 }
@@ -182,33 +182,33 @@
 // Effect is what a command led to.
 type Effect struct {
 	Outcome
-	Touched []string // sessions whose leases changed
-	Given   []Given  // leases that somebody got
-	Changes []Change
+	AffectedSessions []string       // sessions whose leases changed
+	Granted          []SessionGrant // leases that somebody got
+	Changes          []Change
 }
 
 // Apply takes one command of the log in.
 func (s *State) Apply(c Command) (e Effect) {
 	s.Rev++
-	if (c.Op == Unseal || c.Op == Expire || c.Op == Free) && c.Term != s.Term && s.without != termOfCommands {
+	if (c.Op == Unseal || c.Op == Expire || c.Op == Free) && c.Term != s.Term && s.disabledGuard != guardCommandTerm {
 		e.Status = Stale // its leader counted lives that another one counts anew
 		return e
 	}
 	e.Status = Done
 	switch c.Op {
 	case Lead:
-		s.lead(c)
+		s.startTerm(c)
 	case Unseal:
 		s.Sealed = false
 		for _, name := range sortedKeys(s.Leases) {
-			s.give(name, &e)
+			s.grant(name, &e)
 		}
 	case Open:
-		s.open(c, &e)
+		s.openSession(c, &e)
 	case Close, Expire:
-		s.end(c, &e)
+		s.endSession(c, &e)
 	case Acquire, Release, Report:
-		s.ask(c, &e)
+		s.handleRequest(c, &e)
 	case Revoke:
 		l := s.Leases[c.Name]
 		switch {
@@ -218,7 +218,7 @@
 			e.Status = Stale
 		default:
 			l.Revoked, e.Token = true, l.Token
-			s.touch(l.Holder, &e)
+			s.markAffected(l.Holder, &e)
 		}
 	case Free:
 		l := s.Leases[c.Name]
@@ -226,100 +226,100 @@
 			e.Status = Stale
 			break
 		}
-		s.free(c.Name, &e)
+		s.freeLease(c.Name, &e)
 	}
 	return e
 }
 
-// lead begins a term. A group that never had a leader, or is out of a backup, takes an epoch above all before:
+// startTerm begins a term. A group that never had a leader, or is out of a backup, takes an epoch above all before:
 // whatever tokens were given that it doesn't know of are lower than its own.
-func (s *State) lead(c Command) {
+func (s *State) startTerm(c Command) {
 	s.Term = max(s.Term, c.Term)
 	if s.Epoch != 0 && !s.Restored {
 		return
 	}
-	if s.without != epochAfterRestore {
+	if s.disabledGuard != guardEpochAfterRestore {
 		s.Epoch = max(s.Epoch+1, c.Epoch)
 		s.Token = max(s.Token, uint64(s.Epoch)<<32)
 	}
-	s.Restored, s.Sealed = false, s.without != sealAfterRestore
+	s.Restored, s.Sealed = false, s.disabledGuard != guardSealAfterRestore
 }
 
-func (s *State) open(c Command, e *Effect) {
-	if have := s.Sessions[c.Session]; have != nil {
+func (s *State) openSession(c Command, e *Effect) {
+	if existing := s.Sessions[c.Session]; existing != nil {
 		return // asked again, since the answer was lost
 	}
 	if c.Bounds.Sessions > 0 && len(s.Sessions) >= c.Bounds.Sessions {
 		e.Status = Full
 		return
 	}
-	s.Sessions[c.Session] = &Session{Life: c.Life, Member: c.Member}
-	s.change(Joined, c.Session, c.Member, e)
+	s.Sessions[c.Session] = &Session{TTL: c.TTL, Member: c.Member}
+	s.recordChange(Joined, c.Session, c.Member, e)
 }
 
-// end frees all that a session holds and takes it out of every queue.
-func (s *State) end(c Command, e *Effect) {
-	who := s.Sessions[c.Session]
-	if who == nil {
+// endSession frees all that a session holds and takes it out of every queue.
+func (s *State) endSession(c Command, e *Effect) {
+	session := s.Sessions[c.Session]
+	if session == nil {
 		e.Status = Unknown
 		return
 	}
-	for _, name := range slices.Clone(who.Waits) {
-		s.leave(name, c.Session)
+	for _, name := range slices.Clone(session.Waits) {
+		s.dequeue(name, c.Session)
 	}
-	for _, name := range slices.Clone(who.Holds) {
-		s.free(name, e)
+	for _, name := range slices.Clone(session.Holds) {
+		s.freeLease(name, e)
 	}
 	delete(s.Sessions, c.Session)
-	kind := Silent
+	kind := Expired
 	if c.Op == Close {
 		kind = Left
 	}
-	s.change(kind, c.Session, who.Member, e)
-	e.Touched = append(e.Touched, c.Session)
+	s.recordChange(kind, c.Session, session.Member, e)
+	e.AffectedSessions = append(e.AffectedSessions, c.Session)
 }
 
-// ask takes in what a session says in order. An ask that came before is answered as it was, without effect.
-func (s *State) ask(c Command, e *Effect) {
-	who := s.Sessions[c.Session]
+// handleRequest takes in what a session says in order. An handleRequest that came before is answered as it was, without effect.
+func (s *State) handleRequest(c Command, e *Effect) {
+	session := s.Sessions[c.Session]
 	switch {
-	case who == nil:
+	case session == nil:
 		e.Status = Unknown
 		return
-	case c.Seq == who.Seq && s.without != seqOfAsks:
-		e.Outcome = who.Last
+	case c.Seq == session.Seq && s.disabledGuard != guardRequestOrder:
+		e.Outcome = session.Last
 		return
-	case c.Seq < who.Seq && s.without != seqOfAsks:
+	case c.Seq < session.Seq && s.disabledGuard != guardRequestOrder:
 		e.Status = Stale
 		return
 	}
 	switch c.Op {
 	case Acquire:
-		s.acquire(c, who, e)
+		s.acquire(c, session, e)
 	case Release:
 		l := s.Leases[c.Name]
 		switch {
 		case l == nil:
 			e.Status = Unknown
 		case l.Holder == c.Session && l.Token == c.Token:
-			s.free(c.Name, e)
+			s.freeLease(c.Name, e)
 		case slices.Contains(l.Waiters, c.Session):
-			s.leave(c.Name, c.Session)
+			s.dequeue(c.Name, c.Session)
 		default:
 			e.Status = Stale
 		}
 	case Report:
-		if who.Member != c.Member {
-			who.Member = c.Member
-			s.change(Changed, c.Session, c.Member, e)
+		if session.Member != c.Member {
+			session.Member = c.Member
+			s.recordChange(Changed, c.Session, c.Member, e)
 		}
 	}
 	if e.Status != Full { // that one is asked again under its number
-		who.Seq, who.Last = c.Seq, e.Outcome
+		session.Seq, session.Last = c.Seq, e.Outcome
 	}
 }
 
-func (s *State) acquire(c Command, who *Session, e *Effect) {
+func (s *State) acquire(c Command, session *Session, e *Effect) {
 	l := s.Leases[c.Name]
 	switch {
 	case l == nil && c.Bounds.Leases > 0 && len(s.Leases) >= c.Bounds.Leases:
@@ -339,9 +339,9 @@
 			return
 		}
 		l.Waiters = append(l.Waiters, c.Session)
-		who.Waits = append(who.Waits, c.Name)
+		session.Waits = append(session.Waits, c.Name)
 	}
-	s.give(c.Name, e)
+	s.grant(c.Name, e)
 	if l.Holder == c.Session && !l.Revoked {
 		e.Outcome = Outcome{Status: Held, Token: l.Token}
 		return
@@ -349,9 +349,9 @@
 	e.Outcome = Outcome{Status: Waiting, Place: slices.Index(l.Waiters, c.Session)}
 }
 
-// give gives a lease that nobody holds to the first who waits, under a new token; one that nobody wants either
+// grant gives a lease that nobody holds to the first who waits, under a new token; one that nobody wants either
 // is forgotten.
-func (s *State) give(name string, e *Effect) {
+func (s *State) grant(name string, e *Effect) {
 	l := s.Leases[name]
 	if l == nil || l.Holder != "" {
 		return
@@ -366,53 +366,53 @@
 	next := l.Waiters[0]
 	s.Token++
 	l.Holder, l.Token, l.Revoked = next, s.Token, false
-	s.leave(name, next)
+	s.dequeue(name, next)
 	s.Sessions[next].Holds = append(s.Sessions[next].Holds, name)
-	e.Given = append(e.Given, Given{Grant{name, s.Token}, next})
-	s.touch(next, e)
+	e.Granted = append(e.Granted, SessionGrant{Grant{name, s.Token}, next})
+	s.markAffected(next, e)
 }
 
-func (s *State) free(name string, e *Effect) {
+func (s *State) freeLease(name string, e *Effect) {
 	l := s.Leases[name]
-	if who := s.Sessions[l.Holder]; who != nil {
-		who.Holds = without(who.Holds, name)
-		s.touch(l.Holder, e)
+	if holder := s.Sessions[l.Holder]; holder != nil {
+		holder.Holds = remove(holder.Holds, name)
+		s.markAffected(l.Holder, e)
 	}
 	l.Holder, l.Revoked = "", false
-	s.give(name, e)
+	s.grant(name, e)
 }
 
-// leave takes a session out of a lease's queue.
-func (s *State) leave(name, session string) {
+// dequeue takes a session out of a lease's queue.
+func (s *State) dequeue(name, session string) {
 	l := s.Leases[name]
-	l.Waiters = without(l.Waiters, session)
-	s.Sessions[session].Waits = without(s.Sessions[session].Waits, name)
+	l.Waiters = remove(l.Waiters, session)
+	s.Sessions[session].Waits = remove(s.Sessions[session].Waits, name)
 	if l.Holder == "" && len(l.Waiters) == 0 {
 		delete(s.Leases, name)
 	}
 }
 
-func (s *State) touch(session string, e *Effect) {
-	s.Sessions[session].Claimed = s.Rev
-	e.Touched = append(e.Touched, session)
+func (s *State) markAffected(session string, e *Effect) {
+	s.Sessions[session].LeasesRev = s.Rev
+	e.AffectedSessions = append(e.AffectedSessions, session)
 }
 
-func (s *State) change(kind ChangeKind, session string, m Member, e *Effect) {
+func (s *State) recordChange(kind ChangeKind, session string, m Member, e *Effect) {
 	s.Seq++
 	c := Change{Seq: s.Seq, Kind: kind, Session: session, Member: m}
 	e.Changes = append(e.Changes, c)
-	if s.Changes = append(s.Changes, c); len(s.Changes) > keptChanges {
-		s.Changes = append(s.Changes[:0], s.Changes[len(s.Changes)-keptChanges:]...)
+	if s.Changes = append(s.Changes, c); len(s.Changes) > retainedChanges {
+		s.Changes = append(s.Changes[:0], s.Changes[len(s.Changes)-retainedChanges:]...)
 	}
 }
 
-// Missed are the changes after one; ok is false where they are not kept any more, or were never made, and the
+// ChangesSince are the changes after one; ok is false where they are not kept any more, or were never made, and the
 // watcher has to be told a whole list.
-func (s *State) Missed(after uint64) (missed []Change, ok bool) {
-	if after > s.Seq || s.Seq-after > uint64(len(s.Changes)) {
+func (s *State) ChangesSince(seq uint64) (changes []Change, ok bool) {
+	if seq > s.Seq || s.Seq-seq > uint64(len(s.Changes)) {
 		return nil, false
 	}
-	return slices.Clone(s.Changes[len(s.Changes)-int(s.Seq-after):]), true
+	return slices.Clone(s.Changes[len(s.Changes)-int(s.Seq-seq):]), true
 }
 
 // Grant is a lease that a session holds.
@@ -435,25 +435,25 @@
 }
 
 // View tells a session what it holds. ok is false when there is no such session.
-func (s *State) View(session string) (v View, ok bool) {
-	who := s.Sessions[session]
+func (s *State) View(id string) (v View, ok bool) {
+	session := s.Sessions[id]
 	v.Rev = s.Rev
-	if who == nil {
+	if session == nil {
 		return v, false
 	}
-	for _, name := range who.Holds {
+	for _, name := range session.Holds {
 		if l := s.Leases[name]; !l.Revoked {
 			v.Held = append(v.Held, Grant{name, l.Token})
 		}
 	}
-	for _, name := range who.Waits {
-		v.Places = append(v.Places, Place{name, slices.Index(s.Leases[name].Waiters, session)})
+	for _, name := range session.Waits {
+		v.Places = append(v.Places, Place{name, slices.Index(s.Leases[name].Waiters, id)})
 	}
 	return v, true
 }
 
-func without(list []string, one string) []string {
-	i := slices.Index(list, one)
+func remove(list []string, item string) []string {
+	i := slices.Index(list, item)
 	if i < 0 {
 		return list
 	}
