--- a/fence/fence.go
+++ b/fence/fence.go
@@ -1,6 +1,7 @@
-// Package fence is the check on the side of what is acted upon: each act under a lease carries the lease's token, and
-// one with a lower token than was seen before is refused. It is what keeps out a process that was paused between its
-// look at the lease and its act; no lease alone can.
+// Package fence checks fencing tokens at the resource that a lease protects, and refuses an action whose token is lower
+// than one seen before. It does not grant leases, and it does not authenticate callers.
+//
+// The check stops a process that was paused between checking its lease and acting, which no lease can do alone.
 package fence
 
 import (
@@ -15,15 +16,15 @@
 	"junctionring/internal/snapshot"
 )
 
-// Header carries a lease's name and token with an HTTP call, with a space between.
+// Header is the HTTP header that carries a lease's name and token, separated by a space.
 const Header = "X-Fence"
 
 const (
-	maxNameBytes = 200    // bytes
-	maxNames     = 10_000 // that one gate remembers
+	maxNameBytes = 200
+	maxNames     = 10_000 // leases that one gate remembers
 )
 
-// StaleTokenError is the refusal of an act under a token that another holder has overtaken.
+// StaleTokenError is the refusal of an action whose token is lower than one already seen for the lease.
 type StaleTokenError struct {
 	Name        string
 	Token, Seen uint64
@@ -33,16 +34,16 @@
 	return fmt.Sprintf("lease %s: token %d is overtaken: %d was seen", s.Name, s.Token, s.Seen)
 }
 
-// Gate remembers the highest token of each lease.
+// Gate admits actions by their fencing tokens; it remembers the highest token of each lease.
 type Gate struct {
 	mu      sync.Mutex
 	path    string
 	highest map[string]uint64
 }
 
-// Open makes a gate. With a path its memory is as durable as that file; without one it lasts as long as the process,
-// which fits what itself is forgotten with the process. A file that can't be read whole is an error: a gate that
-// forgot would let anybody in.
+// Open returns a gate. With a path, its tokens are as durable as that file; without one, they last as long as the
+// process, which is enough for a resource whose state is lost with the process. A file that cannot be read completely
+// is an error: a gate that has lost its tokens would admit any holder.
 func Open(path string) (*Gate, error) {
 	g := &Gate{path: path, highest: map[string]uint64{}}
 	if path == "" {
@@ -56,13 +57,13 @@
 		err = json.Unmarshal(v.Content, &g.highest)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("tokens seen so far: %w", err)
+		return nil, fmt.Errorf("cannot load the fencing tokens from %s: %w", path, err)
 	}
 	return g, nil
 }
 
-// Admit lets an act in, or returns a *Stale. A token seen for the first time is on disk before the act is let in: one
-// that was let in and forgotten could be followed by a lower one.
+// Admit admits an action, or returns a *StaleTokenError. A new token is on disk before its action is admitted: if an
+// admitted token were forgotten, a lower one could follow it.
 func (g *Gate) Admit(name string, token uint64) error {
 	if name == "" || len(name) > maxNameBytes || token == 0 {
 		return fmt.Errorf("lease %.20q with token %d: a name of 1 to %d bytes and a token above 0 are due", name, token, maxNameBytes)
@@ -99,14 +100,14 @@
 	return snapshot.Save(g.path, snapshot.Version{Number: 1, Content: text})
 }
 
-// Highest is the highest token of a lease that was let in; 0: none.
+// Highest returns the highest admitted token of a lease, or 0 if there is none.
 func (g *Gate) Highest(name string) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.highest[name]
 }
 
-// Parse reads a Header's value.
+// Parse parses a value of Header.
 func Parse(value string) (name string, token uint64, err error) {
 	name, number, ok := strings.Cut(value, " ")
 	if token, err = strconv.ParseUint(number, 10, 64); !ok || err != nil || name == "" || len(name) > maxNameBytes || token == 0 {
@@ -115,8 +116,8 @@
 	return name, token, nil
 }
 
-// Check looks at one HTTP call. A call without the header is let through: a person may always act by hand. status is
-// 0 for a call that is let in.
+// Check checks the token of one HTTP call. A call without the header is admitted: a person may always act by hand.
+// status is 0 for an admitted call; for a refused one, status and reason are the answer to the caller.
 func (g *Gate) Check(h http.Header) (status int, reason string) {
 	values := h.Values(Header)
 	if len(values) == 0 {
@@ -140,7 +141,7 @@
 	}
 }
 
-// Guard puts the check in front of a handler's calls that change something.
+// Guard returns a handler that checks each call before next handles it, except for GET and HEAD, which change nothing.
 func (g *Gate) Guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet && r.Method != http.MethodHead {
--- a/fence/fence_test.go
+++ b/fence/fence_test.go
@@ -28,22 +28,22 @@
 			t.Errorf("%s %d: %v", step.name, step.token, err)
 		}
 	}
-	reopened, err := Open(path) // a process that died and came back
+	reopened, err := Open(path) // as after a restart of the process
 	if err != nil || reopened.Highest("a") != 9 || reopened.Admit("a", 8) == nil || reopened.Admit("a", 9) != nil {
-		t.Errorf("after a restart %d was seen, %v", reopened.Highest("a"), err)
+		t.Errorf("after a restart the highest token is %d, %v", reopened.Highest("a"), err)
 	}
 	if g.Admit("", 1) == nil || g.Admit("a", 0) == nil {
-		t.Error("no name, or no token, was let in")
+		t.Error("an empty name or a token of 0 was admitted")
 	}
 	if err := os.WriteFile(path, []byte("spoilt"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(path); err == nil {
-		t.Error("a gate that forgot what it saw was opened")
+		t.Error("a gate whose file is unreadable was opened")
 	}
 }
 
-// A token that can't be kept is not let in: the next one in could be lower.
+// A token that cannot be saved is not admitted: after a restart, a lower one could be admitted.
 func TestNothingIsLetInThatCannotBeKept(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gone")
 	g, err := Open(filepath.Join(dir, "tokens"))
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	if g.Admit("a", 1) == nil || g.Highest("a") != 0 {
-		t.Error("let in without a disk")
+		t.Error("a token was admitted that could not be saved")
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -88,7 +88,7 @@
 		}
 	}
 	if calls != 6 {
-		t.Errorf("%d calls came through, want 6", calls)
+		t.Errorf("%d calls reached the handler, want 6", calls)
 	}
 }
 
@@ -97,7 +97,7 @@
 	f.Add(" ")
 	f.Fuzz(func(t *testing.T, value string) {
 		if name, token, err := Parse(value); err == nil && (name == "" || token == 0) {
-			t.Errorf("%q was read as %q %d", value, name, token)
+			t.Errorf("%q was parsed as name %q, token %d", value, name, token)
 		}
 	})
 }
--- a/fence/redisfence/redisfence_test.go
+++ b/fence/redisfence/redisfence_test.go
@@ -12,7 +12,8 @@
 	"junctionring/internal/standin"
 )
 
-// The stand-in runs the script as its text says: it knows the text, and refuses any other.
+// The store here is a stand-in that does not interpret Lua: it runs a Go function for this script text, and refuses any
+// other text.
 func TestALateWriteIsRefused(t *testing.T) {
 	store, err := standin.NewStore("127.0.0.1:0")
 	if err != nil {
@@ -37,7 +38,7 @@
 		stale bool
 	}{
 		{"a", 9, false}, {"b", 10, false}, {"late", 9, true}, {"c", math.MaxUint64 - 1, false}, {"d", math.MaxUint64, false},
-		{"late", math.MaxUint64 - 1, true}, // they differ beyond the 53 bits of a store's number
+		{"late", math.MaxUint64 - 1, true}, // the two tokens differ only beyond the 53 bits of the store's numbers
 	} {
 		err := s.Set(t.Context(), "plan", w.value, "export", w.token)
 		var stale *fence.StaleTokenError
@@ -49,6 +50,6 @@
 		t.Errorf("the store holds %q", text)
 	}
 	if s.Set(t.Context(), "plan", "x", "export", 0) == nil {
-		t.Error("a write without a token")
+		t.Error("a write with a token of 0 succeeded")
 	}
 }
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Timing are what a holder goes by.
+// Timing holds the durations by which a holder decides when it must stop acting.
 type Timing struct {
-	TTL          time.Duration // that its session was opened with
-	Drift        float64       // the most by which a clock's rate is off, as a share: 0.01 is 1 %
-	Margin       time.Duration // by which it stops before it must
-	MaxPause     time.Duration // a gap between two looks at the clock that ends the session
-	MaxClockJump time.Duration // by which the wall clock may run away from the monotonic one between two looks
+	TTL          time.Duration // with which the session was opened
+	Drift        float64       // the largest error of a clock's rate, as a fraction: 0.01 is 1 %
+	Margin       time.Duration // by which the holder stops earlier than it must
+	MaxPause     time.Duration // a longer gap between two calls of Tick ends the session; 0: no limit
+	MaxClockJump time.Duration // a larger step of the wall clock against the monotonic one ends it; 0: no limit
 }
 
-// Validity is how long after a renewal was sent a holder may act: the keeper's clock may be fast and its own slow.
+// Validity returns how long after sending a renewal a holder may act. The coordinators' clock may run fast by Drift,
+// and the holder's own slow.
 func (r Timing) Validity() time.Duration {
 	return time.Duration(float64(r.TTL)*(1-r.Drift)/(1+r.Drift)) - r.Margin
 }
 
-// Cause is why a holder stopped.
+// Cause is the reason why a holder stopped acting.
 type Cause string
 
-// Why a holder may stop.
+// The reasons why a holder stops acting.
 const (
 	CauseReleased       Cause = "released"
 	CauseRenewalTimeout Cause = "no answer in time"
@@ -32,20 +33,20 @@
 	CauseRevoked        Cause = "revoked"
 )
 
-// Phase is how far a holder is with a lease.
+// Phase is the state of one lease on the holder's side.
 type Phase uint8
 
-// How far a holder may be.
+// The phases of a lease on the holder's side.
 const (
 	None      Phase = iota
-	Requested       // an ask is out: it may wait, or hold already without knowing
-	Queued          // it waits
-	Holding         // it may act
-	Revoked         // revoked: it may act no more, and says with Drop that it has stopped
-	Releasing       // it acts no more; its release is out
+	Requested       // a request is out: the session may be queued, or hold the lease already without knowing
+	Queued          // the session waits in the lease's queue
+	Holding         // the process may act
+	Revoked         // the process may no longer act, and confirms with Release that it has stopped
+	Releasing       // the process no longer acts; its release request is out
 )
 
-// Request is what a holder wants to be sent: one at a time, again until its outcome is known.
+// Request is a request that a holder wants sent. One is sent at a time, and again until its outcome is known.
 type Request struct {
 	Op     Op
 	Seq    uint64
@@ -54,16 +55,16 @@
 	Member Member
 }
 
-// What a holder tells its process.
+// The actions that a holder returns to its process.
 type (
-	// Start: it may act, from now on.
+	// Start: the process may act under the lease from now on.
 	Start struct{ Grant }
-	// Stop: it may act no more.
+	// Stop: the process may no longer act under the lease.
 	Stop struct {
 		Grant
 		Cause Cause
 	}
-	// SessionEnded: the session is of no use any more; a new one is needed.
+	// SessionEnded: the session can no longer be used; a new one is needed.
 	SessionEnded struct{ Cause Cause }
 )
 
@@ -72,17 +73,17 @@
 	token uint64
 }
 
-// Holder is one session as its process sees it.
+// Holder is a session as its own process sees it.
 type Holder struct {
-	rules         Timing
-	sentAt        map[uint64]time.Duration // renewals out
+	timing        Timing
+	sentAt        map[uint64]time.Duration // of the unanswered renewals, by number
 	lastRenewal   uint64
-	validUntil    time.Duration // it acts before this only
-	renewedOnce   bool          // until means something
+	validUntil    time.Duration // the process acts only before this time
+	renewedOnce   bool          // validUntil is set
 	endCause      Cause
 	rev           uint64
 	leases        map[string]*localLease
-	requests      []Request // the first is out, or is to be sent
+	requests      []Request // the first one is out, or is to be sent next
 	lastSeq       uint64
 	ticked        bool
 	lastMono      time.Duration
@@ -90,25 +91,26 @@
 	disabledGuard guard
 }
 
-// NewHolder is a session that is not opened yet.
+// NewHolder returns the holder of a session that has not been opened yet.
 func NewHolder(r Timing) *Holder {
-	return &Holder{rules: r, sentAt: map[uint64]time.Duration{}, leases: map[string]*localLease{}}
+	return &Holder{timing: r, sentAt: map[uint64]time.Duration{}, leases: map[string]*localLease{}}
 }
 
-// Ended tells whether the session has ended, and why.
+// Ended reports whether the session has ended, and why.
 func (h *Holder) Ended() (Cause, bool) { return h.endCause, h.endCause != "" }
 
-// Renew notes that a renewal, or the ask to open the session, goes out now. Its number comes back with the answer.
+// Renew records that a renewal, or the request to open the session, is sent now. It returns the renewal's number, which
+// the answer carries.
 func (h *Holder) Renew(now time.Duration) uint64 {
 	h.lastRenewal++
 	h.sentAt[h.lastRenewal] = now
-	if len(h.sentAt) > 64 { // answers that never came: only the newer ones can still help
+	if len(h.sentAt) > 64 { // unanswered ones: only the newer renewals can still extend the session
 		delete(h.sentAt, h.lastRenewal-64)
 	}
 	return h.lastRenewal
 }
 
-// Renewed takes in the answer to a renewal.
+// Renewed handles the answer to a renewal.
 func (h *Holder) Renewed(now time.Duration, number uint64, v View, actions []any) []any {
 	sentAt, ok := h.sentAt[number]
 	if !ok || h.endCause != "" {
@@ -118,11 +120,11 @@
 	if h.disabledGuard == guardValidityFromSend {
 		sentAt = now
 	}
-	validity := h.rules.Validity()
+	validity := h.timing.Validity()
 	if h.disabledGuard == guardDriftAndMargin {
-		validity = h.rules.TTL
+		validity = h.timing.TTL
 	}
-	if v.Rev >= h.rev || h.disabledGuard == guardViewRevision { // an older view could renew what was revoked since
+	if v.Rev >= h.rev || h.disabledGuard == guardViewRevision { // an older view could extend a revoked lease
 		if !h.renewedOnce || sentAt+validity > h.validUntil {
 			h.validUntil, h.renewedOnce = sentAt+validity, true
 		}
@@ -130,7 +132,7 @@
 	return h.ViewReceived(now, v, actions)
 }
 
-// ViewReceived takes in what the keeper says the session holds.
+// ViewReceived handles a view of the session that the coordinators sent.
 func (h *Holder) ViewReceived(now time.Duration, v View, actions []any) []any {
 	if h.endCause != "" || v.Rev < h.rev && h.disabledGuard != guardViewRevision {
 		return actions
@@ -145,7 +147,7 @@
 			actions = append(actions, Stop{Grant{name, l.token}, CauseRevoked})
 		case (l.phase == Queued || l.phase == Requested) && i >= 0 && h.valid(now):
 			if l.token == v.Held[i].Token {
-				break // it gave this very one back
+				break // the holder has already released this grant
 			}
 			l.phase, l.token = Holding, v.Held[i].Token
 			actions = append(actions, Start{v.Held[i]})
@@ -156,7 +158,7 @@
 	return actions
 }
 
-// Acquire asks for a lease.
+// Acquire requests a lease.
 func (h *Holder) Acquire(name string) {
 	l := h.leases[name]
 	if l == nil {
@@ -172,7 +174,7 @@
 	}
 }
 
-// Release gives a lease back, or a place in its queue. From here on nothing may be done under it.
+// Release gives up a lease, or a place in its queue. From this call on the process must not act under it.
 func (h *Holder) Release(name string, actions []any) []any {
 	l := h.leases[name]
 	if l == nil || l.phase == None || l.phase == Releasing || h.endCause != "" {
@@ -185,8 +187,8 @@
 	return actions
 }
 
-// requestRelease asks for a release. Its token is told only when it is known: a place in the queue has none, and a lease
-// that was given meanwhile and not told yet is released by the answer's handling.
+// requestRelease requests the release of a lease. It names the token only if that is known: a place in the queue has
+// none, and a lease that was granted in the meantime, without the holder knowing yet, is released by Answered.
 func (h *Holder) requestRelease(name string, l *localLease) {
 	h.enqueue(Request{Op: Release, Name: name, Token: l.token})
 	if h.disabledGuard != guardStopBeforeRelease {
@@ -194,7 +196,7 @@
 	}
 }
 
-// Report tells the keeper how this member is.
+// Report sends the coordinators the current description of this member.
 func (h *Holder) Report(m Member) { h.enqueue(Request{Op: Report, Member: m}) }
 
 func (h *Holder) enqueue(a Request) {
@@ -203,7 +205,7 @@
 	h.requests = append(h.requests, a)
 }
 
-// NextRequest is the ask that is to be sent, or sent again where an answer may have been lost.
+// NextRequest returns the request that is to be sent, or sent again if its answer may have been lost.
 func (h *Holder) NextRequest() (a Request, ok bool) {
 	if len(h.requests) == 0 || h.endCause != "" {
 		return a, false
@@ -211,13 +213,13 @@
 	return h.requests[0], true
 }
 
-// Answered takes in the outcome of an ask, with the view after it.
+// Answered handles the outcome of a request, with the session's view after it.
 func (h *Holder) Answered(now time.Duration, seq uint64, o Outcome, v View, actions []any) []any {
 	if len(h.requests) == 0 || h.requests[0].Seq != seq || h.endCause != "" {
 		return actions
 	}
 	if o.Status == Full {
-		return actions // it stays first, and is sent again later
+		return actions // the request stays first and is sent again later
 	}
 	a := h.requests[0]
 	h.requests = h.requests[1:]
@@ -228,7 +230,8 @@
 	moreQueued := slices.ContainsFunc(h.requests, func(b Request) bool { return b.Name == a.Name })
 	switch {
 	case a.Op == Release && l.phase == Releasing && !moreQueued:
-		// What was given between the wish to leave and its telling has a token that the release did not name.
+		// A lease that was granted after the release was requested, and before it was applied, has a token that the
+		// release did not name.
 		if i := slices.IndexFunc(v.Held, func(g Grant) bool { return g.Name == a.Name }); i >= 0 {
 			l.token = v.Held[i].Token
 			h.requestRelease(a.Name, l)
@@ -241,10 +244,11 @@
 	return h.ViewReceived(now, v, actions)
 }
 
-// SessionGone takes in that the keeper has no such session (any more).
+// SessionGone handles the answer that the coordinators have no such session (any more).
 func (h *Holder) SessionGone(actions []any) []any { return h.end(CauseSessionEnded, actions) }
 
-// Tick looks at the clocks: mono as everywhere, wall since any moment.
+// Tick checks the clocks, and ends the session if its validity has passed, the process was paused or the clock
+// jumped. mono is on the clock of all other times here; wall counts from any origin.
 func (h *Holder) Tick(mono, wall time.Duration, actions []any) []any {
 	gap, skew := mono-h.lastMono, (wall-h.lastWall)-(mono-h.lastMono)
 	first := !h.ticked
@@ -253,10 +257,10 @@
 		return actions
 	}
 	if !first && h.disabledGuard != guardEndOnPause {
-		if h.rules.MaxPause > 0 && gap > h.rules.MaxPause {
+		if h.timing.MaxPause > 0 && gap > h.timing.MaxPause {
 			return h.end(CausePaused, actions)
 		}
-		if h.rules.MaxClockJump > 0 && (skew > h.rules.MaxClockJump || skew < -h.rules.MaxClockJump) {
+		if h.timing.MaxClockJump > 0 && (skew > h.timing.MaxClockJump || skew < -h.timing.MaxClockJump) {
 			return h.end(CauseClockJump, actions)
 		}
 	}
@@ -283,7 +287,7 @@
 	return h.renewedOnce && h.endCause == "" && now < h.validUntil
 }
 
-// MayAct tells whether this process may act under a lease now, with which token, and for how long.
+// MayAct reports whether this process may act under a lease now, with which token, and for how much longer.
 func (h *Holder) MayAct(now time.Duration, name string) (token uint64, remaining time.Duration, ok bool) {
 	l := h.leases[name]
 	if l == nil || l.phase != Holding || !h.valid(now) {
@@ -292,7 +296,7 @@
 	return l.token, h.validUntil - now, true
 }
 
-// Phase tells how far it is with a lease.
+// Phase returns the phase of a lease.
 func (h *Holder) Phase(name string) Phase {
 	if l := h.leases[name]; l != nil {
 		return l.phase
@@ -300,7 +304,8 @@
 	return None
 }
 
-// ValidUntil is when it must have stopped; ok is false before the first answer.
+// ValidUntil returns the time by which the process must have stopped acting; the result is false before the first answer
+// and after the end of the session.
 func (h *Holder) ValidUntil() (time.Duration, bool) {
 	return h.validUntil, h.renewedOnce && h.endCause == ""
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A pause or a jump that a process can see ends its session, and a slow answer does in time: it stops before its end.
+// A holder stops acting before its session can expire at the coordinators: a pause or a clock jump that the process
+// can see ends the session, and so does a renewal that is not answered in time.
 func TestAHolderStopsBeforeItMust(t *testing.T) {
 	const s = time.Second
 	r := Timing{TTL: 10 * s, Drift: 0.01, Margin: s, MaxPause: 5 * s, MaxClockJump: 2 * s}
@@ -19,7 +20,7 @@
 		return h
 	}
 	if validity := r.Validity(); validity >= 9*s || validity < 8*s {
-		t.Errorf("of a life of 10 s %v are left to act in", validity)
+		t.Errorf("validity of a TTL of 10 s is %v, want at least 8 s and less than 9 s", validity)
 	}
 	for _, c := range []struct {
 		name       string
@@ -34,7 +35,7 @@
 	} {
 		h := held()
 		if token, remaining, ok := h.MayAct(s, "l"); !ok || token != 7 || remaining != r.Validity()-s {
-			t.Fatalf("it may not act at first: %d %v %v", token, remaining, ok)
+			t.Fatalf("MayAct after the first renewal: token %d, remaining %v, %v", token, remaining, ok)
 		}
 		var actions []any
 		for i := range c.mono {
@@ -42,7 +43,7 @@
 		}
 		cause, ended := h.Ended()
 		if _, _, mayAct := h.MayAct(c.mono[len(c.mono)-1], "l"); ended == mayAct || cause != c.want {
-			t.Errorf("%s: over for %q, may act %v", c.name, cause, mayAct)
+			t.Errorf("%s: ended by %q, may act: %v", c.name, cause, mayAct)
 		}
 		if want := fmt.Sprint([]any{Stop{Grant{"l", 7}, c.want}, SessionEnded{c.want}}); ended && fmt.Sprint(actions) != want {
 			t.Errorf("%s: %v, want %v", c.name, actions, want)
@@ -69,11 +70,11 @@
 	} {
 		changes, ok := s.ChangesSince(c.after)
 		if ok != c.ok || len(changes) != c.n {
-			t.Errorf("after %d: %d, %v; want %d, %v", c.after, len(changes), ok, c.n, c.ok)
+			t.Errorf("changes since %d: %d, %v; want %d, %v", c.after, len(changes), ok, c.n, c.ok)
 		}
 		for i, change := range changes {
 			if change.Seq != c.after+uint64(i)+1 {
-				t.Fatalf("after %d comes %d", c.after, change.Seq)
+				t.Fatalf("a change since %d has the number %d", c.after, change.Seq)
 			}
 		}
 	}
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -12,23 +12,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxWorlds ends a search after the depth at which it is reached; docs/leases.md states what larger ones found.
-var maxWorlds = flag.Int("worlds", 5_000, "worlds of each play after which its search ends")
-
-// The world that the model goes through: one group of coordinators, two or three holders of one lease, a network
-// that keeps, loses, doubles and swaps messages, clocks whose rates differ by the most that the rules allow, leaders
-// that change, processes that are paused between their check and their act, revocations, and a backup put back.
-// Whoever acts is judged by the world itself, by what holders may do, never by what the keeper believes.
+// maxWorlds limits a search: it ends after the depth at which it has reached this many worlds. docs/leases.md states what
+// larger searches found.
+var maxWorlds = flag.Int("worlds", 5_000, "worlds of each scenario after which its search ends")
+
+// The model has one group of coordinators, two or three holders of one lease, a network that delays, loses, duplicates
+// and reorders messages, clocks whose rates differ by the most that Timing allows, changes of leader, processes that
+// are paused between their check and their action, revocations, and a restored backup. A world is one state of the
+// whole model. Whether an action is a violation is judged from what the holders may do, never from what the
+// coordinators believe.
 const (
-	step       = 10 // units of a true clock
+	step       = 10 // units of true time
 	sessionTTL = 3 * step
 	driftRate  = 0.1
 )
 
-var holderRates = [...]int{9, 10, 11} // of the holders' clocks; the leaders' run at 11, against the slowest holder
+// holderRates are the units by which the holders' clocks advance per step. The leaders' clocks advance by 11, which
+// differs most from the slowest holder's.
+var holderRates = [...]int{9, 10, 11}
 
 type message struct {
-	kind       string // renew, arrived (at a leader, not confirmed yet), ask, renewed, answered, told, gone
+	kind       string // open, renew, arrived (at a leader, not confirmed yet), ask, renewed, answered, told, gone
 	holder     int
 	session    string
 	number     uint64
@@ -39,30 +43,33 @@
 	view       View
 }
 
-// budget are how often each thing may still happen.
-type budget struct{ lost, duplicated, leaders, pauses, revokes, restores, releases, acquires, renewals, resends, deposedCommands, newSessions int }
+// budget is how often each event may still happen.
+type budget struct {
+	lost, duplicated, leaders, pauses, revokes, restores, releases, acquires, renewals, resends,
+	deposedCommands, newSessions int
+}
 
 type process struct {
 	h           *Holder
 	session     string
 	sessions    int
 	paused      bool
-	pausedToken uint64 // token of an act that was checked before the pause and is done after it
+	pausedToken uint64 // token of an action that is checked before the pause and done after it
 }
 
 type world struct {
 	now           int
 	state         *State
-	watch         *ExpiryTracker
+	tracker       *ExpiryTracker
 	backup        *State
 	pending       []Command      // proposed by the leader, not applied yet
-	deposed       *ExpiryTracker // a leader that doesn't know yet that it isn't
-	deposedState  *State         // and what it knows
+	deposed       *ExpiryTracker // a deposed leader that does not know yet that it is deposed
+	deposedState  *State         // the state that the deposed leader knows
 	processes     []process
 	network       []message
-	fenceToken    uint64 // by the guarded thing
-	highestActed  uint64 // by the judge: the highest token under which anybody acted
-	lastActor     string // and who
+	fenceToken    uint64 // highest token that the protected resource has seen
+	highestActed  uint64 // highest token under which any process acted
+	lastActor     string // session that acted under it
 	budget        budget
 	disabledGuard guard
 	fenceDisabled bool
@@ -76,13 +83,13 @@
 func (w *world) holderClock(i int) time.Duration { return time.Duration(1000 + w.now*holderRates[i]) }
 func (w *world) leaderClock() time.Duration      { return time.Duration(500 + w.now*11) }
 
-func newWorld(holders int, allowed budget, without guard) *world {
+func newWorld(holders int, allowed budget, disabled guard) *world {
 	s := NewState()
-	s.disabledGuard = without
+	s.disabledGuard = disabled
 	s.Apply(Command{Op: Lead, Term: 1, Epoch: 1})
 	s.Sealed = false
-	w := &world{state: s, budget: allowed, disabledGuard: without}
-	w.watch = NewExpiryTracker(w.leaderClock(), s, sessionTTL)
+	w := &world{state: s, budget: allowed, disabledGuard: disabled}
+	w.tracker = NewExpiryTracker(w.leaderClock(), s, sessionTTL)
 	w.backup = copyState(s)
 	for i := range holders {
 		w.processes = append(w.processes, process{})
@@ -93,7 +100,7 @@
 	return w
 }
 
-// open begins a session: its renewal with the number 1 carries the wish to open it.
+// open starts a session: its renewal number 1 carries the request to open it.
 func (w *world) open(i int) {
 	p := &w.processes[i]
 	p.sessions++
@@ -121,7 +128,7 @@
 
 func (w *world) apply(c Command) Effect {
 	e := w.state.Apply(c)
-	w.watch.Applied(w.leaderClock(), w.state, c, e)
+	w.tracker.Applied(w.leaderClock(), w.state, c, e)
 	w.notify(e)
 	return e
 }
@@ -129,10 +136,11 @@
 func (w *world) deliver(m message) {
 	p := &w.processes[m.holder]
 	answer := func(k string, o Outcome, v View) {
-		w.network = append(w.network, message{kind: k, holder: m.holder, session: m.session, number: m.number, request: m.request, outcome: o, view: v})
+		w.network = append(w.network, message{kind: k, holder: m.holder, session: m.session, number: m.number,
+			request: m.request, outcome: o, view: v})
 	}
 	confirm := func() {
-		if !w.watch.Renewed(m.receivedAt, w.state, m.session) {
+		if !w.tracker.Renewed(m.receivedAt, w.state, m.session) {
 			answer("gone", Outcome{}, View{})
 			return
 		}
@@ -145,7 +153,7 @@
 		m.receivedAt = w.leaderClock()
 		confirm()
 	case "renew":
-		if w.deposed != nil && w.disabledGuard == guardLeaderConfirmed { // the one that is not the leader any more answers at once
+		if w.deposed != nil && w.disabledGuard == guardLeaderConfirmed { // it answers without confirming that it leads
 			if w.deposed.Renewed(w.leaderClock(), w.deposedState, m.session) {
 				v, _ := w.deposedState.View(m.session)
 				answer("renewed", Outcome{}, v)
@@ -161,7 +169,7 @@
 	case "ask":
 		e := w.apply(Command{Op: m.request.Op, Session: m.session, Seq: m.request.Seq, Name: "l", Token: m.request.Token})
 		v, exists := w.state.View(m.session)
-		if !exists { // as the coordinator does: an unknown lease is an answer like others
+		if !exists { // as in the coordinator: Unknown for a lease alone is an ordinary answer
 			answer("gone", Outcome{}, View{})
 			return
 		}
@@ -187,7 +195,7 @@
 	}
 }
 
-// advanceTime lets one step of time pass: everybody looks at the clock.
+// advanceTime advances the time by one step: every process that is not paused checks its clocks.
 func (w *world) advanceTime() {
 	w.now++
 	for i := range w.processes {
@@ -195,8 +203,9 @@
 			w.processes[i].h.Tick(w.holderClock(i), w.holderClock(i), nil)
 		}
 	}
-	w.pending = append(w.pending, w.watch.Due(w.leaderClock(), w.state)...)
-	if w.deposed != nil && w.budget.deposedCommands > 0 { // raft would drop what a deposed leader proposes; nothing may hang on it
+	w.pending = append(w.pending, w.tracker.Due(w.leaderClock(), w.state)...)
+	// Raft would drop the proposals of a deposed leader; the leases must not depend on that.
+	if w.deposed != nil && w.budget.deposedCommands > 0 {
 		if due := w.deposed.Due(w.leaderClock(), w.deposedState); len(due) > 0 {
 			w.budget.deposedCommands--
 			w.pending = append(w.pending, due...)
@@ -205,7 +214,7 @@
 }
 
 func (w *world) newLeader(applyPending bool) {
-	w.deposed, w.deposedState = w.watch, copyState(w.state)
+	w.deposed, w.deposedState = w.tracker, copyState(w.state)
 	proposed := w.pending
 	w.pending = nil
 	if applyPending {
@@ -215,17 +224,18 @@
 		proposed = nil
 	}
 	w.state.Apply(Command{Op: Lead, Term: w.state.Term + 1, Epoch: 1})
-	w.watch = NewExpiryTracker(w.leaderClock(), w.state, sessionTTL)
-	w.pending = proposed // raft would drop them; that they count for nothing must not hang on it
+	w.tracker = NewExpiryTracker(w.leaderClock(), w.state, sessionTTL)
+	w.pending = proposed // raft would drop them; the leases must not depend on that
 }
 
-// actAll lets everybody act who may, and judges.
+// actAll has every process act that may act, and records violations.
 func (w *world) actAll() {
 	acting := -1
 	for i := range w.processes {
 		p := &w.processes[i]
-		if s := w.state.Sessions[p.session]; w.disabledGuard != guardStopBeforeRelease && s != nil && p.h.Phase("l") == Queued && len(s.Waits)+len(s.Holds) == 0 && s.LeasesRev <= p.h.rev {
-			w.violation = fmt.Sprintf("the queue lost holder %d", i)
+		if s := w.state.Sessions[p.session]; w.disabledGuard != guardStopBeforeRelease && s != nil &&
+			p.h.Phase("l") == Queued && len(s.Waits)+len(s.Holds) == 0 && s.LeasesRev <= p.h.rev {
+			w.violation = fmt.Sprintf("holder %d waits, but is no longer in the queue", i)
 		}
 		if p.paused {
 			continue
@@ -248,7 +258,7 @@
 	}
 	w.fenceToken = max(w.fenceToken, token)
 	if token < w.highestActed {
-		w.violation = fmt.Sprintf("an act under token %x was let in after one under %x", token, w.highestActed)
+		w.violation = fmt.Sprintf("an action under token %x was admitted after one under %x", token, w.highestActed)
 	}
 	if token == w.highestActed && session != w.lastActor {
 		w.violation = fmt.Sprintf("%s acted under the token of %s", session, w.lastActor)
@@ -263,10 +273,10 @@
 	run  func(w *world)
 }
 
-// events are all that may happen next.
+// events returns all events that may happen next.
 func (w *world) events() (all []event) {
 	add := func(name string, run func(w *world)) { all = append(all, event{name, run}) }
-	add("a step of time", (*world).advanceTime)
+	add("time advances one step", (*world).advanceTime)
 	if len(w.pending) > 0 {
 		add("the leader's command is applied", func(w *world) {
 			c := w.pending[0]
@@ -279,9 +289,9 @@
 			continue
 		}
 		name := fmt.Sprintf("%s of %s", m.kind, m.session)
-		add(name+" comes", func(w *world) { w.deliver(w.take(i)) })
+		add(name+" arrives", func(w *world) { w.deliver(w.take(i)) })
 		if w.budget.duplicated > 0 {
-			add(name+" comes and will come again", func(w *world) { w.budget.duplicated--; w.deliver(w.network[i]) })
+			add(name+" arrives and will arrive again", func(w *world) { w.budget.duplicated--; w.deliver(w.network[i]) })
 		}
 		if w.budget.lost > 0 {
 			add(name+" is lost", func(w *world) { w.budget.lost--; w.take(i) })
@@ -290,7 +300,7 @@
 	for i := range w.processes {
 		p := &w.processes[i]
 		if p.paused {
-			add(fmt.Sprintf("holder %d goes on", i), func(w *world) {
+			add(fmt.Sprintf("holder %d resumes", i), func(w *world) {
 				p := &w.processes[i]
 				p.paused = false
 				if p.pausedToken != 0 {
@@ -301,23 +311,25 @@
 			})
 			continue
 		}
-		if _, over := p.h.Ended(); over {
+		if _, ended := p.h.Ended(); ended {
 			if w.budget.newSessions > 0 {
-				add(fmt.Sprintf("holder %d begins anew", i), func(w *world) { w.budget.newSessions--; w.open(i) })
+				add(fmt.Sprintf("holder %d opens a new session", i), func(w *world) { w.budget.newSessions--; w.open(i) })
 			}
 			continue
 		}
 		if w.budget.renewals > 0 {
 			add(fmt.Sprintf("holder %d renews", i), func(w *world) {
 				w.budget.renewals--
-				w.network = append(w.network, message{kind: "renew", holder: i, session: w.processes[i].session, number: w.processes[i].h.Renew(w.holderClock(i))})
+				w.network = append(w.network, message{kind: "renew", holder: i, session: w.processes[i].session,
+					number: w.processes[i].h.Renew(w.holderClock(i))})
 			})
 		}
 		if p.h.Phase("l") == None && w.budget.acquires > 0 {
-			add(fmt.Sprintf("holder %d wants", i), func(w *world) { w.budget.acquires--; w.processes[i].h.Acquire("l"); w.sendRequest(i) })
+			add(fmt.Sprintf("holder %d requests the lease", i),
+				func(w *world) { w.budget.acquires--; w.processes[i].h.Acquire("l"); w.sendRequest(i) })
 		}
 		if p.h.Phase("l") != None && p.h.Phase("l") != Releasing && (w.budget.releases > 0 || p.h.Phase("l") == Revoked) {
-			add(fmt.Sprintf("holder %d gives back", i), func(w *world) {
+			add(fmt.Sprintf("holder %d releases the lease", i), func(w *world) {
 				if w.processes[i].h.Phase("l") != Revoked {
 					w.budget.releases--
 				}
@@ -325,11 +337,13 @@
 				w.sendRequest(i)
 			})
 		}
-		if a, ok := p.h.NextRequest(); ok && w.budget.resends > 0 && !slices.ContainsFunc(w.network, func(m message) bool { return m.kind == "ask" && m.request.Seq == a.Seq && m.holder == i }) {
-			add(fmt.Sprintf("holder %d asks again", i), func(w *world) { w.budget.resends--; w.sendRequest(i) })
+		if a, ok := p.h.NextRequest(); ok && w.budget.resends > 0 && !slices.ContainsFunc(w.network, func(m message) bool {
+			return m.kind == "ask" && m.request.Seq == a.Seq && m.holder == i
+		}) {
+			add(fmt.Sprintf("holder %d sends its request again", i), func(w *world) { w.budget.resends--; w.sendRequest(i) })
 		}
 		if w.budget.pauses > 0 {
-			add(fmt.Sprintf("holder %d is paused in its act", i), func(w *world) {
+			add(fmt.Sprintf("holder %d is paused between its check and its action", i), func(w *world) {
 				w.budget.pauses--
 				w.processes[i].paused = true
 				w.processes[i].pausedToken, _, _ = w.processes[i].h.MayAct(w.holderClock(i), "l")
@@ -337,16 +351,17 @@
 		}
 	}
 	if w.budget.leaders > 0 {
-		add("another leader, what was proposed stays", func(w *world) { w.budget.leaders--; w.newLeader(true) })
+		add("another leader, and pending commands are applied before its term",
+			func(w *world) { w.budget.leaders--; w.newLeader(true) })
 		if len(w.pending) > 0 {
-			add("another leader, what was proposed comes late", func(w *world) { w.budget.leaders--; w.newLeader(false) })
+			add("another leader, and pending commands are applied late", func(w *world) { w.budget.leaders--; w.newLeader(false) })
 		}
 	}
 	if l := w.state.Leases["l"]; w.budget.revokes > 0 && l != nil && l.Holder != "" {
 		add("an operator revokes", func(w *world) { w.budget.revokes--; w.apply(Command{Op: Revoke, Name: "l"}) })
 	}
 	if w.budget.restores > 0 {
-		add("the backup is put back", func(w *world) {
+		add("the backup is restored", func(w *world) {
 			w.budget.restores--
 			w.state = copyState(w.backup)
 			w.state.Restored = true
@@ -377,11 +392,11 @@
 		n.Waiters = slices.Clone(v.Waiters)
 		c.Leases[k] = &n
 	}
-	c.Changes = nil // of no account here
+	c.Changes = nil // not part of what is checked
 	return &c
 }
 
-func copyWatch(w *ExpiryTracker) *ExpiryTracker {
+func copyTracker(w *ExpiryTracker) *ExpiryTracker {
 	if w == nil {
 		return nil
 	}
@@ -392,7 +407,7 @@
 
 func (w *world) copy() *world {
 	c := *w
-	c.state, c.watch, c.deposed = copyState(w.state), copyWatch(w.watch), copyWatch(w.deposed)
+	c.state, c.tracker, c.deposed = copyState(w.state), copyTracker(w.tracker), copyTracker(w.deposed)
 	c.pending, c.network, c.processes = slices.Clone(w.pending), slices.Clone(w.network), slices.Clone(w.processes)
 	for i := range c.processes {
 		h := *w.processes[i].h
@@ -406,20 +421,21 @@
 	return &c
 }
 
-// key tells worlds apart that may go on differently. Times count from now, and messages have no order.
+// key returns a text that differs between worlds that may develop differently. Times are relative to now, and messages
+// have no order.
 func (w *world) key() string {
 	var b strings.Builder
 	s := w.state
 	fmt.Fprint(&b, s.Term, s.Token, s.Sealed, s.Rev, w.fenceToken, w.highestActed, w.budget, "|")
 	for _, id := range sortedKeys(s.Sessions) {
 		v := s.Sessions[id]
-		fmt.Fprint(&b, id, v.Seq, v.Last, w.watch.expiresAt[id]-w.leaderClock(), w.watch.expiring[id], ";")
+		fmt.Fprint(&b, id, v.Seq, v.Last, w.tracker.expiresAt[id]-w.leaderClock(), w.tracker.expiring[id], ";")
 	}
 	for _, id := range sortedKeys(s.Leases) {
-		fmt.Fprint(&b, *s.Leases[id], w.watch.revoked[id].freeAt-w.leaderClock(), ";")
+		fmt.Fprint(&b, *s.Leases[id], w.tracker.revoked[id].freeAt-w.leaderClock(), ";")
 	}
 	if s.Sealed {
-		fmt.Fprint(&b, w.watch.unsealAt-w.leaderClock())
+		fmt.Fprint(&b, w.tracker.unsealAt-w.leaderClock())
 	}
 	if w.deposed != nil && w.disabledGuard == guardLeaderConfirmed {
 		fmt.Fprint(&b, "z", w.deposedState.Rev)
@@ -452,8 +468,8 @@
 	return b.String()
 }
 
-// explore goes through every order of events, breadth first, to a depth or a number of worlds, and returns the
-// shortest way to a world that is broken.
+// explore searches every order of events, breadth first, up to a depth or a number of worlds, and returns the shortest
+// trace of events to a violation.
 func explore(from *world, depth, limit int) (trace []string, violation string, worlds, reached int) {
 	type node struct {
 		w     *world
@@ -498,8 +514,8 @@
 	return nil, "", len(nodes), reached
 }
 
-// converges lets all faults end and everybody run: within a stated time somebody holds the lease, and everyone who
-// waits gets it in turn when each gives it back as soon as it has it.
+// converges ends all faults and lets every process run. It returns an error unless, within 40 steps, every holder gets
+// the lease in turn, where each releases it as soon as it holds it.
 func (w *world) converges() error {
 	w.budget, w.deposed = budget{}, nil
 	got := map[int]bool{}
@@ -508,10 +524,10 @@
 		p.paused, p.pausedToken = false, 0
 		p.h.Tick(w.holderClock(i), w.holderClock(i), nil)
 	}
-	for range 40 { // steps: the life of a session and its renewal, for each holder in turn
+	for range 40 { // steps: the TTL of a session and its renewal, for each holder in turn
 		for i := range w.processes {
 			p := &w.processes[i]
-			if _, over := p.h.Ended(); over {
+			if _, ended := p.h.Ended(); ended {
 				w.open(i)
 			} else if len(p.h.sentAt) < 8 {
 				w.network = append(w.network, message{kind: "renew", holder: i, session: p.session, number: p.h.Renew(w.holderClock(i))})
@@ -563,7 +579,7 @@
 	{"three holders", 3, budget{leaders: 1, pauses: 1, lost: 1, releases: 1, renewals: 2, deposedCommands: 1}, 12, setupContended},
 }
 
-// setupContended lets the first holder have the lease and the others wait for it.
+// setupContended has the first holder hold the lease and the others wait for it.
 func setupContended(w *world) {
 	for i := range w.processes {
 		w.processes[i].h.Acquire("l")
@@ -574,28 +590,30 @@
 	}
 }
 
-// setupRecentRenewal has the one who waits renew a step after the one who holds.
+// setupRecentRenewal has the waiting session renew one step after the holding one.
 func setupRecentRenewal(w *world) {
 	setupContended(w)
 	w.advanceTime()
-	w.network = append(w.network, message{kind: "renew", holder: 1, session: w.processes[1].session, number: w.processes[1].h.Renew(w.holderClock(1))})
+	w.network = append(w.network, message{kind: "renew", holder: 1, session: w.processes[1].session,
+		number: w.processes[1].h.Renew(w.holderClock(1))})
 	for len(w.network) > 0 {
 		w.deliver(w.take(0))
 	}
 }
 
-// setupDeposedLeader has a leader that doesn't know yet that another leads, and the one who waits renew there.
+// setupDeposedLeader has a deposed leader that does not know yet that another one leads, and the waiting session renew.
 func setupDeposedLeader(w *world) {
 	setupContended(w)
 	w.newLeader(true)
 	w.advanceTime()
-	w.network = append(w.network, message{kind: "renew", holder: 1, session: w.processes[1].session, number: w.processes[1].h.Renew(w.holderClock(1))})
+	w.network = append(w.network, message{kind: "renew", holder: 1, session: w.processes[1].session,
+		number: w.processes[1].h.Renew(w.holderClock(1))})
 	for len(w.network) > 0 {
 		w.deliver(w.take(0))
 	}
 }
 
-// setupBackupBeforeGrant has the first holder hold the lease, which a backup taken with both sessions doesn't know.
+// setupBackupBeforeGrant has the first holder hold the lease, and a backup with both sessions but without that grant.
 func setupBackupBeforeGrant(w *world) {
 	w.backup = copyState(w.state)
 	w.processes[0].h.Acquire("l")
@@ -634,7 +652,7 @@
 			}
 			start := time.Now()
 			trace, violation, worlds, depth := explore(w, scenario.depth, *maxWorlds)
-			t.Logf("every order of %d events, %d worlds that differ, %v", depth, worlds, time.Since(start).Round(time.Millisecond))
+			t.Logf("every order of %d events, %d distinct worlds, %v", depth, worlds, time.Since(start).Round(time.Millisecond))
 			if violation != "" {
 				t.Errorf("%s:\n  %s", violation, strings.Join(trace, "\n  "))
 			}
@@ -642,7 +660,7 @@
 	}
 }
 
-// Each guard taken out is noticed, with a shortest way to the harm.
+// Without any one of the guards the search finds a violation, and logs the shortest trace to it.
 func TestEachGuardIsNeeded(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -653,15 +671,15 @@
 		{"the fence", guardNone, setupContended, budget{pauses: 1, renewals: 1}},
 		{"a leader's commands end with its term", guardCommandTerm, setupRecentRenewal, budget{leaders: 1, deposedCommands: 1, renewals: 1}},
 		{"asks count in order", guardRequestOrder, setupContended, budget{duplicated: 1, releases: 1, acquires: 1}},
-		{"a new leader waits for the lives before it", guardTTLAfterElection, setupContended, budget{leaders: 1}},
+		{"a new leader waits for the TTLs before it", guardTTLAfterElection, setupContended, budget{leaders: 1}},
 		{"only a confirmed leader renews", guardLeaderConfirmed, setupDeposedLeader, budget{renewals: 1}},
 		{"a holder counts from its sending", guardValidityFromSend, setupContended, budget{renewals: 2}},
 		{"drift and margin are taken off", guardDriftAndMargin, setupContended, budget{renewals: 1}},
 		{"an older view counts for nothing", guardViewRevision, setupUnnotifiedHolder, budget{revokes: 1, renewals: 1}},
 		{"it stops before it gives back", guardStopBeforeRelease, setupContended, budget{releases: 1}},
 		{"a new epoch after a backup is put back", guardEpochAfterRestore, setupContended, budget{restores: 1, acquires: 1, newSessions: 1}},
-		{"nothing is given for a life after that", guardSealAfterRestore, setupBackupBeforeGrant, budget{restores: 1, acquires: 1}},
-		{"a revoked lease is kept back for a life", guardRevocationWait, setupContended, budget{revokes: 1}},
+		{"nothing is granted for a TTL after that", guardSealAfterRestore, setupBackupBeforeGrant, budget{restores: 1, acquires: 1}},
+		{"a revoked lease is kept back for a TTL", guardRevocationWait, setupContended, budget{revokes: 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -671,9 +689,10 @@
 			start := time.Now()
 			trace, violation, worlds, _ := explore(w, 24, 400_000)
 			if violation == "" {
-				t.Fatalf("without it nothing went wrong in %d worlds", worlds)
+				t.Fatalf("no violation in %d worlds without this guard", worlds)
 			}
-			t.Logf("%s after %d events (%d worlds, %v):\n  %s", violation, len(trace), worlds, time.Since(start).Round(time.Millisecond), strings.Join(trace, "\n  "))
+			t.Logf("%s after %d events (%d worlds, %v):\n  %s", violation, len(trace), worlds,
+				time.Since(start).Round(time.Millisecond), strings.Join(trace, "\n  "))
 		})
 	}
 }
--- a/lease/state.go
+++ b/lease/state.go
@@ -1,10 +1,13 @@
-// Package lease decides which process of a fleet may act alone. It has three parts, all without I/O, clock or
-// goroutine: State is what the coordinators' replicated log builds (sessions, leases, who waits, who is there);
-// Watch is the leader's count of lives, which no log holds; Holder is the other side, what one process may do and
-// until when.
+// Package lease is the state machine of leases, which decides which process of a fleet may act alone. It does no
+// I/O, reads no clock and starts no goroutine.
 //
-// Times are readings of a monotonic clock, as durations since a moment of the reader's own choice. No two clocks
-// are ever compared: only spans are, and the rates of two clocks are taken to differ by at most Drift.
+// State is what the coordinators build from their replicated log: sessions, leases, queues and membership.
+// ExpiryTracker holds the leader's expiry times, which are not in the log. Holder is the side of the process that
+// uses the leases: what it may do, and until when.
+//
+// Times are readings of a monotonic clock, as durations since an origin that its reader chooses. Readings of
+// different clocks are never compared, only durations are, and the rate of each clock is assumed to be off by at
+// most Timing.Drift.
 package lease
 
 import (
@@ -12,26 +15,27 @@
 	"time"
 )
 
-// Op says what a command does.
+// Op is the operation of a command.
 type Op uint8
 
-// The commands. Those marked with (term) are the leader's own, and count only while its term lasts.
+// The operations. Those marked (term) are proposed by the leader itself and take effect only during its term.
 const (
-	Lead    Op = iota + 1 // (term) a leader takes office
-	Unseal                // (term) nobody who was given a lease before the state was lost can still act
-	Open                  // a session begins
-	Close                 // it ends, told by its process, which has stopped acting
-	Expire                // (term) it ends, since its life has passed
-	Acquire               // a session wants a lease
-	Release               // it wants it no more, and has stopped acting
-	Revoke                // an operator takes a lease away
-	Free                  // (term) whoever held a revoked lease can't act under it any more
-	Report                // a session tells how its member is
+	Lead    Op = iota + 1 // (term) a leader starts its term
+	Unseal                // (term) no holder that was granted a lease before the state was lost can still act
+	Open                  // a session is opened
+	Close                 // a session is closed by its process, which has stopped acting
+	Expire                // (term) a session is ended, since its TTL has passed
+	Acquire               // a session requests a lease
+	Release               // a session gives up a lease or its place in the queue, and has stopped acting
+	Revoke                // an operator withdraws a lease from its holder
+	Free                  // (term) the holder of a revoked lease can no longer act under it
+	Report                // a session reports the current description of its member
 )
 
-var opNames = [...]string{"none", "lead", "unseal", "open", "close", "expire", "acquire", "release", "revoke", "free", "report"}
+var opNames = [...]string{"none", "lead", "unseal", "open", "close", "expire", "acquire",
+	"release", "revoke", "free", "report"}
 
-// String is the command in a word.
+// String returns the name of the operation.
 func (o Op) String() string {
 	if int(o) < len(opNames) {
 		return opNames[o]
@@ -39,7 +43,7 @@
 	return "unknown"
 }
 
-// Member is who a session stands for.
+// Member describes the process that a session belongs to.
 type Member struct {
 	Kind    string `msgpack:"k"` // gateway, agent, task, ...
 	Name    string `msgpack:"n"`
@@ -49,60 +53,60 @@
 	State   string `msgpack:"t"`
 }
 
-// Command is one entry of the log.
+// Command is one command in the replicated log.
 type Command struct {
 	Op      Op            `msgpack:"o"`
 	Term    uint64        `msgpack:"t,omitempty"`
-	Epoch   uint32        `msgpack:"e,omitempty"` // Lead: of tokens, where a new one is due
+	Epoch   uint32        `msgpack:"e,omitempty"` // Lead: epoch of the tokens, where a new one is needed
 	Session string        `msgpack:"s,omitempty"`
-	Seq     uint64        `msgpack:"q,omitempty"` // of the session's asks: rises, so that one that comes late or twice is known
+	Seq     uint64        `msgpack:"q,omitempty"` // number of the session's request; increases, to detect late and repeated ones
 	TTL     time.Duration `msgpack:"l,omitempty"`
 	Member  Member        `msgpack:"m,omitempty"`
 	Name    string        `msgpack:"n,omitempty"`
 	Token   uint64        `msgpack:"k,omitempty"`
-	By      string        `msgpack:"b,omitempty"` // Revoke: who asked, for the log
-	Bounds  Bounds        `msgpack:"x,omitempty"` // in force at the leader, and so the same for all who apply this
+	By      string        `msgpack:"b,omitempty"` // Revoke: who requested it, for the log
+	Bounds  Bounds        `msgpack:"x,omitempty"` // in force at the leader, so that every replica applies the same
 }
 
-// Bounds are the most that a group keeps.
+// Bounds are the limits of a group of coordinators. A bound of 0 sets no limit.
 type Bounds struct {
 	Sessions int `msgpack:"s,omitempty"`
 	Leases   int `msgpack:"l,omitempty"`
-	Waiters  int `msgpack:"w,omitempty"` // for one lease
+	Waiters  int `msgpack:"w,omitempty"` // per lease
 }
 
-// Status is what became of an ask.
+// Status is the result of a request.
 type Status uint8
 
-// What may become of an ask.
+// The results of a request.
 const (
 	Done    Status = iota + 1
-	Held           // the lease is the session's, with Token
-	Waiting        // Place others are before it
+	Held           // the session holds the lease, under Token
+	Waiting        // Place other sessions are ahead in the queue
 	Unknown        // there is no such session (any more), or no such lease
-	Stale          // an ask out of the past, or for a token that is not in force
-	Full           // a bound is reached: come back later
+	Stale          // the request is out of date, or names a token that is not in force
+	Full           // a limit is reached; retry later
 )
 
-// Outcome is what an ask comes to.
+// Outcome is the answer to a request.
 type Outcome struct {
 	Status Status `msgpack:"s"`
 	Token  uint64 `msgpack:"k,omitempty"`
 	Place  int    `msgpack:"p,omitempty"`
 }
 
-// ChangeKind says what happened to a member.
+// ChangeKind is the kind of a membership change.
 type ChangeKind uint8
 
-// What may happen to a member.
+// The kinds of membership changes.
 const (
 	Joined ChangeKind = iota + 1
 	Changed
-	Left    // it said so
-	Expired // its life passed
+	Left    // its process closed the session
+	Expired // its session's TTL passed
 )
 
-// Change is one change of the membership. Seq has no gaps.
+// Change is one membership change. Seq increases by one from each change to the next.
 type Change struct {
 	Seq     uint64     `msgpack:"q"`
 	Kind    ChangeKind `msgpack:"k"`
@@ -110,46 +114,46 @@
 	Member  Member     `msgpack:"m"`
 }
 
-// retainedChanges is how many changes a watcher may have missed without being told a whole list.
+// retainedChanges is how many changes a watcher may miss and still catch up without the complete list.
 const retainedChanges = 1024
 
-// Session is one process that is there.
+// Session is an open session of one process.
 type Session struct {
 	TTL       time.Duration `msgpack:"l"`
 	Member    Member        `msgpack:"m"`
-	Seq       uint64        `msgpack:"q"` // of its newest ask
-	Last      Outcome       `msgpack:"o"` // of that one
-	Waits     []string      `msgpack:"w"` // leases it waits for
+	Seq       uint64        `msgpack:"q"` // of its latest request
+	Last      Outcome       `msgpack:"o"` // outcome of that request
+	Waits     []string      `msgpack:"w"` // leases it is queued for
 	Holds     []string      `msgpack:"h"`
 	LeasesRev uint64        `msgpack:"c"` // revision at which its leases last changed
 }
 
-// Lease is one name that a session holds or waits for. One that nobody does is not kept: tokens are of the whole
-// group, so nothing of it needs to be remembered.
+// Lease is a named lease that a session holds or waits for. A lease with neither holder nor waiters is deleted:
+// tokens are numbered across the whole group, so nothing about it needs to be remembered.
 type Lease struct {
-	Holder  string   `msgpack:"h"` // session; empty: nobody yet
+	Holder  string   `msgpack:"h"` // session; empty: none yet
 	Token   uint64   `msgpack:"k"`
 	Revoked bool     `msgpack:"r"`
-	Waiters []string `msgpack:"w"` // sessions, the next one first
+	Waiters []string `msgpack:"w"` // sessions, in queue order
 }
 
-// State is what the log builds. The same commands in the same order build the same state everywhere.
+// State is built from the replicated log. The same commands in the same order build the same state on every replica.
 type State struct {
 	Term     uint64              `msgpack:"t"`
 	Epoch    uint32              `msgpack:"e"`
-	Token    uint64              `msgpack:"k"` // the highest given
-	Sealed   bool                `msgpack:"x"` // nothing is given: holders that this state never knew may be at work
-	Restored bool                `msgpack:"r"` // out of a backup, and no leader has been in office since
-	Rev      uint64              `msgpack:"v"` // rises with each command
+	Token    uint64              `msgpack:"k"` // the highest granted
+	Sealed   bool                `msgpack:"x"` // no lease is granted: holders that this state does not know of may still act
+	Restored bool                `msgpack:"r"` // restored from a backup, and no leader has started a term since
+	Rev      uint64              `msgpack:"v"` // increases with each command
 	Sessions map[string]*Session `msgpack:"s"`
 	Leases   map[string]*Lease   `msgpack:"l"`
-	Seq      uint64              `msgpack:"q"` // of the newest change
+	Seq      uint64              `msgpack:"q"` // of the latest change
 	Changes  []Change            `msgpack:"c"`
 
 	disabledGuard guard
 }
 
-// guard names one of the guards, so that tests can take it out and see that their checks notice.
+// guard identifies one of the safety rules, so that tests can disable it and verify that their checks notice.
 type guard int
 
 const (
@@ -168,30 +172,30 @@
 	guardEndOnPause
 )
 
-// NewState is a state before its first leader.
+// NewState returns the state of a group that has not had a leader yet.
 func NewState() *State {
 	return &State{Sessions: map[string]*Session{}, Leases: map[string]*Lease{}}
 }
 
-// SessionGrant is a lease that a session got.
+// SessionGrant is a lease granted to a session.
 type SessionGrant struct {
 	Grant
 	Session string
 }
 
-// Effect is what a command led to.
+// Effect is the result of applying a command.
 type Effect struct {
 	Outcome
-	AffectedSessions []string       // sessions whose leases changed
-	Granted          []SessionGrant // leases that somebody got
+	AffectedSessions []string       // sessions whose leases changed, or that ended
+	Granted          []SessionGrant // leases that were granted
 	Changes          []Change
 }
 
-// Apply takes one command of the log in.
+// Apply applies one command of the log.
 func (s *State) Apply(c Command) (e Effect) {
 	s.Rev++
 	if (c.Op == Unseal || c.Op == Expire || c.Op == Free) && c.Term != s.Term && s.disabledGuard != guardCommandTerm {
-		e.Status = Stale // its leader counted lives that another one counts anew
+		e.Status = Stale // proposed in another term; each leader measures the TTLs anew
 		return e
 	}
 	e.Status = Done
@@ -231,8 +235,8 @@
 	return e
 }
 
-// startTerm begins a term. A group that never had a leader, or is out of a backup, takes an epoch above all before:
-// whatever tokens were given that it doesn't know of are lower than its own.
+// startTerm starts a leader's term. A group that never had a leader, or was restored from a backup, starts an epoch
+// above all earlier ones: any granted token that this state does not know of is then lower than those it grants.
 func (s *State) startTerm(c Command) {
 	s.Term = max(s.Term, c.Term)
 	if s.Epoch != 0 && !s.Restored {
@@ -247,7 +251,7 @@
 
 func (s *State) openSession(c Command, e *Effect) {
 	if existing := s.Sessions[c.Session]; existing != nil {
-		return // asked again, since the answer was lost
+		return // repeated because the answer was lost
 	}
 	if c.Bounds.Sessions > 0 && len(s.Sessions) >= c.Bounds.Sessions {
 		e.Status = Full
@@ -257,7 +261,7 @@
 	s.recordChange(Joined, c.Session, c.Member, e)
 }
 
-// endSession frees all that a session holds and takes it out of every queue.
+// endSession frees the leases that a session holds and removes it from every queue.
 func (s *State) endSession(c Command, e *Effect) {
 	session := s.Sessions[c.Session]
 	if session == nil {
@@ -279,7 +283,8 @@
 	e.AffectedSessions = append(e.AffectedSessions, c.Session)
 }
 
-// handleRequest takes in what a session says in order. An handleRequest that came before is answered as it was, without effect.
+// handleRequest handles a numbered request of a session. A repetition of the latest request gets the same outcome again,
+// without effect.
 func (s *State) handleRequest(c Command, e *Effect) {
 	session := s.Sessions[c.Session]
 	switch {
@@ -314,7 +319,7 @@
 			s.recordChange(Changed, c.Session, c.Member, e)
 		}
 	}
-	if e.Status != Full { // that one is asked again under its number
+	if e.Status != Full { // that request is retried under the same number
 		session.Seq, session.Last = c.Seq, e.Outcome
 	}
 }
@@ -349,8 +354,8 @@
 	e.Outcome = Outcome{Status: Waiting, Place: slices.Index(l.Waiters, c.Session)}
 }
 
-// grant gives a lease that nobody holds to the first who waits, under a new token; one that nobody wants either
-// is forgotten.
+// grant grants a lease that has no holder to the first waiter, under a new token. A lease that has no waiters either
+// is deleted.
 func (s *State) grant(name string, e *Effect) {
 	l := s.Leases[name]
 	if l == nil || l.Holder != "" {
@@ -382,7 +387,7 @@
 	s.grant(name, e)
 }
 
-// dequeue takes a session out of a lease's queue.
+// dequeue removes a session from a lease's queue, and deletes the lease if it then has neither holder nor waiters.
 func (s *State) dequeue(name, session string) {
 	l := s.Leases[name]
 	l.Waiters = remove(l.Waiters, session)
@@ -406,8 +411,8 @@
 	}
 }
 
-// ChangesSince are the changes after one; ok is false where they are not kept any more, or were never made, and the
-// watcher has to be told a whole list.
+// ChangesSince returns the changes after the one numbered seq. ok is false if some of them are no longer retained, or
+// if seq is higher than the latest change; the watcher then needs the complete list.
 func (s *State) ChangesSince(seq uint64) (changes []Change, ok bool) {
 	if seq > s.Seq || s.Seq-seq > uint64(len(s.Changes)) {
 		return nil, false
@@ -421,20 +426,20 @@
 	Token uint64
 }
 
-// View is what a session is told of itself. Of two the one with the higher revision is the newer.
+// View lists the leases and queue positions of a session. Of two views, the one with the higher revision is newer.
 type View struct {
 	Rev    uint64
-	Held   []Grant // revoked ones are left out
+	Held   []Grant // without revoked ones
 	Places []Place
 }
 
-// Place is where a session stands in a queue.
+// Place is the position of a session in a lease's queue.
 type Place struct {
 	Name   string
-	Before int // others, the holder not counted
+	Before int // sessions ahead of it, not counting the holder
 }
 
-// View tells a session what it holds. ok is false when there is no such session.
+// View returns the view of a session. ok is false if there is no such session.
 func (s *State) View(id string) (v View, ok bool) {
 	session := s.Sessions[id]
 	v.Rev = s.Rev
--- a/lease/watch.go
+++ b/lease/watch.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// ExpiryTracker is a leader's count of lives while it is in office. It is not replicated: the next leader counts every
-// life anew from its own start, and so waits at least as long as any answer of this one allowed.
+// ExpiryTracker holds a leader's expiry times of sessions and revoked leases during its term. It is not replicated:
+// the next leader measures every TTL anew from the start of its own term, and so waits at least as long as any
+// answer of this leader allowed.
 type ExpiryTracker struct {
 	term          uint64
-	maxTTL        time.Duration            // life that any session may have
-	expiresAt     map[string]time.Duration // when a session's life has passed
-	expiring      map[string]bool          // its end is on the way to the log: no renewal counts any more
+	maxTTL        time.Duration            // the longest TTL that a session may have
+	expiresAt     map[string]time.Duration // when the TTL of each session has passed
+	expiring      map[string]bool          // sessions whose Expire is proposed: their renewals no longer count
 	revoked       map[string]revocation
 	unsealAt      time.Duration
 	disabledGuard guard
@@ -20,10 +21,10 @@
 	holder string
 }
 
-// reproposeAfter is how long after an own command that may have been lost it is proposed reproposeAfter.
+// reproposeAfter is the time after which the leader proposes a command again, as the first one may have been lost.
 const reproposeAfter = time.Second
 
-// NewExpiryTracker begins a term of office. The state holds all that earlier leaders did.
+// NewExpiryTracker starts a leader's term. The state holds everything that earlier leaders applied.
 func NewExpiryTracker(now time.Duration, s *State, maxTTL time.Duration) *ExpiryTracker {
 	w := &ExpiryTracker{term: s.Term, maxTTL: maxTTL, expiresAt: map[string]time.Duration{}, expiring: map[string]bool{},
 		revoked: map[string]revocation{}, unsealAt: now + maxTTL, disabledGuard: s.disabledGuard}
@@ -41,7 +42,8 @@
 	return w
 }
 
-// revoke starts the wait for the holder of a revoked lease: its last renewal that still named it came before now.
+// revoke starts the wait until the holder of a revoked lease can no longer act: the last renewal that still listed the
+// lease was received before now.
 func (w *ExpiryTracker) revoke(now time.Duration, s *State, name string, l *Lease) {
 	ttl := w.maxTTL
 	if session := s.Sessions[l.Holder]; session != nil {
@@ -53,9 +55,10 @@
 	w.revoked[name] = revocation{token: l.Token, freeAt: now + ttl, holder: l.Holder}
 }
 
-// Renewed tells that a session asked to live on. received is when its ask came in; the leader has made sure since
-// then that it is still the leader. An Open that was applied in this term is such an ask too, also the second time.
-// False: the session is not there, or its end can't be stopped any more; it must not be told that it lives.
+// Renewed records a session's renewal. received is when the renewal arrived; the leader has confirmed since then
+// that it is still the leader. An Open that was applied in this term counts as a renewal too, also a repeated one.
+// It returns false if the session does not exist or its expiry can no longer be stopped; the session must then not
+// be told that it is renewed.
 func (w *ExpiryTracker) Renewed(received time.Duration, s *State, id string) bool {
 	session := s.Sessions[id]
 	if session == nil || w.expiring[id] {
@@ -65,7 +68,7 @@
 	return true
 }
 
-// Applied takes in a command that was applied to the state.
+// Applied updates the expiry times after a command was applied to the state.
 func (w *ExpiryTracker) Applied(now time.Duration, s *State, c Command, e Effect) {
 	switch c.Op {
 	case Open:
@@ -91,7 +94,7 @@
 	}
 }
 
-// Due are the commands that time calls for. Each is named once, and again after a while if it was lost.
+// Due returns the commands whose time has come. Each is returned once, and again after reproposeAfter if it was lost.
 func (w *ExpiryTracker) Due(now time.Duration, s *State) (due []Command) {
 	for _, id := range sortedKeys(w.expiresAt) {
 		if now >= w.expiresAt[id] {
@@ -114,7 +117,7 @@
 	return due
 }
 
-// Remaining is how long a session has until its life has passed, as this leader counts.
+// Remaining returns how long a session has until its TTL has passed, as measured by this leader.
 func (w *ExpiryTracker) Remaining(now time.Duration, session string) time.Duration {
 	return w.expiresAt[session] - now
 }
