--- a/control/ask_test.go
+++ b/control/ask_test.go
@@ -21,7 +21,7 @@
 	g.Handle(50, control.Members{Kind: control.Snapshot, Entries: []control.Member{{Server: "s1"}}}, nil)
 	decide := func(id uint64, ask bool) (sent, admitted, over bool) {
 		for _, a := range g.Handle(50, control.Request{
-			ID: id, Customer: 3, TimeLeft: 4, Units: 4, Spread: 1, Ask: ask,
+			ID: id, Customer: 3, TimeLeft: 4, Units: 4, Spread: 1, VerdictOnly: ask,
 		}, nil) {
 			switch a := a.(type) {
 			case control.Send:
--- a/control/ceiling_test.go
+++ b/control/ceiling_test.go
@@ -82,7 +82,7 @@
 	sent := 0
 	ask := func(customer uint64) {
 		r.id++
-		acts := r.do(control.Request{ID: r.id, Customer: customer, TimeLeft: 3, Units: 1, Spread: 2, Ask: true})
+		acts := r.do(control.Request{ID: r.id, Customer: customer, TimeLeft: 3, Units: 1, Spread: 2, VerdictOnly: true})
 		sent += len(pick[control.Admit](acts))
 	}
 	for customer := range uint64(control.MaxCustomers) {
--- a/control/coldfleet_test.go
+++ b/control/coldfleet_test.go
@@ -274,7 +274,7 @@
 				st := control.Timeout
 				f.finish(j, s, st)
 				if over && j.gateway != nil {
-					f.take(j.gateway, j.gateway.doAt(f.now, control.Gone{ID: j.request.id}))
+					f.take(j.gateway, j.gateway.doAt(f.now, control.ClientGone{ID: j.request.id}))
 				}
 			}
 		}
--- a/control/control.go
+++ b/control/control.go
@@ -152,13 +152,13 @@
 		g.members(e)
 	case Request:
 		g.request(e)
-	case Arrived:
+	case BodyReceived:
 		g.arrived(e)
 	case Started:
 		g.started(e)
 	case Outcome:
 		g.outcome(e)
-	case Gone:
+	case ClientGone:
 		g.left(e)
 	case Timer:
 		if now > g.wakeAt-pulse/4 {
@@ -166,13 +166,13 @@
 		}
 	case Reconfigured:
 		g.reconfigure(e)
-	case Ending:
+	case ShuttingDown:
 		// Units that are not added yet could be spent a second time at the gateways that stay.
 		g.ending = true
 		for _, c := range g.waiting {
 			g.want(c)
 		}
-	case Restored:
+	case LinkRestored:
 		g.pool(e.Site).forgive()
 	case Counted:
 		g.counted(e)
@@ -554,7 +554,7 @@
 	for peer, uses := range addressed(told, g.set.Gateways, g.set.Ordinal, peerMost) {
 		if len(uses) > 0 {
 			sent++
-			g.do(Tell{Peer: peer, Data: encodeUse(uses)})
+			g.do(MessagePeer{Peer: peer, Data: encodeUse(uses)})
 		}
 	}
 	g.peerTold, g.peerGap = g.now, max(peerPause, float64(sent)/(peerIntake*max(1, g.set.Limits.PeerIntake)))
@@ -588,7 +588,7 @@
 		g.want(c)
 		return
 	}
-	if e.Ask { // whoever asks sends it on: its units count from now
+	if e.VerdictOnly { // whoever asks sends it on: its units count from now
 		g.take(c, units)
 		g.do(Admit{ID: e.ID})
 		return
@@ -599,7 +599,7 @@
 		g.do(Refuse{ID: e.ID, RetryAfter: g.hint(0)})
 		return
 	}
-	if g.requests[r.id] = r; e.Arriving {
+	if g.requests[r.id] = r; e.BodyIncoming {
 		r.arriving, r.wait, r.deadline = true, e.TimeLeft, math.Inf(1)
 	}
 	g.take(c, units)
@@ -762,7 +762,7 @@
 		g.finish(r)
 		return
 	}
-	if e.Status != Full && e.Status != ConnectFailed && e.Status != Moot && !r.mayRan {
+	if e.Status != Full && e.Status != ConnectFailed && e.Status != NotSent && !r.mayRan {
 		r.mayRan, r.ranFirst, r.ranAt = true, a.sent, a.server
 	}
 	if r.out > 0 {
@@ -785,7 +785,7 @@
 func (g *Gateway) mayRetry(r *request, p *pool, last Status) bool {
 	class := &g.set.Classes[r.class]
 	switch {
-	case len(r.attempts) >= g.set.Limits.MaxAttempts, last == Moot, r.streaming,
+	case len(r.attempts) >= g.set.Limits.MaxAttempts, last == NotSent, r.streaming,
 		g.now+p.classes[r.class].work > r.deadline:
 		return false
 	case !r.mayRan:
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -385,7 +385,7 @@
 		{unsafe, control.Timeout, false}, {unsafe, control.Reset, false}, {unsafe, control.Error, false},
 		{unsafe, control.Full, true}, {unsafe, control.ConnectFailed, true},
 		{keyed, control.Reset, true}, {keyedAll, control.Reset, true},
-		{safe, control.Moot, false},
+		{safe, control.NotSent, false},
 	} {
 		r := newRig(t, settings(), warm("a", "b", "c", "d")...)
 		_, acts := r.ask(c.class, 0, 5)
@@ -671,7 +671,7 @@
 		case k == 9 && len(order) > 0 && rng.IntN(5) == 0:
 			id := order[rng.IntN(len(order))]
 			open[id].final = true
-			handle(control.Gone{ID: id})
+			handle(control.ClientGone{ID: id})
 		default:
 			handle(control.Timer{Token: uint64(rng.IntN(3))})
 			handle(control.Probed{Server: "nobody", Status: control.OK})
@@ -704,7 +704,7 @@
 }
 
 func mayRan(st control.Status) bool {
-	return st != control.Full && st != control.ConnectFailed && st != control.Moot
+	return st != control.Full && st != control.ConnectFailed && st != control.NotSent
 }
 
 func checkFinal(t *testing.T, open map[uint64]*held, id uint64) {
--- a/control/copies_test.go
+++ b/control/copies_test.go
@@ -136,9 +136,9 @@
 func TestNoCopyOfABodyThatCameInPieceByPiece(t *testing.T) {
 	r := learnedRig(t, copying(), "a", "b", "c")
 	r.id++
-	r.do(control.Request{ID: r.id, Class: safeClass, Customer: 1, TimeLeft: 3, Units: 1, Spread: 2, Arriving: true})
+	r.do(control.Request{ID: r.id, Class: safeClass, Customer: 1, TimeLeft: 3, Units: 1, Spread: 2, BodyIncoming: true})
 	r.wait(0.3)
-	r.do(control.Arrived{ID: r.id})
+	r.do(control.BodyReceived{ID: r.id})
 	if sends := pick[control.Send](r.wait(0.7)); len(sends) > 0 {
 		t.Errorf("a second attempt of what can't be sent twice: %+v", sends)
 	}
@@ -158,9 +158,9 @@
 	r := learnedRig(t, copying(), "a", "b", "c")
 	first := r.hang(safeClass, 1)
 	waiting := r.hang(safeClass, 2)
-	r.do(control.Gone{ID: waiting.ID})
+	r.do(control.ClientGone{ID: waiting.ID})
 	r.copyOf(first) // and none for the client that has left
-	if cancels := pick[control.Cancel](r.do(control.Gone{ID: first.ID})); len(cancels) != 2 {
+	if cancels := pick[control.Cancel](r.do(control.ClientGone{ID: first.ID})); len(cancels) != 2 {
 		t.Errorf("called off %+v, want both copies", cancels)
 	}
 }
--- a/control/look_test.go
+++ b/control/look_test.go
@@ -104,7 +104,7 @@
 		ids := []uint64{first, second}
 		if c.leaves {
 			ids = ids[1:]
-			if acts := r.do(control.Gone{ID: first}); len(pick[control.Send](acts)) > 0 {
+			if acts := r.do(control.ClientGone{ID: first}); len(pick[control.Send](acts)) > 0 {
 				t.Errorf("sent on as its client left: %v", acts)
 			}
 		}
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -19,7 +19,7 @@
 		for i := range 200 {
 			f.offer(0, 0, uint64(i%5))
 			f.now += 0.02
-			for _, m := range pick[control.Tell](f.do(control.Timer{})) {
+			for _, m := range pick[control.MessagePeer](f.do(control.Timer{})) {
 				told++
 				if len(m.Data) > 256 {
 					t.Errorf("a message of %d bytes", len(m.Data))
@@ -85,7 +85,7 @@
 			f.now += 0.02
 			acts := f.do(control.Timer{})
 			f.take(acts)
-			for _, m := range pick[control.Tell](acts) {
+			for _, m := range pick[control.MessagePeer](acts) {
 				told++
 				if m.Peer == 0 || m.Peer < 0 || m.Peer != gateways-1 && m.Peer >= spread-1 {
 					t.Fatalf("%d gateways: %d is told, which the customers never come through", gateways, m.Peer)
--- a/control/pools_test.go
+++ b/control/pools_test.go
@@ -121,7 +121,7 @@
 		}
 	}
 	g.pools[1].crowd, g.pools[1].inTime = 4, 0
-	g.Handle(103, Restored{Site: 1}, nil)
+	g.Handle(103, LinkRestored{Site: 1}, nil)
 	for id := range uint64(2) {
 		if got := target(t, g.Handle(103, Request{ID: 100 + id, TimeLeft: 4, Units: 1, Reach: far}, nil)); got != 'f' {
 			t.Errorf("%c, want the far site", got)
--- a/control/state.go
+++ b/control/state.go
@@ -371,7 +371,7 @@
 }
 
 // Unadded counts the customers with units that the counter may not hold yet.
-func (g *Gateway) Unadded() (n int) {
+func (g *Gateway) UnflushedCustomers() (n int) {
 	for _, c := range g.customers {
 		if g.set.Counter.Allowed && c.plan.Rate > 0 && (c.delta != 0 || c.flying != 0) {
 			n++
@@ -381,7 +381,7 @@
 }
 
 // arrived begins the time of a request that has come in whole.
-func (g *Gateway) arrived(e Arrived) {
+func (g *Gateway) arrived(e BodyReceived) {
 	r := g.requests[e.ID]
 	if r == nil || !r.arriving {
 		return
@@ -400,7 +400,7 @@
 }
 
 // left ends a request whose client has left.
-func (g *Gateway) left(e Gone) {
+func (g *Gateway) left(e ClientGone) {
 	if r := g.requests[e.ID]; r != nil {
 		g.finish(r)
 	}
@@ -445,7 +445,7 @@
 		if g.requests[e.ID] != e.held { // its client has left
 			continue
 		}
-		if !e.Arriving { // else its time has not begun
+		if !e.BodyIncoming { // else its time has not begun
 			e.TimeLeft = e.held.deadline - g.now
 		}
 		g.request(e)
@@ -616,8 +616,8 @@
 
 // gates is how many gateways have a site for their first choice, as far as that is told.
 func (s *Settings) gates(site int) int {
-	if site == s.Site && s.Here > 0 {
-		return s.Here
+	if site == s.Site && s.SiteGateways > 0 {
+		return s.SiteGateways
 	}
 	return max(1, s.Gateways)
 }
@@ -677,7 +677,7 @@
 }
 
 // InUse counts the customers held by their plan's number.
-func (g *Gateway) InUse() map[int]int {
+func (g *Gateway) CustomersByPlan() map[int]int {
 	n := map[int]int{}
 	for _, c := range g.order {
 		n[c.index]++
--- a/control/thin_fleet_test.go
+++ b/control/thin_fleet_test.go
@@ -145,7 +145,7 @@
 		f.figures.asked += t.units
 	}
 	f.handle(now, g, control.Request{ID: f.id, Plan: c.plan, Customer: c.id, TimeLeft: 1.2,
-		Units: t.units, Spread: c.spread, First: c.first, Ask: true})
+		Units: t.units, Spread: c.spread, First: c.first, VerdictOnly: true})
 }
 
 func (f *thinFleet) handle(now float64, gateway int, ev control.Event) {
--- a/control/trouble_test.go
+++ b/control/trouble_test.go
@@ -449,7 +449,7 @@
 		var slow []control.Send
 		for i := range 40 {
 			r.id++
-			acts := r.do(control.Request{ID: r.id, Class: 3, Plan: 0, Customer: uint64(100 + i), TimeLeft: 3, Units: 1, Spread: 2, Arriving: true})
+			acts := r.do(control.Request{ID: r.id, Class: 3, Plan: 0, Customer: uint64(100 + i), TimeLeft: 3, Units: 1, Spread: 2, BodyIncoming: true})
 			sent := pick[control.Send](acts)
 			if len(sent) == 0 && whole {
 				continue // a crowd already
@@ -458,7 +458,7 @@
 				t.Fatalf("slow request %d: %v", i, acts)
 			}
 			if slow = append(slow, sent...); whole {
-				r.do(control.Arrived{ID: r.id})
+				r.do(control.BodyReceived{ID: r.id})
 			}
 			r.now += 0.1
 		}
@@ -468,7 +468,7 @@
 		}
 		if !whole { // ten seconds after the first byte, a moment after the last: in time
 			r.now += 10
-			r.do(control.Arrived{ID: slow[0].ID})
+			r.do(control.BodyReceived{ID: slow[0].ID})
 			r.now += 0.1
 			if acts := r.do(control.Outcome{ID: slow[0].ID, Server: "a", Status: control.ConnectFailed, Elapsed: 0.1}); len(pick[control.Refuse](acts))+len(pick[control.Send](acts)) != 1 {
 				t.Errorf("a request within its time was not sent again nor refused: %v", acts)
@@ -495,10 +495,10 @@
 	for i := range 30 {
 		take(r.served(0, 0, uint64(300+i)))
 	}
-	if r.g.Unadded() == 0 {
+	if r.g.UnflushedCustomers() == 0 {
 		t.Fatal("all is added already: nothing to show")
 	}
-	take(r.do(control.Ending{}))
+	take(r.do(control.ShuttingDown{}))
 	failed := false
 	for range 2000 {
 		r.now += 0.01
@@ -520,7 +520,7 @@
 	for _, n := range totals {
 		sum += n
 	}
-	if r.g.Unadded() != 0 || math.Abs(sum-30) > 1e-6 || !failed {
-		t.Errorf("of 30 units %v were added, %d customers have some left", sum, r.g.Unadded())
+	if r.g.UnflushedCustomers() != 0 || math.Abs(sum-30) > 1e-6 || !failed {
+		t.Errorf("of 30 units %v were added, %d customers have some left", sum, r.g.UnflushedCustomers())
 	}
 }
--- a/control/types.go
+++ b/control/types.go
@@ -20,18 +20,18 @@
 
 // Settings is what a gateway is told once, at its start.
 type Settings struct {
-	Ordinal    int // this gateway's number
-	Gateways   int // how many gateways there are
-	Zone       int // the zone this gateway stands in
-	Site       int // the site this gateway stands at
-	Sites      int // sites among which requests may cross; 0: all servers are one site
-	Here       int // gateways at this gateway's site; 0: all
-	Classes    []Class
-	Plans      []Plan
-	Limits     Limits
-	Guarantees Guarantees
-	Counter    CounterInfo
-	Prices     Prices
+	Ordinal      int // this gateway's number
+	Gateways     int // how many gateways there are
+	Zone         int // the zone this gateway stands in
+	Site         int // the site this gateway stands at
+	Sites        int // sites among which requests may cross; 0: all servers are one site
+	SiteGateways int // gateways at this gateway's site; 0: all
+	Classes      []Class
+	Plans        []Plan
+	Limits       Limits
+	Guarantees   Guarantees
+	Counter      CounterInfo
+	Prices       Prices
 
 	Subscribe  bool     // the server list comes only to those who ask
 	LoadFields []string // meaning of each value of a load report
@@ -147,7 +147,7 @@
 	ConnectFailed        // no connection came about
 	Reset                // the connection broke; may have run
 	Cancelled            // given up by the gateway; may have run
-	Moot                 // never sent
+	NotSent              // never sent
 )
 
 // Reach names the sites that a try may go to, in order. Both are the same where only one may be used; its
@@ -175,23 +175,23 @@
 
 	// Request is a client's request that has just come in.
 	Request struct {
-		held     *request // it waited for the counter
-		ID       uint64
-		Class    int
-		Plan     int
-		Customer uint64
-		TimeLeft Seconds
-		Arriving bool // it is still coming in: its time runs from Arrived, and no server works on it before
-		Units    float64
-		Spread   int // number of gateways this customer's requests may come through
-		First    int // number of the first of them
-		Repeat   bool
-		Reach    Reach
-		Ask      bool // only the verdict is wanted: it is answered by Admit or Refuse, and nothing is sent
+		held         *request // it waited for the counter
+		ID           uint64
+		Class        int
+		Plan         int
+		Customer     uint64
+		TimeLeft     Seconds
+		BodyIncoming bool // it is still coming in: its time runs from Arrived, and no server works on it before
+		Units        float64
+		Spread       int // number of gateways this customer's requests may come through
+		First        int // number of the first of them
+		Repeat       bool
+		Reach        Reach
+		VerdictOnly  bool // only the verdict is wanted: it is answered by Admit or Refuse, and nothing is sent
 	}
 
 	// Arrived tells that a request's last byte has come in, and gone on where it was sent.
-	Arrived struct{ ID uint64 }
+	BodyReceived struct{ ID uint64 }
 
 	// Started tells that a streamed answer has begun.
 	Started struct {
@@ -216,7 +216,7 @@
 	}
 
 	// Gone tells that the client has left; nothing more is owed.
-	Gone struct{ ID uint64 }
+	ClientGone struct{ ID uint64 }
 
 	// Timer is a timer that fell due.
 	Timer struct{ Token uint64 }
@@ -239,10 +239,10 @@
 	}
 
 	// Ending tells that this gateway is about to end: what it has not added to the counter yet is to be added soon.
-	Ending struct{}
+	ShuttingDown struct{}
 
 	// Restored tells that the way to a site is there again: what failed meanwhile was not its servers' doing.
-	Restored struct{ Site int }
+	LinkRestored struct{ Site int }
 
 	// PeerMessage is a message from another gateway.
 	PeerMessage struct {
@@ -333,7 +333,7 @@
 	CloseIdle struct{ Server string }
 
 	// Tell sends a message to one gateway, or to all if Peer is below 0.
-	Tell struct {
+	MessagePeer struct {
 		Peer int
 		Data string
 	}
@@ -355,34 +355,34 @@
 	Log struct{ Text string }
 )
 
-func (Members) event()  {}
-func (Request) event()  {}
-func (Started) event()  {}
-func (Arrived) event()  {}
-func (Outcome) event()  {}
-func (Gone) event()     {}
-func (Timer) event()    {}
-func (Probed) event()   {}
-func (Restored) event() {}
-func (Ending) event()   {}
+func (Members) event()      {}
+func (Request) event()      {}
+func (Started) event()      {}
+func (BodyReceived) event() {}
+func (Outcome) event()      {}
+func (ClientGone) event()   {}
+func (Timer) event()        {}
+func (Probed) event()       {}
+func (LinkRestored) event() {}
+func (ShuttingDown) event() {}
 
 func (Reconfigured) event() {}
 func (PeerMessage) event()  {}
 func (Counted) event()      {}
 
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Refuse) action()    {}
-func (Admit) action()     {}
-func (Fail) action()      {}
-func (SetTimer) action()  {}
-func (Probe) action()     {}
-func (CloseIdle) action() {}
-func (Tell) action()      {}
-func (Count) action()     {}
-func (Watch) action()     {}
-func (Fetch) action()     {}
-func (Log) action()       {}
+func (Send) action()        {}
+func (Cancel) action()      {}
+func (Refuse) action()      {}
+func (Admit) action()       {}
+func (Fail) action()        {}
+func (SetTimer) action()    {}
+func (Probe) action()       {}
+func (CloseIdle) action()   {}
+func (MessagePeer) action() {}
+func (Count) action()       {}
+func (Watch) action()       {}
+func (Fetch) action()       {}
+func (Log) action()         {}
 
 // validate refuses settings that cannot be right.
 func (s *Settings) validate() error {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -187,7 +187,7 @@
 		known[s.Name] = true
 		if s.Here {
 			require(here < 0, "site %q: the gateway is at another site already", s.Name)
-			here, o.Module.Here = i, s.Gateways
+			here, o.Module.SiteGateways = i, s.Gateways
 			require(s.Distance.Duration == 0, "site %q: the gateway stands here, so its distance must be 0", s.Name)
 		} else {
 			require(s.Distance.Duration > 0, "site %q: distance %s must be above 0", s.Name, s.Distance)
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -44,7 +44,7 @@
 	faults := decodeAndCheck(o)
 	if o.Sites == nil {
 		o.Sites = base.Sites
-		o.Module.Site, o.Module.Sites, o.Module.Here, o.Far = base.Module.Site, base.Module.Sites, base.Module.Here, base.Far
+		o.Module.Site, o.Module.Sites, o.Module.SiteGateways, o.Far = base.Module.Site, base.Module.Sites, base.Module.SiteGateways, base.Far
 	}
 	for _, f := range fixed {
 		if !reflect.DeepEqual(f.part(o), f.part(base)) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -364,7 +364,7 @@
 
 // added answers those that wait in Finish.
 func (c *Core) added() {
-	if len(c.adding) == 0 || c.gateway.Unadded() > 0 {
+	if len(c.adding) == 0 || c.gateway.UnflushedCustomers() > 0 {
 		return
 	}
 	for _, done := range c.adding {
@@ -385,7 +385,7 @@
 // abandon ends an exchange here, for a reason of the core's own.
 func (c *Core) abandon(h *held) {
 	c.end(h, c.curtail(h))
-	c.feed(control.Gone{ID: h.id})
+	c.feed(control.ClientGone{ID: h.id})
 	c.forget(h)
 }
 
@@ -452,13 +452,13 @@
 		c.open(m.h)
 	case left:
 		c.end(m.h, Answer{Kind: Left})
-		c.feed(control.Gone{ID: m.h.id})
+		c.feed(control.ClientGone{ID: m.h.id})
 		c.forget(m.h)
 	case whole:
 		if h := m.h; h.Arriving && !h.final {
 			h.Arriving, h.Deadline = false, time.Now().Add(h.Wait)
 			h.guard.Reset(h.Wait + overdue)
-			c.feed(control.Arrived{ID: h.id})
+			c.feed(control.BodyReceived{ID: h.id})
 		}
 	case expired:
 		if !m.h.final { // guards against an attempt that hangs: the client is never left without an answer
@@ -481,7 +481,7 @@
 		c.sites.Probed(c.now(), m.target, m.status, m.took)
 		c.tick() // a link that is up again is used at once
 	case inUse:
-		m.got <- c.gateway.InUse()
+		m.got <- c.gateway.CustomersByPlan()
 	case changed:
 		c.classes = m.Classes
 		if c.sites != nil {
@@ -495,7 +495,7 @@
 		close(m.done)
 	case ending:
 		c.adding = append(c.adding, m.added)
-		c.feed(control.Ending{})
+		c.feed(control.ShuttingDown{})
 	case shedAll:
 		c.shed()
 	case control.Event:
@@ -520,9 +520,9 @@
 		rest = h.Wait
 	}
 	c.feed(control.Request{
-		Arriving: h.Arriving, Reach: c.route(h, rest),
+		BodyIncoming: h.Arriving, Reach: c.route(h, rest),
 		ID: h.id, Class: h.Class, Plan: h.Plan, Customer: h.Customer, TimeLeft: rest.Seconds(),
-		Units: h.Units, Spread: h.Spread, First: h.First, Repeat: h.Repeat, Ask: h.Ask,
+		Units: h.Units, Spread: h.Spread, First: h.First, Repeat: h.Repeat, VerdictOnly: h.Ask,
 	})
 	c.forget(h)
 }
@@ -559,7 +559,7 @@
 	}
 	e.h.out--
 	e.h.cancels[e.attempt]()
-	if e.Status != control.Full && e.Status != control.ConnectFailed && e.Status != control.Moot {
+	if e.Status != control.Full && e.Status != control.ConnectFailed && e.Status != control.NotSent {
 		if !e.h.mayRan {
 			e.h.ran = e.sent
 		}
@@ -633,7 +633,7 @@
 		c.egress.CloseIdle(a.Server)
 	case control.Log:
 		c.log.Info(a.Text)
-	case control.Tell, control.Watch, control.Fetch:
+	case control.MessagePeer, control.Watch, control.Fetch:
 		// no peers on the wires that there are, and the route table follows discovery by itself
 	default:
 		panic(fmt.Sprintf("core: no such action: %T", a))
@@ -670,7 +670,7 @@
 	done := func(o Outcome) ended { return ended{h, n, a.Server, sent, time.Since(sent).Seconds(), o} }
 	if !first && !c.mayCopy(h) {
 		c.log.Error("a second copy that is not allowed was not sent", "id", h.id, "class", h.Class)
-		c.later = append(c.later, done(Outcome{Status: control.Moot}))
+		c.later = append(c.later, done(Outcome{Status: control.NotSent}))
 		return
 	}
 	if !c.egress.Start(Attempt{
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -167,7 +167,7 @@
 		if len(out.sent) != s.sent {
 			t.Errorf("%s: %d attempts out at once, want %d", s.name, len(out.sent), s.sent)
 		}
-		if s.sent == 1 && (len(c.later) != 1 || c.later[0].(ended).Status != control.Moot) {
+		if s.sent == 1 && (len(c.later) != 1 || c.later[0].(ended).Status != control.NotSent) {
 			t.Errorf("%s: the attempt that was not sent ends as %+v, want moot", s.name, c.later)
 		}
 	}
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -29,7 +29,7 @@
 		case sites.Probe:
 			c.probeLink(a)
 		case sites.Restored:
-			c.feed(control.Restored{Site: a.Site})
+			c.feed(control.LinkRestored{Site: a.Site})
 		case sites.GiveUp:
 			c.giveUp(a.Site)
 		case sites.Log:
@@ -43,7 +43,7 @@
 	if !c.egress.Probe(a.Server, duration(a.Within), func(s control.Status, _ []float64) {
 		c.post(probed{a.Server, s, time.Since(asked).Seconds()})
 	}) {
-		c.later = append(c.later, probed{a.Server, control.Moot, 0})
+		c.later = append(c.later, probed{a.Server, control.NotSent, 0})
 	}
 }
 
--- a/internal/egress/attempt.go
+++ b/internal/egress/attempt.go
@@ -27,7 +27,7 @@
 	case err != nil:
 		return control.Cancelled, true
 	case !a.Before.IsZero() && time.Now().After(a.Before):
-		return control.Moot, true
+		return control.NotSent, true
 	}
 	return 0, false
 }
--- a/internal/egress/target_test.go
+++ b/internal/egress/target_test.go
@@ -31,7 +31,7 @@
 	}{
 		{"called off", over{context.Background(), context.Canceled}, time.Time{}, control.Cancelled},
 		{"out of time", over{context.Background(), context.DeadlineExceeded}, time.Time{}, control.ConnectFailed},
-		{"behind its window", context.Background(), time.Unix(1, 0), control.Moot},
+		{"behind its window", context.Background(), time.Unix(1, 0), control.NotSent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -25,7 +25,7 @@
 	}
 	statuses = map[int]control.Status{
 		0: control.OK, 13: control.Error, 8: control.Full, 4: control.Timeout,
-		14: control.ConnectFailed, 10: control.Reset, 1: control.Cancelled, 9: control.Moot,
+		14: control.ConnectFailed, 10: control.Reset, 1: control.Cancelled, 9: control.NotSent,
 	}
 )
 
@@ -303,7 +303,7 @@
 		f.read(&e.Load, "Telemetry")
 		ev = e
 	case "Vanished":
-		var e control.Gone
+		var e control.ClientGone
 		f.need(&e.ID, "Txn")
 		ev = e
 	case "Wake":
@@ -359,7 +359,7 @@
 	case control.CloseIdle:
 		h.put("CloseIdle")
 		h.vals(who, a.Server)
-	case control.Tell:
+	case control.MessagePeer:
 		h.put("Share")
 		h.vals(who, a.Peer, a.Data)
 	case control.Count:
