--- a/control/copies.go
+++ b/control/copies.go
@@ -18,52 +18,53 @@
 
 // awaitCopy notes the first attempt of a request, of which a copy may be sent later. A body that is sent on as it comes
 // in can't be sent to two servers.
-func (g *Gateway) awaitCopy(r *request) {
-	if g.hedges == nil || len(r.attempts) > 1 || r.wait > 0 {
+func (g *Gateway) scheduleHedge(r *request) {
+	if g.hedger == nil || len(r.attempts) > 1 || r.timeLeft > 0 {
 		return
 	}
-	g.hedges.Sent(g.now, r.id, r.class)
-	g.wake(g.hedges.Next())
+	g.hedger.Sent(g.now, r.id, r.class)
+	g.wakeBy(g.hedger.Next())
 }
 
 // sendCopies sends the copies that are due, where package hedge allows them.
-func (g *Gateway) sendCopies() {
-	if g.hedges == nil {
+func (g *Gateway) sendDueHedges() {
+	if g.hedger == nil {
 		return
 	}
-	for _, id := range g.hedges.Due(g.now) {
-		if r := g.requests[id]; r != nil && !r.closed && r.out == 1 && len(r.attempts) < g.set.Limits.MaxAttempts {
-			g.sendCopy(r)
+	for _, id := range g.hedger.Due(g.now) {
+		if r := g.requests[id]; r != nil && !r.closed && r.inFlight == 1 &&
+			len(r.attempts) < g.settings.Limits.MaxAttempts {
+			g.sendHedge(r)
 		}
 	}
-	g.wake(g.hedges.Next())
+	g.wakeBy(g.hedger.Next())
 }
 
 // sendCopy sends a copy to another server of the site at which the attempt that is out is being served.
-func (g *Gateway) sendCopy(r *request) {
+func (g *Gateway) sendHedge(r *request) {
 	pool := r.attempts[len(r.attempts)-1].server.pool
-	worthless := r.attempts[0].sent + g.set.Classes[r.class].Aim
-	if !g.hedges.Allow(hedge.Conditions{
-		Overload: pool.press,
-		Left:     min(worthless, r.deadline) - g.now,
-		Typical:  pool.classes[r.class].typical,
-		Capped:   g.capped(r.customer),
+	aimEnds := r.attempts[0].sentAt + g.settings.Classes[r.class].Aim
+	if !g.hedger.Allow(hedge.Conditions{
+		Overload: pool.overload,
+		Left:     min(aimEnds, r.deadline) - g.now,
+		Typical:  pool.classes[r.class].typicalTime,
+		Capped:   g.atOpenLimit(r.customer),
 	}) {
 		return
 	}
-	if s := g.choose(r, pool, false); s != nil {
-		g.hedges.Spend()
+	if s := g.chooseServer(r, pool, false); s != nil {
+		g.hedger.Spend()
 		g.send(r, s)
 	}
 }
 
 // capped tells whether a customer's plan leaves this gateway no further attempt of it.
-func (g *Gateway) capped(c *customer) bool {
-	return c.plan.Open > 0 && float64(c.open+1) > max(1, float64(c.plan.Open)*g.share(c))
+func (g *Gateway) atOpenLimit(c *customer) bool {
+	return c.plan.Open > 0 && float64(c.openAttempts+1) > max(1, float64(c.plan.Open)*g.share(c))
 }
 
 // isOutAt tells whether an attempt of the request is out at s.
-func (r *request) isOutAt(s *server) bool {
+func (r *request) isInFlightAt(s *server) bool {
 	for _, a := range r.attempts {
 		if a.server == s && !a.ended {
 			return true
@@ -73,17 +74,17 @@
 }
 
 // timeCopies learns how long answers take, and what a copy that was faster tells of the server of the first attempt.
-func (g *Gateway) timeCopies(r *request, a *attempt, status Status) {
-	took := g.now - a.sent
+func (g *Gateway) recordHedgeTimes(r *request, a *attempt, status Status) {
+	elapsed := g.now - a.sentAt
 	beaten := status == Cancelled && len(r.attempts) > 1 && a == r.attempts[0]
 	if status == OK || status == Timeout || beaten {
-		g.hedges.Answered(r.class, took)
+		g.hedger.Answered(r.class, elapsed)
 	}
-	if status == OK && r.out > 0 && g.hedges != nil {
-		g.hedges.Judged(a != r.attempts[0])
+	if status == OK && r.inFlight > 0 && g.hedger != nil {
+		g.hedger.Judged(a != r.attempts[0])
 	}
 	if beaten {
-		typical := a.server.pool.classes[r.class].typical
-		a.server.slow += (min(took/typical, 20) - a.server.slow) * learn
+		typicalTime := a.server.pool.classes[r.class].typicalTime
+		a.server.slowness += (min(elapsed/typicalTime, 20) - a.server.slowness) * sampleWeight
 	}
 }
--- a/control/peers.go
+++ b/control/peers.go
@@ -6,18 +6,18 @@
 )
 
 // use is what a gateway tells a peer of one customer.
-type use struct {
-	customer      uint64
-	units         float64
-	first, spread int // the gateways it comes through; not told
+type peerUse struct {
+	customer                   uint64
+	units                      float64
+	firstGateway, gatewayCount int // the gateways it comes through; not told
 }
 
 // addressed sorts what is told by the gateway that it concerns, at most some for each.
-func addressed(told []use, gateways, own, most int) [][]use {
-	by := make([][]use, gateways)
-	for _, u := range told {
-		for i := range u.spread {
-			if peer := (u.first + i) % gateways; peer >= 0 && peer != own && len(by[peer]) < most {
+func groupByGateway(uses []peerUse, gateways, self, limit int) [][]peerUse {
+	by := make([][]peerUse, gateways)
+	for _, u := range uses {
+		for i := range u.gatewayCount {
+			if peer := (u.firstGateway + i) % gateways; peer >= 0 && peer != self && len(by[peer]) < limit {
 				by[peer] = append(by[peer], u)
 			}
 		}
@@ -26,9 +26,9 @@
 }
 
 // encodeUse writes what is told as one short line.
-func encodeUse(told []use) string {
+func encodeUse(uses []peerUse) string {
 	var b []byte
-	for i, u := range told {
+	for i, u := range uses {
 		if i > 0 {
 			b = append(b, ' ')
 		}
@@ -40,8 +40,8 @@
 }
 
 // decodeUse reads such a line, or tells that it is none.
-func decodeUse(line string) ([]use, bool) {
-	var told []use
+func decodeUse(line string) ([]peerUse, bool) {
+	var uses []peerUse
 	for _, word := range strings.Fields(line) {
 		id, amount, ok := strings.Cut(word, ":")
 		customer, err := strconv.ParseUint(id, 36, 64)
@@ -49,25 +49,25 @@
 		if !ok || err != nil || err2 != nil || !(units >= 0 && units < 1e9) {
 			return nil, false
 		}
-		told = append(told, use{customer: customer, units: units})
+		uses = append(uses, peerUse{customer: customer, units: units})
 	}
-	return told, true
+	return uses, true
 }
 
-func (g *Gateway) hear(e PeerMessage) {
-	told, ok := decodeUse(e.Data)
+func (g *Gateway) handlePeerMessage(e PeerMessage) {
+	uses, ok := decodeUse(e.Data)
 	if !ok {
 		return
 	}
-	g.heard = g.now
-	for _, u := range told {
+	g.peerHeardAt = g.now
+	for _, u := range uses {
 		if c := g.customers[u.customer]; c != nil {
-			c.fill(g.now, rateMemory)
-			c.told += u.units
+			c.refill(g.now, rateTimeConstant)
+			c.unitsFromPeers += u.units
 			c.level = max(0, c.level-u.units)
-			c.part = c.level
-		} else if len(g.hearsay) < maxCustomers {
-			g.hearsay[u.customer] += u.units
+			c.splitLevel = c.level
+		} else if len(g.unclaimedPeerUnits) < maxCustomers {
+			g.unclaimedPeerUnits[u.customer] += u.units
 		}
 	}
 }
--- a/control/pools_test.go
+++ b/control/pools_test.go
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	if near, far := g.pools[0].crowd, g.pools[1].crowd; near < 0.5 || far != 0 {
+	if near, far := g.pools[0].fleetOverload, g.pools[1].fleetOverload; near < 0.5 || far != 0 {
 		t.Errorf("crowd %g near and %g far, want much and none", near, far)
 	}
 }
@@ -120,7 +120,7 @@
 			}
 		}
 	}
-	g.pools[1].crowd, g.pools[1].inTime = 4, 0
+	g.pools[1].fleetOverload, g.pools[1].inTimeShare = 4, 0
 	g.Handle(103, LinkRestored{Site: 1}, nil)
 	for id := range uint64(2) {
 		if got := target(t, g.Handle(103, Request{ID: 100 + id, TimeLeft: 4, Units: 1, Reach: far}, nil)); got != 'f' {
@@ -132,7 +132,7 @@
 // A site that starts anew as a whole is sent work at once, and not more than it can do.
 func TestColdPoolIsSentALittle(t *testing.T) {
 	g := two(t, GroupAll)
-	g.set.Guarantees = Guarantees{ColdFrom: 0.15, Ramp: 18, FallMultiple: 3, FallAfter: 1.5}
+	g.settings.Guarantees = Guarantees{ColdFrom: 0.15, Ramp: 18, FallMultiple: 3, FallAfter: 1.5}
 	list := Members{Kind: Delta}
 	for i := range 2 {
 		list.Entries = append(list.Entries, Member{Server: fmt.Sprint("f", i), Site: 1, Since: 101})
--- a/control/types.go
+++ b/control/types.go
@@ -137,7 +137,7 @@
 // Status is how an attempt, a probe or a counter call ended.
 type Status int
 
-// The ways a thing may end. Full, ConnectFailed and Moot prove that an
+// The ways a thing may end. Full, ConnectFailed and NotSent prove that an
 // attempt never ran (and that a counter call added nothing).
 const (
 	OK            Status = iota
@@ -175,7 +175,7 @@
 
 	// Request is a client's request that has just come in.
 	Request struct {
-		held         *request // it waited for the counter
+		heldRequest  *request // it waited for the counter
 		ID           uint64
 		Class        int
 		Plan         int
@@ -190,7 +190,7 @@
 		VerdictOnly  bool // only the verdict is wanted: it is answered by Admit or Refuse, and nothing is sent
 	}
 
-	// Arrived tells that a request's last byte has come in, and gone on where it was sent.
+	// BodyReceived tells that a request's last byte has come in, and gone on where it was sent.
 	BodyReceived struct{ ID uint64 }
 
 	// Started tells that a streamed answer has begun.
@@ -215,7 +215,7 @@
 		Load    []float64 // by Settings.LoadFields; nil: none
 	}
 
-	// Gone tells that the client has left; nothing more is owed.
+	// ClientGone tells that the client has left; nothing more is owed.
 	ClientGone struct{ ID uint64 }
 
 	// Timer is a timer that fell due.
@@ -238,10 +238,10 @@
 		Attempts int // MaxAttempts from now on; 0: as it was
 	}
 
-	// Ending tells that this gateway is about to end: what it has not added to the counter yet is to be added soon.
+	// ShuttingDown tells that this gateway is about to end: what it has not added to the counter yet is to be added soon.
 	ShuttingDown struct{}
 
-	// Restored tells that the way to a site is there again: what failed meanwhile was not its servers' doing.
+	// LinkRestored tells that the way to a site is there again: what failed meanwhile was not its servers' doing.
 	LinkRestored struct{ Site int }
 
 	// PeerMessage is a message from another gateway.
@@ -332,7 +332,7 @@
 	// CloseIdle closes idle connections to a server.
 	CloseIdle struct{ Server string }
 
-	// Tell sends a message to one gateway, or to all if Peer is below 0.
+	// MessagePeer sends a message to one gateway, or to all if Peer is below 0.
 	MessagePeer struct {
 		Peer int
 		Data string
@@ -409,7 +409,8 @@
 		}
 	}
 	for i, p := range s.Plans {
-		if !finite(p.Rate, p.Burst, p.Worth, p.OverWorth, p.OverCost, p.CeilingRate, p.CeilingBurst, p.CeilingSlack) {
+		if !finite(p.Rate, p.Burst, p.Worth, p.OverWorth, p.OverCost,
+			p.CeilingRate, p.CeilingBurst, p.CeilingSlack) {
 			return fmt.Errorf("control: plan %d: a figure that is no finite number", i)
 		}
 		if min(p.Rate, p.Burst, float64(p.Open), p.CeilingRate, p.CeilingBurst, p.CeilingSlack) < 0 {
