--- a/control/control.go
+++ b/control/control.go
@@ -1,9 +1,13 @@
 package control
 
-// The interface (settings, events, actions) is types.go; state.go and peers.go hold no decision.
-// Reading order: the tuned values; New and Handle; then 1. customers and their quotas: the batched-delta
-// mechanism, the heart; 2. the counter: when to call it, and what its answers mean; 3. requests; 4. servers.
-// docs/design.md tells what comes from the source and what was changed.
+// This file makes the decisions. types.go declares the interface: settings, events and actions. state.go,
+// peers.go and copies.go hold the state, arithmetic on it, messages to peers and hedged requests.
+//
+// Reading order: the constants; New and Handle; then 1. customers and their quotas, the core of the package:
+// units are counted locally and added to the shared counter in batches; 2. the counter: when to call it, and
+// how its answers are used; 3. requests; 4. servers.
+//
+// docs/design.md says which parts come from the source of this design and which were changed.
 
 import (
 	"cmp"
@@ -13,100 +17,342 @@
 )
 
 const (
-	timerInterval          = 0.02  // s between looks at what is due; far below the shortest call interval
-	minWindow              = 3.0   // s; shorter windows would spend calls on rolling over
-	countTTLWindows        = 4     // windows a name is kept: past its closing read, and no longer
-	maxFlushDelay          = 1.0   // s, the source's periodic flush; nobody waits longer to be counted
-	readIntervalUnits      = 0.7   // of the time in which a unit comes in; reading more often shows nothing
-	flushDepletionShare    = 0.3   // of the time in which the store could run dry may pass between calls
-	doublingCallPrice      = 0.02  // call price at which intervals are doubled
-	counterLag             = 0.012 // s: a tick, a call and its way; use of others within it can't be seen
-	demandPriorUnits       = 0.5   // units at the usual rate that weigh against own asks: customers differ much
-	openSpikeShare         = 0.7   // of what others likely ask is taken to be out, where attempts out are capped
-	drawnSpikeShare        = 0.4   // of what others likely ask is taken as drawn, at the least
-	viewStaleAfter         = 1.5   // s after which a view tells little of what others ask
-	unknownUseShare        = 0.5   // of its rate that a customer not yet looked up is taken to use
-	rateTimeConstant       = 2.0   // s over which rates of use are averaged
-	staleShareTimeConstant = 1.5   // s that a share outlives the last view
-	shareTimeConstant      = 6.0   // s over which shares are: the busiest gateway changes every few seconds
-	idleEvictionWindows    = 3.0   // windows without a request after which a customer is forgotten
-	maxCustomers           = 20000 // held at once; one-off floods beyond this share no memory
-
-	lookupViewAge          = 0.3    // s after which a view is too old to let in what the split does not
-	minHoldTimeouts        = 4.0    // times a call's time-out that a client must wait to be held for one
-	initialFleetCallRate   = 500.0  // counter calls a second of all gateways, before anything is learned
-	minFleetCallRate       = 40.0   // of all gateways; fewer would be slow to see that the counter is back
-	maxFleetCallRate       = 2000.0 // of all gateways, where it stops growing
-	initialGatewayCallRate = 13.0   // instead of callsFirst for each, if that is more: counters grow with fleets
-	callRateGrowth         = 0.5    // growth a second while answers are quick
-	callRateDecay          = 2.0    // fall a second while they are slow or missing
-	maxDecayStep           = 0.2    // s that one bad answer can tell of at the most
-	maxCallDeferral        = 20.0   // s that a call may be put off for customers asked for again sooner
-	callBurstTime          = 0.02   // s of calls that may go out at once
-	minCallBurst           = 4.0    // and as many at least: a try that finds none left would be let in without a look
-	lookupReserve          = 3.0    // left for tries that wait to be looked up, by calls that only read
-	slowCallShare          = 0.35   // of a call's time-out: later answers say that the counter is crowded
-
-	peerFallbackDelay  = 0.3  // s without an answer of the counter before peers are told
-	peerFallbackMisses = 2    // unanswered calls in a row: one alone is a crowd, no silence
-	minPeerInterval    = 0.15 // s between messages: a tenth of a second or so is what a total would lag
-	peerIntakeShare    = 0.5  // of what a gateway can take in is used: customers crowd at some
-	maxPeerEntries     = 14   // customers in a message, to fit 256 bytes
-
-	minHintShare    = 0.2 // of the longest wait that clients heed, where nothing tells of a better time
-	hintJitterShare = 0.3 // and as much more at the most, so that they do not come back in step
-
-	retryBudgetRatio          = 0.1 // attempts beyond the first that each request earns: a retry storm stays at a tenth
-	retryBudgetMax            = 8.0 // and how many may be saved up
-	attemptTimeoutAimShare    = 0.8 // share of the aim after which a repeatable attempt is given up for another
-	minAttemptTimeoutTypicals = 5.0 // but never before this many typical times: long work is not a fault
-
-	initialServerLimit   = 6.0   // attempts at a server from all gateways, before anything is learned
-	initialPooledLimit   = 4.0   // the same where they are pooled and averaged: an average has no peaks
-	minLimit             = 0.2   // under 1, as many gateways share a server: then only some servers are in use at once
-	lostAfterTypicals    = 3.0   // typical times after which an answer seems lost while others come quickly
-	inFlightTimeConstant = 1.0   // s over which attempts out are averaged where few are
-	minPooledLimitShare  = 0.3   // of the first guess; crowd does the rest
-	limitGrowthFactor    = 1.010 // at each good sign
-	limitCutFactor       = 0.92  // at each bad one
-	lateAimShare         = 0.6   // an answer later than this share of its aim says that there is a crowd
-	busyLimitShare       = 0.7   // of a limit in use: it may grow; of all own slots: they add to the crowd
-	lossyMaxLateShare    = 0.07  // of the answers that come must be late for silence to tell of a crowd
-	lossyMinInTimeShare  = 0.4   // or this few of all attempts answered in time: no network that is of use loses more
-	overloadRise         = 1.0   // a second, while answers come late
-	overloadFall         = 0.125 // a second, while they are in time: they balance at one late answer in nine
-	maxOverloadStep      = 0.5   // s that one answer can tell of at the most
-	maxFleetOverload     = 4.0   // where it stops rising: one request in fifty of middling worth
-	maxRetryOverload     = 0.05  // from here on no attempt is given up for another
-	shedProbeCount       = 12    // requests refused since the last attempt, and
-	shedProbeInterval    = 3.0   // s since then, after which one is let in whatever the overload
-	minInTimeChance      = 0.5   // chance of an answer in time under which nothing is started
-	typicalTimeDecay     = 0.01  // fall of the typical time for each that is refused for want of hope
-	overloadTimeConstant = 6.0   // s; where all is refused no answer would tell that the crowd is gone
-	classRejectBackoff   = 8.0   // s that a server is passed over for the class it turned away
-	allRejectBackoff     = 2.0   // s, the same where all servers turned it away
-	unprovenCostFactor   = 4.0   // extra cost where the class was not lately served, times how often it is turned away
-	sampleWeight         = 0.12  // weight of a new sample in averages over attempts
-	poolSampleWeight     = 0.03  // the same for what is learned of all servers
-	highLossShare        = 0.2   // share of attempts without an answer from which three in a row must fail
-	slownessTimeConstant = 4.0   // s in which a server without answers is thought of as average again
-	costJitter           = 0.15  // random part of a server's cost, so that gateways do not pick alike
-	crossZoneCost        = 0.01  // extra cost of a server in another zone: near ones win ties
-	choicesPerOwnServer  = 3     // servers looked at, for each that a gateway has to itself
-	minChoices           = 4     // and at the least
-	gatewaysPerServer    = 12    // gateways that go to one server: each costs it a connection, and is to meet it often
-
-	ejectionFailures   = 3   // failures in a row that put a server out; a refused connection counts double
-	minEjectionTime    = 0.4 // s a server is first left alone, doubled at each failed trial
-	maxEjectionTime    = 4.0
-	trialGateways      = 1.0  // gateways, of all, that send a trial with their next request
-	trialEjectionTimes = 10.0 // of the time left alone, in which only trials are sent
-	coldLoadShare      = 0.7  // of what a warm server gets times the warm share: chance and other gateways need room
-	coldBurstAttempts  = 1.5  // attempts that one gateway may send a cold server at once
-	coldStartCores     = 4.0  // as many cores' work is begun on each by all gateways where no server is warm
+	// ---- Customers: windows, flushes and estimates of use ----
+
+	// timerInterval is the mean of the shortest time between two timers, in seconds. It is far below the
+	// shortest interval between counter calls.
+	timerInterval = 0.02
+
+	// minWindow is the shortest window over which units are counted, in seconds. Shorter windows would spend
+	// calls on moving from one window to the next.
+	minWindow = 3.0
+
+	// countTTLWindows is the time for which the counter keeps the name of a window's count, in windows: until
+	// after the closing read of that window, and no longer.
+	countTTLWindows = 4
+
+	// maxFlushDelay is the longest time that units wait to be added to the counter, in seconds: the periodic
+	// flush of the original design. It also bounds the time between two timers and between two sweeps.
+	maxFlushDelay = 1.0
+
+	// readIntervalUnits is the shortest time before a call that adds nothing, as a multiple of the time in
+	// which the plan's rate refills one unit. Reading more often shows nothing new.
+	readIntervalUnits = 0.7
+
+	// flushDepletionShare is the share of the time in which the bucket could run dry that may pass between
+	// calls.
+	flushDepletionShare = 0.3
+
+	// doublingCallPrice is the price of a counter call (CounterInfo.Price) at which call intervals are
+	// doubled.
+	doublingCallPrice = 0.02
+
+	// counterLag is the time within which units used at other gateways cannot be seen, in seconds: a timer
+	// interval, a call and its transmission.
+	counterLag = 0.012
+
+	// demandPriorUnits is the weight of a customer's usual rate in an estimate of its demand, in units,
+	// against the units asked of this gateway. Customers differ widely.
+	demandPriorUnits = 0.5
+
+	// openSpikeShare is the share of the demand expected at other gateways that is assumed to be in flight
+	// there. It matters to plans that cap the attempts in flight.
+	openSpikeShare = 0.7
+
+	// drawnSpikeShare is the least share of the demand expected at other gateways that is assumed to be drawn
+	// from the quota.
+	drawnSpikeShare = 0.4
+
+	// viewStaleAfter is the age after which a view says little about demand at other gateways, in seconds.
+	viewStaleAfter = 1.5
+
+	// unknownUseShare is the share of its rate that a customer is assumed to use before the first view.
+	unknownUseShare = 0.5
+
+	// rateTimeConstant is the time constant of the averages of rates, in seconds.
+	rateTimeConstant = 2.0
+
+	// staleShareTimeConstant is the time constant with which a gateway's share returns to the even split
+	// after the last view, in seconds.
+	staleShareTimeConstant = 1.5
+
+	// shareTimeConstant is the time constant of the recent units that shares are computed from, in seconds.
+	// The gateway that has most of a customer's traffic changes every few seconds.
+	shareTimeConstant = 6.0
+
+	// idleEvictionWindows is the time without a request after which a customer is evicted, in windows.
+	idleEvictionWindows = 3.0
+
+	// maxCustomers is the number of customers kept at once, which bounds the memory that a flood of customers
+	// seen only once can take.
+	maxCustomers = 20000
+
+	// ---- Counter calls: lookups before admission, and the rate limit on calls ----
+
+	// lookupViewAge is the age from which a view is too old to admit a request that the split alone does not
+	// admit, in seconds. The request is held until the counter has answered.
+	lookupViewAge = 0.3
+
+	// minHoldTimeouts is the time that a client must have left for its request to be held for a counter call,
+	// as a multiple of the call's time-out.
+	minHoldTimeouts = 4.0
+
+	// initialFleetCallRate is the initial rate of calls of all gateways together, in calls a second.
+	initialFleetCallRate = 500.0
+
+	// minFleetCallRate is the lowest rate of calls of all gateways together, in calls a second. A lower rate
+	// would be slow to show that the counter is back.
+	minFleetCallRate = 40.0
+
+	// maxFleetCallRate is the rate of all gateways together at which growth stops, in calls a second.
+	maxFleetCallRate = 2000.0
+
+	// initialGatewayCallRate is the initial rate of one gateway, in calls a second, where that is more than
+	// its part of initialFleetCallRate: counters grow with fleets.
+	initialGatewayCallRate = 13.0
+
+	// callRateGrowth is the relative growth a second of the call rate while answers are quick.
+	callRateGrowth = 0.5
+
+	// callRateDecay is the exponential decay a second of the call rate while answers are slow or missing.
+	callRateDecay = 2.0
+
+	// maxDecayStep is the longest time that one slow or missing answer accounts for, in seconds.
+	maxDecayStep = 0.2
+
+	// maxCallDeferral is the longest time that a call is put off in favor of customers whose next request is
+	// expected sooner, in seconds.
+	maxCallDeferral = 20.0
+
+	// callBurstTime sets the burst of the limit on calls: the calls of this many seconds may go out at once.
+	callBurstTime = 0.02
+
+	// minCallBurst is the least burst, in calls. A request that finds no call left would be admitted without
+	// a lookup.
+	minCallBurst = 4.0
+
+	// lookupReserve is the number of calls that calls which only read leave to requests that wait for a
+	// lookup.
+	lookupReserve = 3.0
+
+	// slowCallShare is the share of a call's time-out from which an answer shows that the counter is
+	// overloaded.
+	slowCallShare = 0.35
+
+	// ---- Messages to peers while the counter does not answer ----
+
+	// peerFallbackDelay is the time without an answer of the counter before peers are told of use, in
+	// seconds.
+	peerFallbackDelay = 0.3
+
+	// peerFallbackMisses is the number of consecutive calls without an answer before peers are told. A single
+	// one is a sign of overload, not of an outage.
+	peerFallbackMisses = 2
+
+	// minPeerInterval is the shortest time between rounds of messages, in seconds. A total read from the
+	// counter would be about a tenth of a second old, too.
+	minPeerInterval = 0.15
+
+	// peerIntakeShare is the share of the messages a gateway can take in that is used. Customers are
+	// concentrated at some gateways.
+	peerIntakeShare = 0.5
+
+	// maxPeerEntries is the number of customers in one message, which has to fit into 256 bytes.
+	maxPeerEntries = 14
+
+	// ---- Retry-After hints ----
+
+	// minHintShare is the least hint where nothing indicates a better time, as a share of
+	// Limits.MaxRetryAfter.
+	minHintShare = 0.2
+
+	// hintJitterShare is the range of the random addition to that hint, as a share of Limits.MaxRetryAfter.
+	// It keeps clients from coming back in step.
+	hintJitterShare = 0.3
+
+	// ---- Retries: the retry budget and the time-out of an attempt ----
+
+	// retryBudgetRatio is the number of retries that each request adds to the budget. It keeps a retry storm
+	// at a tenth of the load.
+	retryBudgetRatio = 0.1
+
+	// retryBudgetMax is the most that the budget holds, in retries.
+	retryBudgetMax = 8.0
+
+	// attemptTimeoutAimShare is the time after which a repeatable attempt is given up for another, as a share
+	// of the aim of its class.
+	attemptTimeoutAimShare = 0.8
+
+	// minAttemptTimeoutTypicals is the least time-out of an attempt, in typical answer times. Long work is
+	// not a fault.
+	minAttemptTimeoutTypicals = 5.0
+
+	// ---- Concurrency limits: attempts in flight at a server. Each gateway adapts its own ----
+
+	// initialServerLimit is the initial limit of a server, in attempts in flight from all gateways.
+	initialServerLimit = 6.0
+
+	// initialPooledLimit is the same where a gateway pools the limits of all servers and averages the
+	// attempts in flight: an average has no peaks.
+	initialPooledLimit = 4.0
+
+	// minLimit is the least limit of one gateway at one server, in attempts. It is below 1 because many
+	// gateways share a server; then only some of the servers are in use at once.
+	minLimit = 0.2
+
+	// lostAfterTypicals is the age in typical answer times from which an attempt counts as lost while other
+	// answers come quickly.
+	lostAfterTypicals = 3.0
+
+	// inFlightTimeConstant is the time constant of the average of attempts in flight, in seconds. It is used
+	// where a gateway has only few in flight.
+	inFlightTimeConstant = 1.0
+
+	// minPooledLimitShare is the least pooled limit, as a share of its initial value. The overload estimate
+	// does the rest.
+	minPooledLimitShare = 0.3
+
+	// limitGrowthFactor multiplies a limit after an answer in time.
+	limitGrowthFactor = 1.010
+
+	// limitCutFactor multiplies a limit after a late answer or another sign of overload.
+	limitCutFactor = 0.92
+
+	// ---- Load shedding: the estimate of overload, and what is admitted in spite of it ----
+
+	// lateAimShare is the share of a class's aim after which an answer counts as late, a sign of overload.
+	lateAimShare = 0.6
+
+	// busyLimitShare is the share of a limit in use from which the limit may grow. For the pooled limit, use
+	// beyond this share adds to the overload.
+	busyLimitShare = 0.7
+
+	// lossyMaxLateShare is the share of late answers, of those that come, up to which missing answers are
+	// taken as loss. Above it they are a sign of overload.
+	lossyMaxLateShare = 0.07
+
+	// lossyMinInTimeShare is the share of all attempts that must be answered in time for missing answers to
+	// be taken as loss. No usable network loses more than the rest.
+	lossyMinInTimeShare = 0.4
+
+	// overloadRise is the change a second of the fleet's overload while answers are late.
+	overloadRise = 1.0
+
+	// overloadFall is its fall a second while answers are in time. Rise and fall balance at one late answer
+	// in nine.
+	overloadFall = 0.125
+
+	// maxOverloadStep is the longest time that one answer accounts for, in seconds.
+	maxOverloadStep = 0.5
+
+	// maxFleetOverload is where the fleet's overload stops rising. One request in fifty of average worth is
+	// still admitted there.
+	maxFleetOverload = 4.0
+
+	// maxRetryOverload is the overload from which no attempt is given up for another.
+	maxRetryOverload = 0.05
+
+	// shedProbeCount is the number of requests shed since the last attempt after which one is admitted in
+	// spite of the overload, if shedProbeInterval has passed, too.
+	shedProbeCount = 12
+
+	// shedProbeInterval is the time since the last attempt after which such a request may be admitted, in
+	// seconds.
+	shedProbeInterval = 3.0
+
+	// minInTimeChance is the least chance of an answer in time for a request to be started.
+	minInTimeChance = 0.5
+
+	// typicalTimeDecay is the relative fall of a class's typical answer time for each request refused because
+	// that chance is too low.
+	typicalTimeDecay = 0.01
+
+	// overloadTimeConstant is the time constant with which the fleet's overload decays on its own, in
+	// seconds. Where all requests are shed, no answer would show that the overload is over.
+	overloadTimeConstant = 6.0
+
+	// ---- Servers that reject a class of requests as full ----
+
+	// classRejectBackoff is the time for which a server gets no requests of a class that it rejected, in
+	// seconds.
+	classRejectBackoff = 8.0
+
+	// allRejectBackoff is the same where all servers rejected the class.
+	allRejectBackoff = 2.0
+
+	// unprovenCostFactor sets the extra cost of a server that has not served the class lately. It is
+	// multiplied by the share of the class's attempts that are rejected.
+	unprovenCostFactor = 4.0
+
+	// ---- Averages over attempts ----
+
+	// sampleWeight is the weight of a new sample in averages for one server or class.
+	sampleWeight = 0.12
+
+	// poolSampleWeight is the same for averages over all servers of a pool.
+	poolSampleWeight = 0.03
+
+	// highLossShare is the share of attempts without an answer from which a server is ejected only after
+	// ejectionFailures consecutive time-outs. Below it fewer are enough.
+	highLossShare = 0.2
+
+	// slownessTimeConstant is the time constant with which a server that gives no answers is taken as average
+	// again, in seconds.
+	slownessTimeConstant = 4.0
+
+	// ---- Choice of a server ----
+
+	// costJitter is the random part of a server's cost. It keeps gateways from all choosing the same server.
+	costJitter = 0.15
+
+	// crossZoneCost is the extra cost of a server in another zone: servers in the own zone win ties.
+	crossZoneCost = 0.01
+
+	// choicesPerOwnServer is the number of servers compared, for each server that a gateway has to itself.
+	choicesPerOwnServer = 3
+
+	// minChoices is the least number of servers compared.
+	minChoices = 4
+
+	// gatewaysPerServer is the number of gateways that send to one server. Each costs the server a
+	// connection, and each has to send there often enough to learn about it.
+	gatewaysPerServer = 12
+
+	// ---- Outlier ejection, and slow start of cold servers ----
+
+	// ejectionFailures is the number of consecutive failures after which a server is ejected. A refused
+	// connection counts twice.
+	ejectionFailures = 3
+
+	// minEjectionTime is the time for which a server is first ejected, in seconds. Each failed trial doubles
+	// it.
+	minEjectionTime = 0.4
+
+	// maxEjectionTime is the longest time for which a server is ejected, in seconds.
+	maxEjectionTime = 4.0
+
+	// trialGateways is the number of gateways, of all, that send a trial with their next request after an
+	// ejection.
+	trialGateways = 1.0
+
+	// trialEjectionTimes is the time after an ejection in which a server gets only trials, as a multiple of
+	// the time for which it was ejected.
+	trialEjectionTimes = 10.0
+
+	// coldLoadShare is the load of a cold server, as a share of what a warm one gets times the cold one's
+	// warm share. The rest is headroom for chance and for other gateways.
+	coldLoadShare = 0.7
+
+	// coldBurstAttempts is the number of attempts that one gateway may send to a cold server at once.
+	coldBurstAttempts = 1.5
+
+	// coldStartCores is the work that all gateways together start on each server where none is warm, in cores
+	// kept busy.
+	coldStartCores = 4.0
 )
 
-// New makes a gateway that knows its settings. The same seed and events give the same actions.
+// New returns a gateway with these settings, or an error if they are invalid. The same seed and events give
+// the same actions.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -136,12 +382,12 @@
 	return g, nil
 }
 
-// firstState is what a class is taken to be before anything is learned of it.
+// initialClassState is the estimate for a class before any answer is known.
 func initialClassState(c *Class) classState {
 	return classState{typicalTime: c.Aim / 5, workTime: c.Aim / 8}
 }
 
-// Handle takes one event in and appends the actions it calls for.
+// Handle processes one event and returns actions with those appended that the event calls for.
 func (g *Gateway) Handle(now Seconds, ev Event, actions []Action) []Action {
 	g.now, g.actions = now, actions
 	if !g.initialized {
@@ -169,7 +415,7 @@
 	case Reconfigured:
 		g.handleReconfigured(e)
 	case ShuttingDown:
-		// Units that are not added yet could be spent a second time at the gateways that stay.
+		// Units that the counter does not hold yet could be spent again at the remaining gateways.
 		g.shuttingDown = true
 		for _, c := range g.callQueue {
 			g.scheduleCall(c)
@@ -185,7 +431,8 @@
 	return g.actions
 }
 
-// wake asks for a timer by then. The random part keeps gateways that start together from calling in step.
+// wakeBy requests a timer that fires at the given time, or a little later if that is too soon. The random
+// part keeps gateways that start together from calling the counter in step.
 func (g *Gateway) wakeBy(at Seconds) {
 	at = min(max(at, g.now+timerInterval*(0.5+g.rng.Float64())), g.now+maxFlushDelay)
 	if g.wakeAt <= g.now || at < g.wakeAt {
@@ -194,6 +441,8 @@
 	}
 }
 
+// sweep does the periodic work of a timer: messages to peers, hedges, a new subscription and the eviction of
+// idle customers.
 func (g *Gateway) sweep() {
 	silent := g.missedCalls >= peerFallbackMisses && g.now-g.firstMissAt > peerFallbackDelay
 	if g.settings.Limits.Peers && silent && g.now-g.peersToldAt > g.peerInterval {
@@ -212,7 +461,7 @@
 		return
 	}
 	g.sweptAt = g.now
-	// Customers that were quiet for long have a full bucket again and need not be kept.
+	// A customer that has been idle for long has a full bucket again and need not be kept.
 	g.customersByArrival = slices.DeleteFunc(g.customersByArrival, func(c *customer) bool {
 		idle := g.now-c.lastRequestAt > max(idleEvictionWindows*c.plan.windowLength(minWindow),
 			c.plan.ceilingRefillTime())
@@ -223,21 +472,26 @@
 	})
 }
 
-// good lets a limit grow. Danger: one cut far down would take minutes: the further below first, the faster.
+// grow raises the limit after a good answer if the limit is nearly used up. It grows faster the further it is
+// below its initial value: otherwise a limit that was cut far down would take minutes to recover.
 func (l *limiter) grow(initial float64) {
 	if float64(l.inFlight)+1 >= l.limit*busyLimitShare {
 		l.limit *= 1 + (limitGrowthFactor-1)*max(1, initial/l.limit)
 	}
 }
 
+// cut lowers the limit after a sign of overload.
 func (l *limiter) cut() { l.limit = max(minLimit, l.limit*limitCutFactor) }
 
 // ---- 1. Customers and their quotas ----
 //
-// The judge of a quota is a token bucket, of which a gateway keeps two views. level is what totals and own
-// units leave of it; part what is left if others spend in proportion: own units leave it divided by the own
-// share. A request is let in while part holds it (the design's split), or level very likely does.
+// A quota is a token bucket that all gateways share, and each gateway keeps two estimates of its level. level
+// is what the counter's totals and this gateway's units leave in it. splitLevel assumes that the other
+// gateways spend in proportion: own units are divided by this gateway's share before they are drawn from it.
+// A request is admitted while splitLevel holds its units (the split of the original design), or while level
+// very likely does.
 
+// customerOf returns the customer of a request, and creates it if this gateway does not know it.
 func (g *Gateway) customerOf(e Request) *customer {
 	if c := g.customers[e.Customer]; c != nil {
 		if c.planIndex != e.Plan {
@@ -254,28 +508,28 @@
 		window: p.windowAt(g.now), neverViewed: true, levelUnknown: true, viewedAt: g.now,
 		othersRate: unknownUseShare * p.Rate,
 	}
-	// The process before this one may have spent this part of the ceiling: it refills from this one's start.
+	// The previous process may have spent this part of the ceiling: it starts empty when this process starts.
 	split := p.CeilingBurst / c.gatewayCount
 	c.ceilingLevel = min(split, p.CeilingRate/c.gatewayCount*(g.now-g.startedAt))
 	if len(g.customers) < maxCustomers {
 		g.customers[e.Customer] = c
 		g.customersByArrival = append(g.customersByArrival, c)
-	} else { // its units are forgotten at once: no ceiling could be kept
+	} else { // the customer is not kept, so its ceiling could not be enforced
 		c.ceilingLevel = 0
 	}
 	return c
 }
 
-// share is this gateway's part of the customer's recent units. Traffic moves between gateways, so
-// without a new total it falls to the even split, at which all shares add up to one.
+// share is this gateway's part of the customer's recent units, from 0 to 1. Traffic moves between gateways,
+// so without a new total a larger share falls to the even split, at which all shares add up to one.
 func (g *Gateway) share(c *customer) float64 {
 	even := 1 / c.gatewayCount
 	share := (c.ownRecentUnits + even) / (c.allRecentUnits + 1)
 	return even + max(0, min(1, share)-even)*math.Exp(-(g.now-c.viewedAt)/staleShareTimeConstant)
 }
 
-// demand estimates the units a second asked of all gateways. The usual rate weighs against own asks:
-// at a share of a hundredth, a single one would otherwise stand for a hundred.
+// demand estimates the units a second that the customer asks of all gateways, without some that were asked of
+// this one. The usual rate is a prior: at a share of 1%, a single request would otherwise count as a hundred.
 func (g *Gateway) demand(c *customer, excluded float64) float64 {
 	share := g.share(c)
 	observed := max(0, c.ownDemandRate*rateTimeConstant-excluded)
@@ -283,14 +537,15 @@
 	return (demandPriorUnits + observed) / (demandPriorUnits/usual + share*rateTimeConstant)
 }
 
-// allows tells what a try likely earns, per worth: at most 1, for one inside the quota; 0 or less refuses it.
+// admissionValue is the expected gain of admitting a request, per unit of its worth: 1 for one inside the
+// quota, and 0 or less for one to refuse.
 func (g *Gateway) admissionValue(c *customer, class int, units float64) float64 {
 	p := c.plan
 	if p.CeilingRate > 0 && c.ceilingLevel < units {
-		return 0 // the fifth rule comes before all gain
+		return 0 // the hard ceiling holds whatever a request would gain
 	}
 	share := g.share(c)
-	gain := p.OverWorth - p.OverCost // of a try beyond the quota, per worth
+	gain := p.OverWorth - p.OverCost // of a request beyond the quota, per unit of worth
 	atOpenLimit := g.atOpenLimit(c)
 	if atOpenLimit && (p.Rate <= 0 || c.openAttempts >= p.Open) {
 		return 0
@@ -300,13 +555,13 @@
 	}
 	age, othersRate := c.viewAge(g.now), c.othersRate
 	if g.missedCalls > 0 && g.now-g.peerHeardAt < viewStaleAfter {
-		age = min(age, g.peerInterval) // peers speak: what they have not told is no older
+		age = min(age, g.peerInterval) // peers report their use at this interval
 	}
 	othersDemand := g.demand(c, units) * (1 - share)
 	if age > viewStaleAfter {
 		othersRate = max(othersRate, othersDemand)
 	}
-	othersRate = max(othersRate, drawnSpikeShare*othersDemand) // a spike shows in asks before any total tells of it
+	othersRate = max(othersRate, drawnSpikeShare*othersDemand) // requests show a spike before any total does
 	unseenUnits := othersDemand*min(age, counterLag) + othersRate*max(0, min(age, p.Burst/p.Rate)-counterLag)
 	available := c.splitLevel
 	if age <= viewStaleAfter {
@@ -319,22 +574,24 @@
 	if c.level < units {
 		return 0
 	}
-	// The split leaves room unused: admit where the chance that there is room makes it worth while.
+	// The split leaves units unused: admit the request where the bucket holds its units with a sufficient
+	// chance.
 	chance := 1.0
 	if !fits {
 		chance = poissonAtMost(int(c.level/units)-1, unseenUnits/units)
 	}
-	if atOpenLimit { // the same of attempts out. Others have out what they send in the time that an answer takes.
+	if atOpenLimit { // the same for attempts in flight: others have as many as they send during one answer time
 		answerTime := g.poolOf(g.settings.Site).classes[class].typicalTime
 		chance *= poissonAtMost(p.Open-1-c.openAttempts,
 			max(othersRate, openSpikeShare*othersDemand)/g.meanUnits*answerTime)
 	}
-	// A kept unit is not lost while asks exceed the rate.
+	// A unit that is not spent now is spent later while demand exceeds the rate.
 	savedValue := min(1, g.demand(c, 0)/p.Rate) * (1 - c.level/p.Burst)
 	return chance*(1-savedValue) + (1-chance)*gain
 }
 
-// hint tells a client when to come back: a random short time where the bucket seems to hold the units.
+// retryAfter is the hint when a client should try again, in seconds: the wait for the units, or a short
+// random time if the bucket seems to hold them already. 0 is no hint.
 func (g *Gateway) retryAfter(wait Seconds) Seconds {
 	if !g.settings.Limits.RetryAfter {
 		return 0
@@ -347,14 +604,15 @@
 
 // ---- 2. The counter ----
 
+// scheduleCall queues a counter call for a customer, at a time at which its bucket can't have run dry.
 func (g *Gateway) scheduleCall(c *customer) {
 	if !g.settings.Counter.Allowed || c.plan.Rate <= 0 || c.evicted || g.customers[c.id] != c {
 		return
 	}
-	use := max(g.demand(c, 0), c.ownRate+c.othersRate) // others see a spike as this gateway does
+	use := max(g.demand(c, 0), c.ownRate+c.othersRate) // a spike is taken to reach the other gateways as well
 	wait := flushDepletionShare * max(0, c.level-1) / max(use, 1e-9)
 	if c.unflushed == 0 {
-		wait = max(wait, readIntervalUnits/c.plan.Rate) // only a read: nobody else waits for it
+		wait = max(wait, readIntervalUnits/c.plan.Rate) // it adds nothing, so no other gateway waits for it
 	}
 	wait = min(maxFlushDelay, wait*(1+g.settings.Counter.Price/doublingCallPrice))
 	if c.neverViewed && c.splitLevel < c.plan.Burst/2 || g.shuttingDown && c.unflushed != 0 {
@@ -371,6 +629,7 @@
 	c.callDueAt = min(c.callDueAt, due)
 }
 
+// makeDueCalls makes the queued counter calls that are due, as far as the rate limit on calls permits.
 func (g *Gateway) makeDueCalls() {
 	g.callTokens = min(max(minCallBurst, g.callRate*callBurstTime),
 		g.callTokens+g.callRate*(g.now-g.tokensRefilledAt))
@@ -397,7 +656,8 @@
 		return
 	}
 	if ready > g.callTokens {
-		// More calls are due than may be made: customers seen once wait behind those asked for again soon.
+		// More calls are due than the limit permits: customers whose next request is expected soon go first,
+		// before those seen only once.
 		urgency := func(c *customer) Seconds {
 			return c.callDueAt + min(maxCallDeferral, 1/(g.share(c)*g.demand(c, 0)))
 		}
@@ -418,16 +678,18 @@
 	g.callQueue = kept
 }
 
-// affords tells whether a call may be made for a customer for whom nobody waits. Tries that wait to be looked
-// up go before calls that only read, or they would be let in without a look.
+// mayCall reports whether the rate limit permits a call for a customer of whom no request is held. Calls that
+// only read leave a reserve to requests that need a lookup, which would otherwise be admitted without one.
 func (g *Gateway) mayCall(c *customer) bool {
 	return g.callTokens >= 1 && (c.unflushed != 0 || g.callTokens >= 1+lookupReserve)
 }
 
+// callCounter adds the customer's unflushed units to the count of their window, or only reads that count if
+// the window is over or a previous add is uncertain.
 func (g *Gateway) callCounter(c *customer) {
 	current := c.currentWindow(g.now)
 	if c.window < current && (c.neverViewed || c.window < current-1) && c.uncertainUnits == 0 {
-		c.window, c.ownCounted, c.othersCounted = current, 0, 0 // nothing to close: too long ago
+		c.window, c.ownCounted, c.othersCounted = current, 0, 0 // too long ago: no use in closing it
 		c.levelUnknown = true
 	}
 	name, amount := countName(c.id, c.plan.key(c.planIndex), c.window), 0.0
@@ -438,13 +700,14 @@
 	g.sendCount(c, name, amount)
 }
 
-// pace adapts the rate of calls: up while answers are quick, down while they are slow or missing. The
-// step follows the time since the last answer, so that calls turned away at once do not drive it.
+// adaptCallRate raises the rate of calls while answers are quick, and lowers it while they are slow or
+// missing. The step is proportional to the time since the last answer, so that calls rejected at once do not
+// dominate it.
 func (g *Gateway) adaptCallRate(quick bool) {
 	sinceAnswer := g.now - g.counterAnsweredAt
 	g.counterAnsweredAt = g.now
 	gateways := float64(g.settings.Gateways)
-	if quick { // faster far below the first guess
+	if quick { // it grows faster far below the initial rate
 		step := min(1, callRateGrowth*sinceAnswer*
 			max(1, max(initialGatewayCallRate, initialFleetCallRate/gateways)/g.callRate))
 		g.callRate = min(maxFleetCallRate*max(1/gateways, initialGatewayCallRate/initialFleetCallRate),
@@ -455,6 +718,7 @@
 	}
 }
 
+// handleCounted processes the answer to a counter call. The requests held for it are decided at the end.
 func (g *Gateway) handleCounted(e Counted) {
 	c := g.takeAnsweredCall(e.Name)
 	if c == nil {
@@ -463,7 +727,7 @@
 	amount, readsPrevious := c.unitsInFlight, c.readsPrevious
 	c.unitsInFlight, c.callInFlight, c.readsPrevious = 0, false, false
 	defer g.releaseHeld(c)
-	if c.planChanged { // the total is that of a plan that the customer has left
+	if c.planChanged { // the total belongs to the customer's previous plan
 		c.planChanged = false
 		g.scheduleCall(c)
 		return
@@ -475,7 +739,7 @@
 		g.wakeBy(g.now + peerFallbackDelay)
 		g.adaptCallRate(false)
 		if e.Status == Timeout {
-			// The add may have been made. It is kept apart until a read tells.
+			// The units may have been added. They are kept apart until a read shows it.
 			c.uncertainUnits += amount
 		} else {
 			c.unflushed += amount
@@ -494,8 +758,9 @@
 	}
 	g.applyTotal(c, e.Total, amount)
 	if current := c.currentWindow(g.now); c.window < current {
-		c.window, c.ownCounted, c.othersCounted = current, 0, 0 // what is left is carried over in level
-		if len(c.heldRequests) > 0 {                            // the window that is over tells nothing of the present one
+		c.window, c.ownCounted, c.othersCounted = current, 0, 0 // level carries over what is left
+		// The total of a past window does not answer for the present one.
+		if len(c.heldRequests) > 0 {
 			g.callCounter(c)
 			return
 		}
@@ -508,6 +773,8 @@
 	}
 }
 
+// applyTotal updates the estimates of a customer from a total, which includes added units of this gateway's
+// call.
 func (g *Gateway) applyTotal(c *customer, total, added float64) {
 	if c.uncertainUnits > 0 {
 		if total-c.ownCounted-c.othersCounted >= c.uncertainUnits-1e-6 {
@@ -519,7 +786,7 @@
 	}
 	c.ownCounted += added
 	if total < c.ownCounted-1e-4*max(1, c.ownCounted) {
-		// The counter was emptied. Add the own units again; the most seen of others stays known.
+		// The counter lost its data. Add the own units again; the highest count of others' units is kept.
 		c.unflushed += c.ownCounted - added
 		c.ownCounted = added
 	}
@@ -528,7 +795,7 @@
 	c.unitsFromPeers, c.unitsToldPeers = 0, 0
 	c.othersCounted = max(c.othersCounted, others)
 	age := c.viewAge(g.now)
-	// A total tells of its window only; before that others are taken to have drawn at their rate.
+	// A total covers its window only; before that, others are assumed to have drawn at their rate.
 	span := max(counterLag, min(age, g.now-float64(c.window)*c.plan.windowLength(minWindow)))
 	decay := math.Exp(-span / rateTimeConstant)
 	c.othersRate = c.othersRate*decay + newUnits/span*(1-decay)
@@ -536,12 +803,12 @@
 		c.level = max(0, c.level-unseenTime*max(0, c.othersRate-c.plan.Rate))
 	}
 	c.neverViewed = false
-	// Own units without news of others would look like the whole: shares move only with a total.
+	// Shares change only with a total: without others' units, the own ones would seem to be all there are.
 	decay = math.Exp(-age / shareTimeConstant)
 	c.ownRecentUnits = c.ownRecentUnits*decay + c.unitsSinceView
 	c.allRecentUnits = c.allRecentUnits*decay + c.unitsSinceView + newUnits
 	c.level -= newUnits
-	// Tries beyond the quota take nothing from the judge's store.
+	// Requests beyond the quota draw nothing from the bucket that the quota is judged by.
 	for c.level < 0 {
 		c.level += max(1, -c.level)
 	}
@@ -550,8 +817,8 @@
 	c.viewedAt = g.now
 }
 
-// tell sends units not surely added to the customer's other gateways while the counter is silent,
-// in no more messages than each receiver takes in.
+// tellPeers sends the units that may not have been added to the customers' other gateways while the counter
+// does not answer. The interval grows with the messages sent, to keep within what a receiver takes in.
 func (g *Gateway) tellPeers() {
 	var uses []peerUse
 	for _, c := range g.customersByArrival {
@@ -573,6 +840,7 @@
 
 // ---- 3. Requests ----
 
+// handleRequest decides about a new request, or again about one that was held for a counter call.
 func (g *Gateway) handleRequest(e Request) {
 	if g.requests[e.ID] != e.heldRequest {
 		return
@@ -599,7 +867,7 @@
 		g.scheduleCall(c)
 		return
 	}
-	if e.VerdictOnly { // whoever asks sends it on: its units count from now
+	if e.VerdictOnly { // the caller forwards the request itself: its units count from now
 		g.chargeUnits(c, units)
 		g.emit(Admit{ID: e.ID})
 		return
@@ -617,8 +885,9 @@
 	g.send(r, s)
 }
 
-// look holds a try that an old view lets in until the counter has answered: of many gateways each
-// sees little of a customer. A counter in trouble is not waited for.
+// holdForLookup holds a request that is admitted by an old view only until the counter has answered, and
+// reports whether it did: of many gateways, each sees little of a customer. It does not wait for a counter
+// with missed calls.
 func (g *Gateway) holdForLookup(c *customer, e Request, units float64) bool {
 	canCall := g.settings.Counter.Allowed && c.plan.Rate > 0 && g.missedCalls == 0 &&
 		(c.callInFlight || g.callTokens >= 1)
@@ -632,7 +901,7 @@
 	return true
 }
 
-// take books the units of a try that is let in.
+// chargeUnits charges a customer for an admitted request.
 func (g *Gateway) chargeUnits(c *customer, units float64) {
 	c.ceilingLevel -= units
 	c.ownRate += units / rateTimeConstant
@@ -640,8 +909,9 @@
 	g.scheduleCall(c)
 }
 
-// place finds a server within reach: at the first site or, where that has none or sheds it, at the second.
-// A retry (gain 0) is not shed, nor what has room by the measure of sites; shed learns from it all the same.
+// selectServer returns a server at the first site within reach or, if there is none or the request is shed
+// there, at the second; nil if there is none. A retry (gain 0) is not shed, nor a request for which package
+// sites reports room at the first site; shed still updates its estimates from the latter.
 func (g *Gateway) selectServer(r *request, reach Reach, gain float64) *server {
 	for i, site := range [...]int{reach.First, reach.Then} {
 		lastSite := i > 0 || reach.Then == reach.First
@@ -656,27 +926,32 @@
 	return nil
 }
 
+// shed reports whether a request is refused because of overload, and updates the pool's estimates of it. The
+// less a request is worth compared with others, the more likely it is shed.
 func (g *Gateway) shed(r *request, gain float64, p *pool) bool {
 	class := &g.settings.Classes[r.class]
-	// Danger: little time left. What is likely answered too late is worth less.
+	// With little time left, the answer is likely too late, and the request is worth less.
 	cs := &p.classes[r.class]
 	inTimeChance := 1 - math.Exp2(-min(class.Aim, r.deadline-g.now)/cs.typicalTime)
-	if inTimeChance < minInTimeChance { // Danger: where all are refused for it no answer would ever lower it again.
+	if inTimeChance < minInTimeChance { // decays: if all are refused, no answer would lower it again
 		cs.typicalTime -= cs.typicalTime * typicalTimeDecay
 	}
 	worth := inTimeChance * gain * class.Worth * r.customer.plan.Worth * r.units / max(cs.workTime, 1e-4)
 	meanRatio := p.recordWorth(worth)
-	// Danger: a large fleet. With one attempt out, own slots show no crowd; late answers of any server do.
+	// In a large fleet, a gateway with one attempt in flight can't see overload in its own limits; late
+	// answers of any server show it.
 	p.fleetOverload *= math.Exp(-(g.now - p.overloadDecayedAt) / overloadTimeConstant)
 	p.overloadDecayedAt = g.now
-	// Danger: lost answers. What is out long while answers are quick is no work.
+	// If answers get lost, attempts in flight for long while others are answered quickly keep no server busy.
 	sparse, maxAge, workShare := initialServerLimit < p.gateways, math.Inf(1), 1.0
 	if sparse && p.lossy() {
 		maxAge, workShare = lostAfterTypicals, p.inTimeShare
 	}
 	limit, inFlight, servers := p.occupancy(g.now, maxAge)
 	limit, inFlight = limit+minLimit, inFlight*workShare
-	if sparse { // of a server met seldom nothing is known: as of all. Danger: chance, where few are out
+	// A gateway that seldom sends to a server knows nothing about it, so one limit is pooled over all. With
+	// few attempts in flight their number is mostly chance, and is averaged.
+	if sparse {
 		decay := math.Exp(-(g.now - p.meanInFlightAt) / inFlightTimeConstant)
 		p.meanInFlight, p.meanInFlightAt = p.meanInFlight*decay+inFlight*(1-decay), g.now
 		limit, inFlight = minLimit+p.pooledLimit*servers, p.meanInFlight
@@ -687,13 +962,14 @@
 		g.rng.Float64() <= math.Exp(-p.overload*meanRatio*meanRatio) {
 		return inTimeChance < minInTimeChance
 	}
-	// A gateway that refuses all it gets would not see the overload end: now and then one is let in.
+	// A gateway that sheds every request would not see the overload end: from time to time one is admitted.
 	p.shedSinceAttempt++
 	return p.shedSinceAttempt < shedProbeCount || g.now-p.lastAttemptAt < shedProbeInterval
 }
 
-// overdue takes an attempt that is out too long as a sign of overload, whatever becomes of it: overloaded
-// servers may work only on what nobody waits for, and then no answer ever tells of it.
+// checkOverdue takes each attempt that is in flight for too long as a sign of overload, however it ends:
+// overloaded servers may be busy only with requests whose clients have given up, and then no answer ever
+// shows it.
 func (g *Gateway) checkOverdue() {
 	for _, p := range g.pools {
 		for i := range p.classes {
@@ -713,15 +989,18 @@
 	}
 }
 
-// lossy tells that silence is loss. Danger: lost answers are no crowd: most come, and quickly.
+// lossy reports whether missing answers are lost rather than delayed by overload: then most answers do come,
+// and quickly.
 func (p *pool) lossy() bool {
 	return p.lateShare <= lossyMaxLateShare && p.inTimeShare >= lossyMinInTimeShare
 }
 
+// updateOverload raises or lowers the fleet's overload after an answer that was late or in time.
 func (g *Gateway) updateOverload(p *pool, late bool) {
 	sinceUpdate := min(maxOverloadStep, g.now-p.overloadUpdatedAt)
 	p.overloadUpdatedAt = g.now
-	// A high one must come down as fast as it rose. Danger: lasting overload; it would let a third be late.
+	// A high overload must fall as fast as it rose, but only while nearly all answers are in time: in a
+	// lasting overload, a third of the answers would be late otherwise.
 	calmWeight := max(0, 1-(1-p.inTimeShare)*(1+overloadRise/overloadFall))
 	step := -overloadFall * (1 + calmWeight*p.fleetOverload*p.fleetOverload)
 	if late {
@@ -730,10 +1009,11 @@
 	p.fleetOverload = max(0, min(maxFleetOverload, p.fleetOverload+step*sinceUpdate))
 }
 
+// send starts an attempt of a request at a server.
 func (g *Gateway) send(r *request, s *server) {
 	class, p := &g.settings.Classes[r.class], s.pool
 	timeout := 0.0
-	// Danger: while servers are pressed, a second attempt doubles the work of the first.
+	// Under overload there is no early time-out: a second attempt would double the work of the first.
 	mayRepeat := class.Repeat != Unsafe && !class.Stream && len(r.attempts)+1 < g.settings.Limits.MaxAttempts
 	if p.overload < maxRetryOverload && mayRepeat && !r.bodyIncoming {
 		timeout = max(attemptTimeoutAimShare*class.Aim, minAttemptTimeoutTypicals*p.classes[r.class].typicalTime)
@@ -751,14 +1031,15 @@
 	g.scheduleHedge(r)
 }
 
-// depart books an attempt that a server is about to have whole. Danger: slow bodies. Booked from their
-// first byte they would look like work out too long.
+// bookAtServer counts an attempt as work of its server from now on, when the server is about to have the
+// whole request. Counted from the first byte, a slow upload would look like overdue work.
 func (g *Gateway) bookAtServer(r *request, a *attempt) {
 	cs := &a.server.pool.classes[r.class]
 	a.sentAt, a.bodySent, cs.undecided = g.now, true, append(cs.undecided, a)
 	a.server.addAttempt(openAttempt{r.id, g.now, cs.typicalTime})
 }
 
+// handleOutcome processes the end of an attempt, and retries or finishes the request.
 func (g *Gateway) handleOutcome(e Outcome) {
 	r := g.requests[e.ID]
 	a := r.endAttempt(e.Attempt)
@@ -797,6 +1078,7 @@
 	g.send(r, s)
 }
 
+// mayRetry reports whether another attempt of the request may follow one that ended with lastStatus.
 func (g *Gateway) mayRetry(r *request, p *pool, lastStatus Status) bool {
 	class := &g.settings.Classes[r.class]
 	switch {
@@ -804,13 +1086,15 @@
 		g.now+p.classes[r.class].workTime > r.deadline:
 		return false
 	case !r.mayHaveRun:
-		return lastStatus != Full || p.overload < maxRetryOverload // turned away in a crowd: no storm
+		return lastStatus != Full || p.overload < maxRetryOverload // no retry storm under overload
 	case g.retryBudget < 1, class.Repeat == Unsafe:
 		return false
 	}
 	return class.Repeat == Safe || g.now < r.firstRunSentAt+class.Window
 }
 
+// giveUp answers a request that gets no further attempt: Refuse if it had no effect or may be repeated, else
+// Fail.
 func (g *Gateway) giveUp(r *request) {
 	class := &g.settings.Classes[r.class]
 	if !r.mayHaveRun || class.Repeat == Safe || (class.Repeat == Keyed && class.Group == GroupAll) {
@@ -821,7 +1105,7 @@
 	g.finish(r)
 }
 
-// finish closes a request that has its answer or whose client has left, and calls off what is out.
+// finish closes a request that has its answer or whose client has left, and cancels its attempts in flight.
 func (g *Gateway) finish(r *request) {
 	r.closed = true
 	g.hedger.Ended(r.id, r.class)
@@ -838,6 +1122,7 @@
 
 // ---- 4. Servers ----
 
+// handleMembers applies a server list, or changes to it.
 func (g *Gateway) handleMembers(e Members) {
 	if e.Kind == Failed {
 		g.resubscribeAt = g.now + 1 + g.rng.Float64()
@@ -847,14 +1132,14 @@
 	if e.Kind == Cached && g.settings.Subscribe {
 		g.emit(Watch{On: true})
 	}
-	if e.Kind != Delta { // what a whole list does not name is gone, and is not kept
+	if e.Kind != Delta { // a server that a full list does not name is removed
 		for _, s := range g.servers {
 			s.listed, s.member.State = false, Removed
 		}
 	}
 	for _, m := range e.Entries {
 		s, p := g.servers[m.Server], g.poolOf(m.Site)
-		if s != nil && s.pool != p { // it moved: what is out at it ends where it was begun
+		if s != nil && s.pool != p { // it moved: its attempts in flight end in the old pool
 			s.listed, s.member.State = false, Removed
 			s = nil
 		}
@@ -878,25 +1163,29 @@
 	}
 }
 
+// markCold starts the slow start of a server that was started at the given time, unless its ramp is over.
 func (g *Gateway) markCold(s *server, since Seconds) {
 	if g.now-since < g.settings.Guarantees.Ramp {
 		if !s.cold {
-			// Each gateway starts with another part of an attempt, so that they don't all send at once.
+			// Each gateway starts with a random part of an attempt, so that they don't all send at once.
 			s.coldBudget, s.budgetRefilledAt = g.rng.Float64(), g.now
 		}
 		s.cold, s.coldSince = true, since
 	}
 }
 
+// refillColdBudget refills the budget of a cold server up to now, and returns its warm share (1 if it is
+// warm).
 func (g *Gateway) refillColdBudget(s *server) (warmShare float64) {
 	p := s.pool
 	warmShare = g.settings.Guarantees.warmShare(g.now - s.coldSince)
 	if s.cold = s.cold && warmShare < 1; !s.cold {
 		return 1
 	}
-	// A cold server gets its part of what a warm one gets, not of the mean: a release of most lowers that.
+	// A cold server gets a share of what a warm server gets, not of the mean, which is low while a release
+	// restarts most servers.
 	rate := p.attemptRate * math.Exp(-(g.now-p.lastAttemptAt)/rateTimeConstant) / max(1, p.effectiveServers)
-	if p.warmServers == 0 { // a part of what warm servers get would be nothing for ever
+	if p.warmServers == 0 { // a share of what no warm server gets would stay 0
 		rate = max(rate, coldStartCores/p.initialWorkTime/p.gateways)
 	}
 	s.coldBudget = min(coldBurstAttempts, s.coldBudget+coldLoadShare*warmShare*rate*(g.now-s.budgetRefilledAt))
@@ -904,8 +1193,9 @@
 	return warmShare
 }
 
-// choose picks the cheapest of a few random servers: with all compared, gateways that share an old view would
-// all pick the same one. Only where none of the few takes the request are all looked at.
+// chooseServer returns the cheapest of a few random servers. If all were compared, gateways with similar
+// information would all choose the same one. Only if none of the few can take the request are all compared.
+// nil: there is none.
 func (g *Gateway) chooseServer(r *request, p *pool, lastSite bool) *server {
 	var best *server
 	bestCost, sampleSize := math.Inf(1), max(minChoices, choicesPerOwnServer*len(p.servers)/int(p.gateways))
@@ -915,8 +1205,9 @@
 			best, bestCost = s, cost
 		}
 	}
-	// In a large fleet a gateway keeps to the first of its list: it meets each often enough to learn of it, and
-	// a server has few connections. All arrange their lists so that each server has as many.
+	// In a large fleet, a gateway uses only the first servers of its list: it sends to each often enough to
+	// learn about it, and a server has few connections. The lists are ordered so that each server has equally
+	// many gateways.
 	reach := min(len(p.servers), max(2*sampleSize, gatewaysPerServer*len(p.servers)/int(p.gateways)))
 	for range sampleSize {
 		if 2*sampleSize < len(p.servers) {
@@ -927,7 +1218,7 @@
 		return best
 	}
 	usable := p.countCapacity(&g.settings.Guarantees, g.now, coldLoadShare)
-	if p.rejectsEverywhere(r.class, g.now) { // no server would tell that there is room again
+	if p.rejectsEverywhere(r.class, g.now) { // otherwise no server would show that it has room again
 		rejectBackoff = allRejectBackoff
 	}
 	for _, s := range p.servers {
@@ -936,7 +1227,7 @@
 	if best != nil || usable > 0 || !lastSite {
 		return best
 	}
-	for _, s := range p.servers { // never all of them out: the least bad is tried
+	for _, s := range p.servers { // never eject all servers: use the least bad one
 		if cost := g.cost(r, s); s.listed && !s.cold && g.mayServe(r, s) && cost < bestCost {
 			best, bestCost = s, cost
 		}
@@ -944,23 +1235,25 @@
 	return best
 }
 
-// fitness is the cost of s for r, or infinite. Cold servers go by budget, or by chance where picked alike.
+// eligibleCost is the cost of s for r, or infinite if s must not get it. A cold server is limited by its
+// budget, or by chance where servers are sampled at random.
 func (g *Gateway) eligibleCost(r *request, s *server, sampled bool, rejectBackoff Seconds) float64 {
 	if !s.usable(g.now) || !g.mayServe(r, s) || float64(s.limiter.inFlight) >= max(1, s.limiter.limit) {
 		return math.Inf(1)
 	}
 	warmShare := g.refillColdBudget(s)
 	unsafe := g.settings.Classes[r.class].Repeat == Unsafe
-	onTrial := s.onTrial && g.now < s.ejectedUntil+trialEjectionTimes*s.ejectionTime // later it is like any other
+	// After the trial phase, the server is chosen like any other.
+	onTrial := s.onTrial && g.now < s.ejectedUntil+trialEjectionTimes*s.ejectionTime
 	switch {
 	case s.cold && !sampled && s.coldBudget < 1, s.cold && sampled && g.rng.Float64() > coldLoadShare*warmShare,
 		s.classRejectedAt[r.class] > 0 && g.now-s.classRejectedAt[r.class] < rejectBackoff,
-		// Others try a server that is out, too: the more they are, the rarer the trials of each.
+		// Other gateways try an ejected server, too: the more there are, the rarer the trials of each.
 		onTrial && (unsafe || g.rng.Float64()*s.pool.gateways > trialGateways):
 		return math.Inf(1)
 	}
 	if onTrial {
-		return 0 // somebody must find out
+		return 0 // a trial has to find out whether the server has recovered
 	}
 	cost := g.cost(r, s)
 	if g.now-s.classSuccessAt[r.class] > classRejectBackoff {
@@ -969,6 +1262,8 @@
 	return cost
 }
 
+// cost is the relative cost of sending r to s: its slowness times its attempts, with penalties and a random
+// part.
 func (g *Gateway) cost(r *request, s *server) float64 {
 	slowness := s.slowness
 	if idle := g.now - s.lastOutcomeAt; s.limiter.inFlight == 0 {
@@ -976,12 +1271,12 @@
 	}
 	cost := slowness * (1 + float64(s.limiter.inFlight))
 	if len(s.openAttempts) > 0 {
-		// Danger: a server that stands still tells nothing; its oldest attempt does.
+		// A server that hangs gives no answers to learn from; the age of its oldest attempt shows it.
 		cost += max(0, (g.now-s.openAttempts[0].sentAt)/s.openAttempts[0].typicalTime-2)
 	}
 	for i := range r.attempts {
 		if r.attempts[i].server == s {
-			cost *= 4 // elsewhere rather than where it just failed
+			cost *= 4 // prefer a server on which the request has not just failed
 		}
 	}
 	if s.member.Zone != g.settings.Zone {
@@ -990,14 +1285,15 @@
 	return cost * (1 + costJitter*g.rng.Float64())
 }
 
-// fits tells whether r may go to s: a copy to no server that has it, a keyed one that may have run only
-// to those that drop its repeats.
+// mayServe reports whether r may be sent to s: a hedge not to a server that has the request in flight, and a
+// keyed request that may have run only to servers that drop its repeats.
 func (g *Gateway) mayServe(r *request, s *server) bool {
 	class := &g.settings.Classes[r.class]
 	return !r.isInFlightAt(s) &&
 		(!r.mayHaveRun || class.Repeat != Keyed || class.Group.dropsRepeats(s, r.firstRunServer))
 }
 
+// recordOutcome updates the estimates for a server, its pool and a class from the end of an attempt.
 func (g *Gateway) recordOutcome(r *request, a *attempt, e Outcome) {
 	s, p := a.server, a.server.pool
 	if a.bodySent {
@@ -1035,32 +1331,34 @@
 			p.pooledLimit *= limitGrowthFactor
 		}
 	case Full:
-		// Danger: room for others. The pair is remembered; full is who serves nobody.
+		// It may have room for other classes: the pair is recorded. It counts as full if it serves no class.
 		s.classRejectedAt[r.class] = g.now
 		cs.rejectShare += (1 - cs.rejectShare) * sampleWeight
 		if g.now-s.lastSuccessAt > rateTimeConstant {
 			s.limiter.cut()
 		}
 	case ConnectFailed:
-		// Danger: a crash the list has not told. What answers there next is cold from then on.
+		// The server may have crashed before the list shows it. When it answers again, it is treated as cold.
 		s.suspectedRestart = true
 		g.recordFailure(s, 2)
-	case Reset, Error: // a reset alone is no restart: answers may be lost on most of the fleet
+	case Reset, Error: // no suspected restart: answers may be lost on most of the fleet
 		g.recordFailure(s, 1)
-	case Timeout:
-		// What the client did not wait for tells nothing, least of all of the server.
+	case Timeout: // if it is not late, the client gave up early, which says nothing about the server
 		if cs.typicalTime = min(class.Aim, cs.typicalTime+cs.typicalTime*poolSampleWeight*
 			max(0, sign(elapsed-cs.typicalTime))); !late {
 			return
 		}
 		s.slowness += (min(elapsed/cs.typicalTime, 20) - s.slowness) * sampleWeight
 		s.limiter.cut()
-		// Danger: a black hole met seldom: one loss is enough. While many are lost the fleet is needed.
+		// One time-out of a seldom used server that drops all requests suffices for ejection. While many
+		// answers are lost everywhere, more are needed, to keep the fleet in use.
 		p.lossShare += (1 - p.lossShare) * poolSampleWeight
 		g.recordFailure(s, int(1+(ejectionFailures-1)*max(0, 1-p.lossShare/highLossShare)))
 	}
 }
 
+// recordFailure adds to the consecutive failures of a server, and ejects it after enough of them or a failed
+// trial.
 func (g *Gateway) recordFailure(s *server, weight int) {
 	s.failures += weight
 	if s.failures < ejectionFailures && !s.onTrial {
--- a/control/copies.go
+++ b/control/copies.go
@@ -1,13 +1,14 @@
 package control
 
-// Second copies of slow requests: what package hedge decides, carried out. Where the settings allow none the Hedger is
-// nil, and nothing here has any effect.
+// This file carries out what package hedge decides about hedged requests: second copies of slow requests. If
+// the settings permit none, the Hedger is nil and nothing here has any effect.
 
 import "junctionring/hedge"
 
+// newHedger is the hedger for the classes of the settings; nil if none permits a copy.
 func newHedger(s *Settings) *hedge.Hedger { return hedge.New(hedgeClasses(s)) }
 
-// hedgeClasses tells of each class whether two copies of a request may be out at once.
+// hedgeClasses states for each class whether two copies of a request may be in flight at once.
 func hedgeClasses(s *Settings) []hedge.Class {
 	classes := make([]hedge.Class, len(s.Classes))
 	for i, c := range s.Classes {
@@ -16,8 +17,8 @@
 	return classes
 }
 
-// awaitCopy notes the first attempt of a request, of which a copy may be sent later. A body that is sent on as it comes
-// in can't be sent to two servers.
+// scheduleHedge registers the first attempt of a request, so that a copy may be sent later. A body that is
+// forwarded while it is being received can't be sent to two servers.
 func (g *Gateway) scheduleHedge(r *request) {
 	if g.hedger == nil || len(r.attempts) > 1 || r.timeLeft > 0 {
 		return
@@ -26,7 +27,7 @@
 	g.wakeBy(g.hedger.Next())
 }
 
-// sendCopies sends the copies that are due, where package hedge allows them.
+// sendDueHedges sends the copies that are due, as far as package hedge permits them.
 func (g *Gateway) sendDueHedges() {
 	if g.hedger == nil {
 		return
@@ -40,7 +41,7 @@
 	g.wakeBy(g.hedger.Next())
 }
 
-// sendCopy sends a copy to another server of the site at which the attempt that is out is being served.
+// sendHedge sends a copy to another server of the site that serves the attempt in flight.
 func (g *Gateway) sendHedge(r *request) {
 	pool := r.attempts[len(r.attempts)-1].server.pool
 	aimEnds := r.attempts[0].sentAt + g.settings.Classes[r.class].Aim
@@ -58,12 +59,12 @@
 	}
 }
 
-// capped tells whether a customer's plan leaves this gateway no further attempt of it.
+// atOpenLimit reports whether a customer's plan permits this gateway no further attempt in flight.
 func (g *Gateway) atOpenLimit(c *customer) bool {
 	return c.plan.Open > 0 && float64(c.openAttempts+1) > max(1, float64(c.plan.Open)*g.share(c))
 }
 
-// isOutAt tells whether an attempt of the request is out at s.
+// isInFlightAt reports whether an attempt of the request is in flight at s.
 func (r *request) isInFlightAt(s *server) bool {
 	for _, a := range r.attempts {
 		if a.server == s && !a.ended {
@@ -73,7 +74,8 @@
 	return false
 }
 
-// timeCopies learns how long answers take, and what a copy that was faster tells of the server of the first attempt.
+// recordHedgeTimes passes answer times to the hedger, and counts a first attempt that was slower than its
+// copy towards the slowness of its server.
 func (g *Gateway) recordHedgeTimes(r *request, a *attempt, status Status) {
 	elapsed := g.now - a.sentAt
 	beaten := status == Cancelled && len(r.attempts) > 1 && a == r.attempts[0]
--- a/control/peers.go
+++ b/control/peers.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// use is what a gateway tells a peer of one customer.
+// peerUse is what a gateway reports to a peer about one customer.
 type peerUse struct {
 	customer                   uint64
 	units                      float64
-	firstGateway, gatewayCount int // the gateways it comes through; not told
+	firstGateway, gatewayCount int // the gateways its requests come through; not sent
 }
 
-// addressed sorts what is told by the gateway that it concerns, at most some for each.
+// groupByGateway groups reports by the gateway to send them to, with at most limit for each and none for
+// self.
 func groupByGateway(uses []peerUse, gateways, self, limit int) [][]peerUse {
 	by := make([][]peerUse, gateways)
 	for _, u := range uses {
@@ -25,7 +26,7 @@
 	return by
 }
 
-// encodeUse writes what is told as one short line.
+// encodeUse formats reports as one short line.
 func encodeUse(uses []peerUse) string {
 	var b []byte
 	for i, u := range uses {
@@ -39,7 +40,7 @@
 	return string(b)
 }
 
-// decodeUse reads such a line, or tells that it is none.
+// decodeUse parses such a line, and returns false if it is malformed.
 func decodeUse(line string) ([]peerUse, bool) {
 	var uses []peerUse
 	for _, word := range strings.Fields(line) {
@@ -54,6 +55,8 @@
 	return uses, true
 }
 
+// handlePeerMessage draws the units that a peer reports from the customers' buckets. Units of an unknown
+// customer are kept until it is known or the counter answers.
 func (g *Gateway) handlePeerMessage(e PeerMessage) {
 	uses, ok := decodeUse(e.Data)
 	if !ok {
--- a/control/state.go
+++ b/control/state.go
@@ -1,7 +1,7 @@
 package control
 
-// What the decisions of control.go remember, and plain arithmetic on it: types and functions that
-// hold no threshold, rate or table.
+// This file holds the state behind the decisions in control.go, and arithmetic on it. Thresholds, rates and
+// other tuning constants are all in control.go.
 
 import (
 	"cmp"
@@ -14,72 +14,74 @@
 	"junctionring/quota"
 )
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
+// Gateway makes the decisions of one gateway. It is not safe for concurrent use.
 type Gateway struct {
 	settings     Settings
 	rng          *rand.Rand
-	now          Seconds
-	actions      []Action
-	startedAt    Seconds // when this life began
-	initialized  bool
+	now          Seconds  // time of the event being handled
+	actions      []Action // answers to that event so far
+	startedAt    Seconds  // time of the first event of this process
+	initialized  bool     // the first event has been handled
 	shuttingDown bool
 
-	customers                 map[uint64]*customer
-	customersByArrival        []*customer        // the same, in order of arrival: maps have none
-	callQueue                 []*customer        // those that want the counter called
-	callRate, callTokens      float64            // counter calls a second, and how many may be made now
-	missedCalls               int                // calls unanswered in a row
-	firstMissAt               Seconds            // time of the first of them
-	peerHeardAt               Seconds            // last message of a peer
-	unclaimedPeerUnits        map[uint64]float64 // units told of customers not held, by customer
-	peersToldAt, peerInterval Seconds            // last messages to peers, and the time to the next
-	tokensRefilledAt          Seconds
-	counterAnsweredAt         Seconds                // last answer of the counter, of any kind
-	callsInFlight             map[uint64][]*customer // by name, in order of the calls
+	customers            map[uint64]*customer
+	customersByArrival   []*customer        // the same customers, oldest first: a map has no order
+	callQueue            []*customer        // customers that need a counter call
+	callRate, callTokens float64            // counter calls a second, and calls that may be made now
+	missedCalls          int                // consecutive calls without an answer
+	firstMissAt          Seconds            // time of the first of them
+	peerHeardAt          Seconds            // time of the last message from a peer
+	unclaimedPeerUnits   map[uint64]float64 // units that peers reported of customers unknown here, by customer
+	// Time of the last messages to peers, and the interval until the next.
+	peersToldAt, peerInterval Seconds
+	tokensRefilledAt          Seconds                // when callTokens was last refilled
+	counterAnsweredAt         Seconds                // time of the last answer of the counter, of any status
+	callsInFlight             map[uint64][]*customer // by name of the count, in order of the calls
 
 	requests    map[uint64]*request
-	retryBudget float64       // retries that may be spent
-	hedger      *hedge.Hedger // of second copies; nil where there are none
+	retryBudget float64       // retries that may be made
+	hedger      *hedge.Hedger // nil if hedging is off
 
-	meanUnits float64 // of a try
+	meanUnits float64 // units of a request, averaged
 
 	servers       map[string]*server
-	pools         []*pool // by site; one where there are no sites
-	resubscribeAt Seconds // when to ask for the list again; 0: not
-	sweptAt       Seconds
+	pools         []*pool // by site; one if there are no sites
+	resubscribeAt Seconds // when to ask for the server list again; 0: not needed
+	sweptAt       Seconds // time of the last sweep
 	wakeAt        Seconds // when the next timer is due
 }
 
-// pool is the servers of one site and what was learned of them together. A crowd at one site says nothing of
-// another, nor does the time of an answer that came over a link.
+// pool is the servers of one site and what was learned about them together. Overload at one site says nothing
+// about another, and neither do the times of answers that came over a link.
 type pool struct {
-	gateways          float64 // gateways that send here as their first choice; all, where that is not told
+	gateways          float64 // gateways whose first choice is this site; all gateways if that is not known
 	classes           []classState
 	lossShare         float64 // share of attempts that got no answer
-	lateShare         float64 // share of the good answers that are late
-	inTimeShare       float64 // share of the attempts that are answered before they are late
-	fleetOverload     float64 // how crowded the whole fleet is, by attempts that are late; 0: not
-	overloadDecayedAt Seconds // when it was last let fade
-	overloadUpdatedAt Seconds // last verdict that moved it
-	pooledLimit       float64 // attempts that may be out at once at a server, of this gateway; pooled over all
-	meanInFlight      float64 // attempts out, averaged
-	meanInFlightAt    Seconds
-	nearLimit         bool    // most of the slots are taken
-	overload          float64 // crowd, with the own slots in use
-	meanWorthRate     float64 // mean worth in time per second of work, of what came in
-	worthSamples      float64 // requests in it
-	shedSinceAttempt  int     // requests rejected for overload since the last attempt
-
-	attemptRate      float64 // own attempts a second, at all servers
+	lateShare         float64 // share of good answers that are late
+	inTimeShare       float64 // share of attempts that are answered before they are late
+	fleetOverload     float64 // overload of all servers, estimated from late answers; 0: none
+	overloadDecayedAt Seconds // when fleetOverload last decayed by itself
+	overloadUpdatedAt Seconds // time of the last answer or time-out that changed fleetOverload
+	pooledLimit       float64 // attempts of this gateway that may be in flight at a server, pooled over all
+	meanInFlight      float64 // attempts in flight, averaged
+	meanInFlightAt    Seconds // when meanInFlight was last updated
+	nearLimit         bool    // most of the limit is in use
+	overload          float64 // fleetOverload plus the use of this gateway's limits beyond busyLimitShare
+	meanWorthRate     float64 // mean of the requests' worth in time per second of work
+	worthSamples      float64 // requests averaged in meanWorthRate
+	shedSinceAttempt  int     // requests refused because of overload since the last attempt
+
+	attemptRate      float64 // this gateway's attempts a second, at all servers
 	lastAttemptAt    Seconds
-	effectiveServers float64 // warm servers, and cold ones by the part they get
-	warmServers      int     // usable ones that are warm
-	initialWorkTime  Seconds // the longest work of any class, before anything is learned: what cold servers teach is too long
+	effectiveServers float64 // warm servers, plus each cold one's load relative to a warm one's
+	warmServers      int     // usable warm servers
+	// Longest initial work time of any class. The times learned from cold servers are too long.
+	initialWorkTime Seconds
 
-	servers []*server // in an order of this gateway's own: arrange
+	servers []*server // in an order of this gateway's own; see orderServers
 }
 
-// pool is that of a site, or the first where there is no such site.
+// poolOf is the pool of a site, or the first one if there is no such site.
 func (g *Gateway) poolOf(site int) *pool {
 	if site < 0 || site >= len(g.pools) {
 		site = 0
@@ -87,69 +89,73 @@
 	return g.pools[site]
 }
 
-// classState is what was learned of a class.
+// classState is what was learned about a class.
 type classState struct {
-	typicalTime Seconds    // a middling time to answer
-	rejectShare float64    // share of its attempts that are turned away
-	workTime    Seconds    // a low quantile: the work without the waiting
-	undecided   []*attempt // not yet known to be in time or late, oldest first
+	typicalTime Seconds    // about the median time to answer
+	rejectShare float64    // share of its attempts that servers reject as full
+	workTime    Seconds    // a low quantile of the time to answer: the work without the waiting
+	undecided   []*attempt // attempts not known yet to be in time or late, oldest first
 }
 
-// customer is what is known of one customer; control.go, part 1.
+// customer is what is known about one customer; see control.go, part 1.
 type customer struct {
 	id           uint64
 	planIndex    int
 	plan         *Plan
-	gatewayCount float64
-	firstGateway int // number of the first gateway it comes through
+	gatewayCount float64 // gateways that its requests may come through
+	firstGateway int     // number of the first of them
 	evicted      bool
 
+	// Estimates of the level of the quota's bucket, in units; see control.go, part 1.
 	level, splitLevel float64
-	refilledAt        Seconds // when both were last filled up
-	ceilingLevel      float64 // own split of the hard ceiling
-	openAttempts      int     // own attempts out
-
-	ownRate, othersRate, ownDemandRate float64 // units a second
-	ownRecentUnits, allRecentUnits     float64 // recent units, own and everyone's
-
-	window         int64   // whose name is in use
-	unflushed      float64 // units not yet added
-	unitsInFlight  float64 // units in the call that is out
-	uncertainUnits float64 // units of a call that was not answered
-	unitsToldPeers float64 // units not surely added that peers were told
-	unitsFromPeers float64 // units of others that peers told since the last view
-	ownCounted     float64 // own units surely added under this name
-	othersCounted  float64 // most of others' units seen under this name
-	unitsSinceView float64 // units sent on since the last view
-	neverViewed    bool    // the first read is still to come
+	refilledAt        Seconds // when the levels were last refilled
+	ceilingLevel      float64 // units left in this gateway's split of the hard ceiling
+	openAttempts      int     // attempts of this gateway in flight
+
+	// Units a second: admitted here, used at other gateways, and asked for here.
+	ownRate, othersRate, ownDemandRate float64
+	// Recent units that shares are computed from: this gateway's, and those of all gateways.
+	ownRecentUnits, allRecentUnits float64
+
+	window         int64   // number of the window whose count is in use
+	unflushed      float64 // units not yet added to the counter
+	unitsInFlight  float64 // units in the call in flight
+	uncertainUnits float64 // units of a call that timed out: they may have been added
+	unitsToldPeers float64 // units reported to peers, of those that are not certainly added
+	unitsFromPeers float64 // others' units that peers reported since the last view
+	ownCounted     float64 // own units certainly added to this window's count
+	othersCounted  float64 // highest seen number of others' units in this window's count
+	unitsSinceView float64 // units admitted since the last view
+	neverViewed    bool    // no total has been read yet
 	callInFlight   bool
-	// previous tells that the call that is out reads the window before, and unknown that the level does not rest on it.
+	// readsPrevious tells that the call in flight reads the previous window, and levelUnknown that level was
+	// not derived from a total yet.
 	readsPrevious, levelUnknown bool
-	planChanged                 bool      // to another plan, while a call was out
-	heldRequests                []Request // until the call that is out is answered
-	queued                      bool
-	viewedAt                    Seconds // time of the last view
-	callDueAt                   Seconds
+	planChanged                 bool      // the plan changed while a call was in flight
+	heldRequests                []Request // requests held until the call in flight is answered
+	queued                      bool      // it is in the call queue
+	viewedAt                    Seconds   // time of the last view: the last total read
+	callDueAt                   Seconds   // when its queued call is due
 	lastRequestAt               Seconds
 }
 
-// request is a request that is held; control.go, part 3.
+// request is a request that this gateway works on; see control.go, part 3.
 type request struct {
 	id       uint64
 	class    int
 	customer *customer
 	units    float64
 	deadline Seconds
-	timeLeft Seconds // from Arrived on
+	timeLeft Seconds // time until the deadline, counted from BodyReceived; 0 if the body was complete at once
 	attempts []*attempt
-	inFlight int
+	inFlight int // attempts in flight
 
 	bodyIncoming   bool
-	closed         bool // final answer given, or client gone
-	streaming      bool
+	closed         bool    // it has its final answer, or its client has left
+	streaming      bool    // its answer has begun
 	mayHaveRun     bool    // some attempt may have run
-	firstRunSentAt Seconds // when the first of those was sent
-	firstRunServer *server // and where to
+	firstRunSentAt Seconds // when the first such attempt was sent
+	firstRunServer *server // and to which server
 }
 
 // attempt is one Send of a request.
@@ -157,10 +163,10 @@
 	server   *server
 	sentAt   Seconds
 	ended    bool
-	bodySent bool // it is at the server, or on its way
+	bodySent bool // the server has the whole request, or it is on its way
 }
 
-// begin books a new attempt at s.
+// startAttempt records a new attempt at s.
 func (r *request) startAttempt(s *server, now Seconds) *attempt {
 	a := &attempt{server: s, sentAt: now}
 	r.attempts = append(r.attempts, a)
@@ -169,7 +175,8 @@
 	return a
 }
 
-// end books the end of an attempt, and returns nil if the request is not known or no such attempt is out.
+// endAttempt records the end of an attempt, and returns nil if the request is unknown or no such attempt is
+// in flight.
 func (r *request) endAttempt(number int) *attempt {
 	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].ended {
 		return nil
@@ -181,47 +188,47 @@
 	return a
 }
 
-// server is what is known of one server; control.go, part 4.
+// server is what is known about one server; see control.go, part 4.
 type server struct {
 	id           string
-	ringPosition uint64 // in the order of all
+	ringPosition uint64 // place in the order that all gateways share
 	pool         *pool
 	member       Member
 	listed       bool // on the list and ready
 
 	limiter          limiter
-	openAttempts     []openAttempt // attempts out, oldest first
-	slowness         float64       // time to answer, as a multiple of what is typical
-	lastOutcomeAt    Seconds       // last answer
-	lastSuccessAt    Seconds       // last good answer
-	classSuccessAt   []Seconds     // by class: last good answer
-	classRejectedAt  []Seconds     // by class: when last turned away, if not served since; 0: not
-	failures         int
-	ejectedUntil     Seconds // left alone until
-	ejectionTime     Seconds
-	onTrial          bool
-	suspectedRestart bool // it may have restarted
-
-	coldSince        Seconds // time of its last start, told or suspected
+	openAttempts     []openAttempt // attempts in flight, oldest first
+	slowness         float64       // time to answer, as a multiple of the class's typical time; averaged
+	lastOutcomeAt    Seconds       // when an attempt last ended
+	lastSuccessAt    Seconds       // time of the last good answer
+	classSuccessAt   []Seconds     // the same by class
+	classRejectedAt  []Seconds     // by class: last rejection as full, if no good answer came since; 0: none
+	failures         int           // consecutive failures; a refused connection counts twice
+	ejectedUntil     Seconds
+	ejectionTime     Seconds // length of the last ejection
+	onTrial          bool    // it was ejected and has not answered well since
+	suspectedRestart bool    // a connection failed: it may have restarted
+
+	coldSince        Seconds // time of its last start, from the list or suspected
 	cold             bool
-	coldBudget       float64 // attempts a cold server may be sent now
+	coldBudget       float64 // attempts that may be sent to it now while it is cold
 	budgetRefilledAt Seconds
 }
 
-// sentAt names an attempt that is out.
+// openAttempt identifies an attempt in flight.
 type openAttempt struct {
 	requestID   uint64
 	sentAt      Seconds
-	typicalTime Seconds // time to answer, of its class
+	typicalTime Seconds // typical answer time of its class when it was sent
 }
 
-// limiter holds how much may be out at once.
+// limiter is the concurrency limit of one server.
 type limiter struct {
-	limit    float64
+	limit    float64 // attempts that may be in flight
 	inFlight int
 }
 
-// windowName names a customer's count in one window (splitmix64 steps).
+// countName is the name of a customer's count in one window: a hash of its arguments in splitmix64 steps.
 func countName(id, plan uint64, window int64) uint64 {
 	h := id
 	for _, v := range [...]uint64{plan, uint64(window)} {
@@ -233,7 +240,7 @@
 	return h >> 1
 }
 
-// poissonAtMost is the chance of at most n events where mean are expected.
+// poissonAtMost is the probability of at most n events of a Poisson distribution with this mean.
 func poissonAtMost(n int, mean float64) float64 {
 	if float64(n) > mean+10*math.Sqrt(mean)+10 {
 		return 1
@@ -253,7 +260,7 @@
 	return sum
 }
 
-// sign is -1 below 0 and 1 from there on.
+// sign is -1 for x below 0, and 1 otherwise.
 func sign(x float64) float64 {
 	if x < 0 {
 		return -1
@@ -261,7 +268,7 @@
 	return 1
 }
 
-// sent books an attempt at s.
+// addAttempt records an attempt as in flight at s.
 func (s *server) addAttempt(a openAttempt) {
 	s.limiter.inFlight++
 	s.openAttempts = append(s.openAttempts, a)
@@ -270,7 +277,8 @@
 	}
 }
 
-// younger counts the attempts out at s that are no older than some typical times.
+// recentAttempts is the number of attempts in flight at s that are no older than this many typical answer
+// times.
 func (s *server) recentAttempts(now, typicals float64) float64 {
 	n := 0.0
 	for _, a := range s.openAttempts {
@@ -281,10 +289,10 @@
 	return n
 }
 
-// refill is how long an empty store takes to fill.
+// refillTime is the time in which an empty bucket fills up.
 func (p *Plan) refillTime() Seconds { return p.Burst / max(p.Rate, 1e-9) }
 
-// refillCeiling is the same for the ceiling's store.
+// ceilingRefillTime is the same for the bucket of the hard ceiling.
 func (p *Plan) ceilingRefillTime() Seconds {
 	if p.CeilingRate == 0 {
 		return 0
@@ -292,7 +300,7 @@
 	return p.CeilingBurst / p.CeilingRate
 }
 
-// returned books the end of an attempt at s.
+// removeAttempt records the end of an attempt at s.
 func (s *server) removeAttempt(id uint64, at Seconds) {
 	s.limiter.inFlight--
 	if i := slices.IndexFunc(s.openAttempts, func(a openAttempt) bool {
@@ -302,7 +310,7 @@
 	}
 }
 
-// age is the time since the last view, without end before the first.
+// viewAge is the time since the last view, and infinite before the first one.
 func (c *customer) viewAge(now Seconds) Seconds {
 	if c.neverViewed {
 		return math.Inf(1)
@@ -310,7 +318,7 @@
 	return now - c.viewedAt
 }
 
-// fill brings a customer's stores and rates up to now; rates fade by memory.
+// refill updates a customer's levels and rates to the present time. Rates decay with this time constant.
 func (c *customer) refill(now, timeConstant Seconds) {
 	elapsed := now - c.refilledAt
 	c.refilledAt = now
@@ -323,19 +331,20 @@
 	c.ownDemandRate *= decay
 }
 
-// windowAt numbers the plan's window at a time.
+// windowAt is the number of the plan's window at a time.
 func (p *Plan) windowAt(now Seconds) int64 { return int64(math.Floor(now / p.windowLength(minWindow))) }
 
-// currentWindow numbers the window that a customer's units belong to now.
+// currentWindow is the number of the window that a customer's units belong to now.
 func (c *customer) currentWindow(now Seconds) int64 { return c.plan.windowAt(now) }
 
-// intoWindow is the time since the window in use began.
+// timeIntoWindow is the time since the start of the window in use.
 func (c *customer) timeIntoWindow(now Seconds) Seconds {
 	return now - float64(c.window)*c.plan.windowLength(minWindow)
 }
 
-// unsettled tells that the verdict on a held try depends on the use in the previous window: a bucket that was full at
-// its end would let it in, and one that was empty would not. The level is raised to what the present total proves.
+// needsPreviousTotal reports whether the decision on a held request depends on the use in the previous
+// window: a bucket that was full at its end would admit it, and an empty one would not. It raises the levels
+// to the lowest level that the present total permits.
 func (c *customer) needsPreviousTotal(now Seconds) bool {
 	if !c.levelUnknown || len(c.heldRequests) == 0 {
 		return false
@@ -346,8 +355,8 @@
 	return lowest < units && units <= highest
 }
 
-// restore sets the level of a customer of whom this gateway remembers nothing, from the totals of the previous window
-// and of the present one.
+// restoreLevel sets the levels of a customer that this gateway has no state for, from the totals of the
+// previous window and of the present one.
 func (c *customer) restoreLevel(now Seconds, previous float64) {
 	b := c.plan.bucket()
 	start := b.AtWindowStart(c.plan.windowLength(minWindow), previous)
@@ -356,10 +365,10 @@
 	c.levelUnknown = false
 }
 
-// bucket is the token bucket by which a plan's quota is judged.
+// bucket is the token bucket of a plan's quota.
 func (p *Plan) bucket() quota.Bucket { return quota.Bucket{Rate: p.Rate, Burst: p.Burst} }
 
-// count calls the counter for a customer.
+// sendCount makes a counter call for a customer.
 func (g *Gateway) sendCount(c *customer, name uint64, amount float64) {
 	c.unitsInFlight, c.callInFlight = amount, true
 	g.callsInFlight[name] = append(g.callsInFlight[name], c)
@@ -367,13 +376,13 @@
 	g.emit(Count{Name: name, Amount: amount, TTL: min(60, countTTLWindows*c.plan.windowLength(minWindow))})
 }
 
-// countPrevious reads the total of a customer's previous window.
+// readPreviousWindow reads the total of a customer's previous window.
 func (g *Gateway) readPreviousWindow(c *customer) {
 	c.readsPrevious = true
 	g.sendCount(c, countName(c.id, c.plan.key(c.planIndex), c.window-1), 0)
 }
 
-// UnflushedCustomers counts the customers with units that the counter may not hold yet.
+// UnflushedCustomers is the number of customers with units that the counter may not hold yet.
 func (g *Gateway) UnflushedCustomers() (n int) {
 	for _, c := range g.customers {
 		if g.settings.Counter.Allowed && c.plan.Rate > 0 && (c.unflushed != 0 || c.unitsInFlight != 0) {
@@ -383,7 +392,7 @@
 	return n
 }
 
-// arrived begins the time of a request that has come in whole.
+// handleBodyReceived starts the deadline of a request whose body is complete.
 func (g *Gateway) handleBodyReceived(e BodyReceived) {
 	r := g.requests[e.ID]
 	if r == nil || !r.bodyIncoming {
@@ -395,30 +404,31 @@
 	}
 }
 
-// started notes that the answer of a request has begun to be passed on: it can't be sent again.
+// handleStarted notes that the client has received the beginning of an answer: the request can't be sent
+// again.
 func (g *Gateway) handleStarted(e Started) {
 	if r := g.requests[e.ID]; r != nil {
 		r.streaming = true
 	}
 }
 
-// left ends a request whose client has left.
+// handleClientGone finishes a request whose client has left.
 func (g *Gateway) handleClientGone(e ClientGone) {
 	if r := g.requests[e.ID]; r != nil {
 		g.finish(r)
 	}
 }
 
-// weigh takes the worth of a request into the mean of what came in, and returns how many times its worth that is. The
-// first few count alike, the last fifty later.
+// recordWorth adds the worth of a request to the mean over all that came in, and returns the mean as a
+// multiple of that worth. The first fifty requests count equally; after that the average is exponential.
 func (p *pool) recordWorth(worth float64) (meanRatio float64) {
 	p.meanWorthRate += (worth - p.meanWorthRate) * max(0.02, 1/(1+p.worthSamples))
 	p.worthSamples++
 	return p.meanWorthRate / max(worth, 1e-9)
 }
 
-// occupancy is how many attempts may be out at the usable servers, how many are that are no older than some typical
-// times, and the number of those servers.
+// occupancy returns, for the usable servers, the sum of their limits, the attempts in flight that are no
+// older than maxAgeTypicals typical answer times, and the number of servers.
 func (p *pool) occupancy(now, maxAgeTypicals float64) (limit, inFlight, servers float64) {
 	for _, s := range p.servers {
 		if s.usable(now) {
@@ -430,16 +440,16 @@
 	return limit, inFlight, servers
 }
 
-// hold keeps a request until the customer's call is answered; the client may leave meanwhile.
+// holdRequest keeps a request until the customer's call is answered. Its client may leave meanwhile.
 func (g *Gateway) holdRequest(c *customer, e Request) {
 	e.heldRequest = &request{id: e.ID, class: e.Class, customer: c, deadline: g.now + e.TimeLeft}
 	g.requests[e.ID] = e.heldRequest
 	c.heldRequests = append(c.heldRequests, e)
 }
 
-// looked has what was held for a call taken up again, in the order in which it came.
+// releaseHeld decides about the requests that were held for a call, in the order in which they came in.
 func (g *Gateway) releaseHeld(c *customer) {
-	if c.callInFlight { // a further call is out for them
+	if c.callInFlight { // they wait for another call now
 		return
 	}
 	held := c.heldRequests
@@ -448,18 +458,18 @@
 		if g.requests[e.ID] != e.heldRequest { // its client has left
 			continue
 		}
-		if !e.BodyIncoming { // else its time has not begun
+		if !e.BodyIncoming { // otherwise its deadline has not started
 			e.TimeLeft = e.heldRequest.deadline - g.now
 		}
 		g.handleRequest(e)
-		if g.requests[e.ID] == e.heldRequest { // it was turned away or admitted
+		if g.requests[e.ID] == e.heldRequest { // it was refused or admitted, and no attempt was sent
 			delete(g.requests, e.ID)
 		}
 	}
 }
 
-// answeredCall books the answer to the oldest call out for a name, and
-// returns whose it was.
+// takeAnsweredCall removes the oldest call in flight for a name, and returns its customer; nil if there is
+// none.
 func (g *Gateway) takeAnsweredCall(name uint64) *customer {
 	calls := g.callsInFlight[name]
 	if len(calls) == 0 {
@@ -473,7 +483,8 @@
 	return calls[0]
 }
 
-// part is what a server may get of what a warm one gets: some of its warmth while it is cold.
+// loadShare is the load that a server may get, relative to a warm one: coldShare of its warm share while it
+// is cold.
 func (s *server) loadShare(guarantees *Guarantees, now Seconds, coldShare float64) float64 {
 	if !s.cold {
 		return 1
@@ -481,14 +492,15 @@
 	return coldShare * guarantees.warmShare(now-s.coldSince)
 }
 
-// representative tells whether a late answer of s says something of its whole pool. A cold server is slow by nature
-// and its load is bounded by its own budget, so while any server is warm only the warm ones tell of an overload.
+// representative reports whether a late answer of s is a sign of overload of the whole pool. A cold server is
+// slow in any case, and its load is bounded by its own budget, so while any server is warm only the warm ones
+// indicate overload.
 func (g *Gateway) representative(s *server) bool {
 	warming := s.cold && g.settings.Guarantees.warmShare(g.now-s.coldSince) < 1
 	return !warming || s.pool.countWarm(g.now) == 0
 }
 
-// warmth is the share of its capacity that a server has at the least, some time after its start.
+// warmShare is the least share of its capacity that a server has at this age, the time since its start.
 func (r *Guarantees) warmShare(age Seconds) float64 {
 	if age >= r.Ramp {
 		return 1
@@ -496,7 +508,8 @@
 	return r.ColdFrom + (1-r.ColdFrom)*max(0, age/r.Ramp)
 }
 
-// window is about burst/rate, a whole number of times where that is short of the least.
+// windowLength is the time in which the bucket refills, or the first multiple of it that is at least the
+// minimum.
 func (p *Plan) windowLength(minimum Seconds) Seconds {
 	refill := p.refillTime()
 	if p.Rate <= 0 || p.Burst <= 0 {
@@ -505,7 +518,7 @@
 	return refill * math.Ceil(minimum/refill)
 }
 
-// holds tells whether two servers drop each other's repeats of a key.
+// dropsRepeats reports whether two servers drop each other's repeats of a key.
 func (g Group) dropsRepeats(a, b *server) bool {
 	switch site, zone := a.pool == b.pool, a.member.Zone == b.member.Zone; g {
 	case GroupAll:
@@ -519,23 +532,25 @@
 	}
 }
 
+// newPool is a pool without servers, with estimates that hold until more is known.
 func newPool(classes []classState, gateways, pooledLimit float64) *pool {
 	longest := 0.0
 	for _, c := range classes {
 		longest = max(longest, c.workTime)
 	}
 	return &pool{classes: slices.Clone(classes), initialWorkTime: longest,
-		gateways: gateways, pooledLimit: pooledLimit, lateShare: 1, inTimeShare: 1, warmServers: 1} // until more is known
+		gateways: gateways, pooledLimit: pooledLimit, lateShare: 1, inTimeShare: 1, warmServers: 1}
 }
 
-// newServer is a server of which nothing is known.
+// newServer is a server about which nothing is known.
 func newServer(id string, p *pool, limit float64) *server {
 	return &server{id: id, ringPosition: ringPositionOf(id), pool: p, slowness: 1,
 		limiter: limiter{limit: limit}, classSuccessAt: make([]Seconds, len(p.classes)),
 		classRejectedAt: make([]Seconds, len(p.classes))}
 }
 
-// forgetRemoved drops the servers of a pool that were removed and have nothing out, and those that moved elsewhere.
+// forgetRemoved drops the servers of a pool that were removed and have no attempt in flight, and those that
+// moved to another pool.
 func (g *Gateway) forgetRemoved(p *pool) {
 	p.servers = slices.DeleteFunc(p.servers, func(s *server) bool {
 		if s.member.State == Removed && s.limiter.inFlight == 0 && g.servers[s.id] == s {
@@ -545,20 +560,24 @@
 	})
 }
 
-// turnsAway tells whether each usable warm server turned a class away when it was last asked. Cold ones may have no budget.
+// rejectsEverywhere reports whether every usable warm server rejected the last request of a class that it
+// got. Cold ones don't count, since they may have no budget.
 func (p *pool) rejectsEverywhere(class int, now Seconds) bool {
 	return !slices.ContainsFunc(p.servers, func(s *server) bool {
 		return s.usable(now) && !s.cold && s.classRejectedAt[class] == 0
 	})
 }
 
+// emit adds an action to the answer to the present event.
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
+// usable reports whether s may be sent requests: ready, not ejected, and no trial in flight if it needs one.
 func (s *server) usable(now Seconds) bool {
 	return s.listed && now >= s.ejectedUntil && !((s.onTrial || s.suspectedRestart) && s.limiter.inFlight > 0)
 }
 
-// settle takes units from both views: those sent on, then what the true ones are more.
+// drawUnits draws units from both estimates of the level: those of an admitted request, and later the
+// difference to its true units.
 func (g *Gateway) drawUnits(c *customer, units float64) {
 	c.level -= units
 	c.splitLevel -= units / g.share(c)
@@ -566,12 +585,13 @@
 	c.unitsSinceView += units
 }
 
-// forgive drops what was held against a server.
+// clearFailures forgets a server's failures and ends its ejection.
 func (s *server) clearFailures() {
 	s.failures, s.ejectedUntil, s.ejectionTime, s.onTrial, s.suspectedRestart = 0, 0, 0, false, false
 }
 
-// forgive drops what was held against the servers of a pool, and the crowd that their silence looked like.
+// clearFailures does the same for all servers of a pool, and resets the overload that their missing answers
+// indicated.
 func (p *pool) clearFailures() {
 	p.lossShare, p.inTimeShare, p.fleetOverload = 0, 1, 0
 	for _, s := range p.servers {
@@ -579,9 +599,9 @@
 	}
 }
 
-// arrange puts the servers into an order that all gateways share, by a hash of their ids, and has this gateway begin
-// it at its own part, from 0 up to 1: the first few of each gateway's list are then spread evenly over the servers,
-// and one that comes or goes moves the others by a place or so.
+// orderServers sorts the servers by a hash of their ids, an order that all gateways share, and rotates it to
+// start at this gateway's offset (from 0 up to 1). The first few of each gateway's list are then spread
+// evenly over the servers, and a server that comes or goes moves the others by about one place.
 func (p *pool) orderServers(offset float64) {
 	slices.SortFunc(p.servers, func(a, b *server) int {
 		return cmp.Or(cmp.Compare(a.ringPosition, b.ringPosition), cmp.Compare(a.id, b.id))
@@ -590,14 +610,14 @@
 	p.servers = append(slices.Clone(p.servers[start:]), p.servers[:start]...)
 }
 
-// placeOf is where a server stands in the order of all.
+// ringPositionOf is the place of a server in the order that all gateways share.
 func ringPositionOf(id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return countName(h.Sum64(), 0, 0)
 }
 
-// warmNow counts the usable servers that are warm.
+// countWarm is the number of usable warm servers.
 func (p *pool) countWarm(now Seconds) (n int) {
 	for _, s := range p.servers {
 		if s.usable(now) && !s.cold {
@@ -607,7 +627,7 @@
 	return n
 }
 
-// survey counts the usable servers, the warm ones of them, and what all may get, a cold one counting by its part.
+// countCapacity returns the number of usable servers, and updates warmServers and effectiveServers.
 func (p *pool) countCapacity(guarantees *Guarantees, now Seconds, coldShare float64) (usable int) {
 	p.warmServers, p.effectiveServers = 0, 0
 	for _, s := range p.servers {
@@ -623,7 +643,8 @@
 	return usable
 }
 
-// gates is how many gateways have a site for their first choice, as far as that is told.
+// gatewaysOf is the number of gateways whose first choice is a site, or of all gateways where that is not
+// known.
 func (s *Settings) gatewaysOf(site int) int {
 	if site == s.Site && s.SiteGateways > 0 {
 		return s.SiteGateways
@@ -631,7 +652,7 @@
 	return max(1, s.Gateways)
 }
 
-// key is a plan's number in the names of counts: its own, or its place where it has none.
+// key is a plan's number in the names of counts: its Key, or one derived from its index if it has none.
 func (p *Plan) key(index int) uint64 {
 	if p.Key != 0 {
 		return p.Key
@@ -639,8 +660,8 @@
 	return uint64(index) + 1
 }
 
-// replan moves a customer to another plan. What it has used stays used: its store holds what it held, or the new
-// burst where that is less; units not yet added are added under the plan's new name.
+// changePlan moves a customer to another plan. Used units stay used: its bucket keeps its level, or gets the
+// new burst if that is less. Unflushed units are added under the name of the new plan's count.
 func (c *customer) changePlan(now Seconds, p *Plan, index int) {
 	c.refill(now, rateTimeConstant)
 	c.plan, c.planIndex, c.planChanged = p, index, c.callInFlight
@@ -650,7 +671,8 @@
 	c.ownCounted, c.othersCounted, c.uncertainUnits = 0, 0, 0
 }
 
-// reconfigure takes new classes and plans in. What is held goes on by the numbers it came in with.
+// handleReconfigured applies new classes and plans. Requests in progress keep the class and plan numbers they
+// came with.
 func (g *Gateway) handleReconfigured(e Reconfigured) {
 	settings := g.settings
 	settings.Classes, settings.Plans = slices.Clone(e.Classes), slices.Clone(e.Plans)
@@ -659,7 +681,7 @@
 	}
 	if settings.validate() != nil || len(e.From) != len(e.Classes) ||
 		len(e.Classes) < len(g.settings.Classes) || len(e.Plans) < len(g.settings.Plans) {
-		return // whoever offers it has it checked before
+		return // callers check the settings beforehand
 	}
 	for _, p := range g.pools {
 		old := p.classes
@@ -684,11 +706,12 @@
 	g.hedger = g.hedger.Reconfigure(hedgeClasses(&settings), e.From)
 }
 
+// grown is s extended to n elements.
 func grown(s []Seconds, n int) []Seconds {
 	return append(s, make([]Seconds, n-len(s))...)
 }
 
-// CustomersByPlan counts the customers held by their plan's number.
+// CustomersByPlan is the number of customers in memory, by the number of their plan.
 func (g *Gateway) CustomersByPlan() map[int]int {
 	n := map[int]int{}
 	for _, c := range g.customersByArrival {
@@ -697,11 +720,11 @@
 	return n
 }
 
-// Check says what cannot be right in settings.
+// Check returns an error if the settings are invalid.
 func (s *Settings) Check() error { return s.validate() }
 
-// Draining tells how many attempts are out at each server that takes nothing new; nil: there is none. It is a view for
-// operators and decides nothing.
+// Draining returns the number of attempts in flight at each server that gets no new ones; nil if there is
+// none. It is for operators, and no decision depends on it.
 func (g *Gateway) Draining() *map[string]int {
 	var out *map[string]int
 	for id, s := range g.servers {
@@ -715,8 +738,8 @@
 	return out
 }
 
-// Listed tells how many servers are on the list, and how many of those are avoided now: not ready, or left
-// alone for a while. It is a view for operators and decides nothing.
+// Listed returns the number of servers on the list, and how many of those are avoided now because they are
+// not ready or are ejected. It is for operators, and no decision depends on it.
 func (g *Gateway) Listed() (listed, avoided int) {
 	for _, s := range g.servers {
 		if s.member.State == Removed {
--- a/control/types.go
+++ b/control/types.go
@@ -1,10 +1,8 @@
-// Package control makes every decision of a quota-keeping gateway: whom to
-// let in, which server to send to, when to try again and what to tell the
-// shared counter. It does no I/O, starts no goroutine and reads no clock, so
-// the same events always give the same actions.
+// Package control makes all decisions of a quota-keeping gateway: which requests to admit, which server to
+// send an attempt to, when to retry, and what to add to the shared counter. It does no I/O, starts no
+// goroutine and reads no clock, so the same events always give the same actions.
 //
-// This file is its interface: settings, events and actions. The decisions
-// are in control.go.
+// This file is its interface: settings, events and actions. The decisions are in control.go.
 package control
 
 import (
@@ -14,18 +12,18 @@
 	"slices"
 )
 
-// Seconds is a time or a duration. Times are read on a clock that all
-// gateways share and whose start means nothing.
+// Seconds is a time or a duration. Times are read on a clock that all gateways share, with an arbitrary
+// start.
 type Seconds = float64
 
-// Settings is what a gateway is told once, at its start.
+// Settings are given to a gateway once, when it starts.
 type Settings struct {
-	Ordinal      int // this gateway's number
-	Gateways     int // how many gateways there are
-	Zone         int // the zone this gateway stands in
-	Site         int // the site this gateway stands at
-	Sites        int // sites among which requests may cross; 0: all servers are one site
-	SiteGateways int // gateways at this gateway's site; 0: all
+	Ordinal      int // number of this gateway, from 0
+	Gateways     int // number of gateways
+	Zone         int // zone of this gateway
+	Site         int // site of this gateway
+	Sites        int // number of sites between which requests may be sent; 0: all servers are one site
+	SiteGateways int // number of gateways at this gateway's site; 0: all
 	Classes      []Class
 	Plans        []Plan
 	Limits       Limits
@@ -33,13 +31,13 @@
 	Counter      CounterInfo
 	Prices       Prices
 
-	Subscribe  bool     // the server list comes only to those who ask
+	Subscribe  bool     // the server list is sent to subscribers only
 	LoadFields []string // meaning of each value of a load report
 	LoadFrom   LoadVia  // where load reports are attached
-	Meter      Seconds  // period over which the fleet's meter totals use; 0: no meter
+	Meter      Seconds  // period over which the fleet's meter sums up use; 0: no meter
 }
 
-// LoadVia tells on which events servers report their load.
+// LoadVia is the kind of event that carries the servers' load reports.
 type LoadVia int
 
 // The places where a load report may be attached.
@@ -49,20 +47,20 @@
 	LoadInProbes
 )
 
-// Repeat tells whether a request may run more than once.
+// Repeat says whether a request may run more than once.
 type Repeat int
 
-// The kinds of request by what a repeat does.
+// The kinds of request by the effect of a repeat.
 const (
 	Safe   Repeat = iota // may run any number of times
-	Keyed                // servers of one group drop repeats for a while
+	Keyed                // servers of one group drop repeats during Class.Window
 	Unsafe               // must not run twice
 )
 
-// Group names the servers that drop each other's repeats of a keyed request.
+// Group is the set of servers that drop each other's repeats of a keyed request.
 type Group int
 
-// The groups a keyed class may have.
+// The groups that a keyed class may have.
 const (
 	GroupAll Group = iota
 	GroupZone
@@ -72,60 +70,60 @@
 
 // Class is a class of requests.
 type Class struct {
-	Aim       Seconds // answers within this earn their full worth
-	Deadline  Seconds // the client's patience over all its tries
+	Aim       Seconds // answers within this time earn their full worth
+	Deadline  Seconds // time that the client waits in all, over all attempts
 	Worth     float64
-	LateWorth float64 // share of the worth earned after Aim
+	LateWorth float64 // share of the worth that an answer after Aim earns
 	Repeat    Repeat
 	Group     Group   // for Keyed
-	Window    Seconds // for Keyed: how long repeats are dropped
+	Window    Seconds // for Keyed: how long servers drop repeats
 	Stream    bool
 }
 
-// Plan is what a customer of this plan may use, over all gateways together.
+// Plan is the quota of each customer of this plan, over all gateways together.
 type Plan struct {
-	Key          uint64  // in the names of counts, the same at all gateways; 0: by the plan's place in the settings
+	Key          uint64  // in the names of counts, the same at all gateways; 0: derived from the plan's index
 	Rate         float64 // units a second; 0: no such quota
-	Burst        float64 // units the store holds; it opens full
-	Open         int     // attempts out at once; 0: no such quota
+	Burst        float64 // units that the token bucket holds; it starts full
+	Open         int     // attempts in flight at once; 0: no such quota
 	Worth        float64 // multiplies the worth of a request
 	OverWorth    float64 // share of its worth that a request beyond the quota earns
 	OverCost     float64 // share of its worth that a request beyond the quota costs
-	CeilingRate  float64 // units a second of the hard ceiling; 0: none
-	CeilingBurst float64 // units the ceiling store holds; it opens full
-	CeilingSlack float64 // units it may fall below nothing
+	CeilingRate  float64 // units a second of the hard ceiling; 0: no ceiling
+	CeilingBurst float64 // units that the ceiling's token bucket holds; it starts full
+	CeilingSlack float64 // units by which the ceiling's bucket may fall below empty
 }
 
-// Limits is what a gateway may do.
+// Limits are what a gateway may do.
 type Limits struct {
 	MaxAttempts   int
-	SecondCopies  bool // two attempts of a request may be out at once
+	SecondCopies  bool // two attempts of a request may be in flight at once (hedging)
 	Cancel        bool
 	Probes        bool
 	Peers         bool
-	PeerIntake    float64 // messages a second that a gateway takes in
+	PeerIntake    float64 // messages from peers that a gateway takes in, per second
 	RetryAfter    bool
 	MaxRetryAfter Seconds
 }
 
-// Guarantees are the figures of the rules.
+// Guarantees are the figures of the rules that the fleet keeps to.
 type Guarantees struct {
-	ColdFrom     float64 // a server starts with at least this share of its capacity
-	Ramp         Seconds // and has all of it after this
-	FallMultiple float64 // a cold server sent more than this multiple of its capacity
-	FallAfter    Seconds // for this long goes down
-	AskEvery     Seconds // list older than this counts as told, without a subscription
+	ColdFrom     float64 // least share of its capacity that a server has when it starts
+	Ramp         Seconds // time after its start from which a server has its full capacity
+	FallMultiple float64 // a cold server goes down if it gets more than this multiple of its capacity
+	FallAfter    Seconds // for this long
+	AskEvery     Seconds // without a subscription, changes of the list older than this count as known
 }
 
 // CounterInfo describes the shared quota counter.
 type CounterInfo struct {
 	Allowed bool
-	Price   float64 // price of one call for each request
+	Price   float64 // price of one call, per request
 	Timeout Seconds
-	Settles bool // true units arrive with the answer
+	Settles bool // the true units of a request arrive with its answer
 }
 
-// Prices are what some actions cost, per request or as a share.
+// Prices are the costs of some actions, per request or as a share.
 type Prices struct {
 	CrossZone float64
 	Probe     float64
@@ -137,31 +135,31 @@
 // Status is how an attempt, a probe or a counter call ended.
 type Status int
 
-// The ways a thing may end. Full, ConnectFailed and NotSent prove that an
-// attempt never ran (and that a counter call added nothing).
+// The ways in which one may end. Full, ConnectFailed and NotSent prove that an attempt never ran, and that a
+// counter call added nothing.
 const (
 	OK            Status = iota
 	Error                // the server answered with an error; it may have run
-	Full                 // turned away unseen
-	Timeout              // no answer in time; may have run or yet run
-	ConnectFailed        // no connection came about
-	Reset                // the connection broke; may have run
-	Cancelled            // given up by the gateway; may have run
+	Full                 // rejected by the server without processing
+	Timeout              // no answer in time; it may have run, or may run yet
+	ConnectFailed        // no connection was established
+	Reset                // the connection broke; it may have run
+	Cancelled            // cancelled by the gateway; it may have run
 	NotSent              // never sent
 )
 
-// Reach names the sites that a try may go to, in order. Both are the same where only one may be used; its
+// Reach names the sites that an attempt may go to, in order. Both are the same if only one may be used. Its
 // zero value is the first site alone.
 type Reach struct {
 	First, Then int
-	Room        bool // the first has room, by what sites tells: a full list of slots there sheds nothing
-	Full        bool // the first has none, and nobody helps: a new request is refused
+	Room        bool // package sites reports room at the first site: nothing is shed there for full limits
+	Full        bool // the first site has no room, and no other helps: new requests are refused
 }
 
-// Event is something a gateway is told.
+// Event is an input of a gateway.
 type Event interface{ event() }
 
-// Action is something a gateway wants done.
+// Action is an output of a gateway, for its caller to carry out.
 type Action interface{ action() }
 
 // The events.
@@ -175,25 +173,27 @@
 
 	// Request is a client's request that has just come in.
 	Request struct {
-		heldRequest  *request // it waited for the counter
-		ID           uint64
-		Class        int
-		Plan         int
-		Customer     uint64
-		TimeLeft     Seconds
-		BodyIncoming bool // it is still coming in: its time runs from Arrived, and no server works on it before
+		heldRequest *request // set once it was held for a counter call
+		ID          uint64
+		Class       int
+		Plan        int
+		Customer    uint64
+		TimeLeft    Seconds
+		// BodyIncoming says that the body is still being received. TimeLeft counts from BodyReceived, and no server
+		// starts to work before.
+		BodyIncoming bool
 		Units        float64
-		Spread       int // number of gateways this customer's requests may come through
+		Spread       int // number of gateways that this customer's requests may come through
 		First        int // number of the first of them
 		Repeat       bool
 		Reach        Reach
-		VerdictOnly  bool // only the verdict is wanted: it is answered by Admit or Refuse, and nothing is sent
+		VerdictOnly  bool // it is answered by Admit or Refuse, and nothing is sent
 	}
 
-	// BodyReceived tells that a request's last byte has come in, and gone on where it was sent.
+	// BodyReceived says that the last byte of a request was received, and forwarded where it was sent.
 	BodyReceived struct{ ID uint64 }
 
-	// Started tells that a streamed answer has begun.
+	// Started says that a streamed answer has begun.
 	Started struct {
 		ID      uint64
 		Server  string
@@ -201,7 +201,7 @@
 		Elapsed Seconds
 	}
 
-	// Outcome tells how an attempt ended; every Send gets one.
+	// Outcome says how an attempt ended. Every Send gets one.
 	Outcome struct {
 		ID      uint64
 		Server  string
@@ -210,15 +210,15 @@
 		Closed  bool  // the client has its final answer
 		Reach   Reach // of the attempt that may follow
 		Elapsed Seconds
-		Units   float64   // true units, where they are settled after the answer; 0: none
-		Use     int       // 1 + percent of the rate the meter saw; 0: none
-		Load    []float64 // by Settings.LoadFields; nil: none
+		Units   float64   // true units, if they are settled after the answer; 0: none
+		Use     int       // 1 + percent of the rate that the meter measured; 0: none
+		Load    []float64 // as described by Settings.LoadFields; nil: none
 	}
 
-	// ClientGone tells that the client has left; nothing more is owed.
+	// ClientGone says that the client has left. The request needs no answer.
 	ClientGone struct{ ID uint64 }
 
-	// Timer is a timer that fell due.
+	// Timer says that a timer is due.
 	Timer struct{ Token uint64 }
 
 	// Probed is the result of a probe.
@@ -229,19 +229,21 @@
 		Load    []float64
 	}
 
-	// Reconfigured brings new classes and plans. Numbers that were in use stay, and mean what they meant; From names,
-	// for each class, the one whose learned times it begins with: itself where it goes on, -1 for none.
+	// Reconfigured brings new classes and plans. Numbers that were in use stay and keep their meaning. From
+	// names, for each class, the class whose learned times it starts with: itself if it stays, -1 for none.
 	Reconfigured struct {
 		Classes  []Class
 		Plans    []Plan
 		From     []int
-		Attempts int // MaxAttempts from now on; 0: as it was
+		Attempts int // MaxAttempts from now on; 0: unchanged
 	}
 
-	// ShuttingDown tells that this gateway is about to end: what it has not added to the counter yet is to be added soon.
+	// ShuttingDown says that this gateway is about to end, and should soon add all its unflushed units to the
+	// counter.
 	ShuttingDown struct{}
 
-	// LinkRestored tells that the way to a site is there again: what failed meanwhile was not its servers' doing.
+	// LinkRestored says that the link to a site works again: failures in the meantime were not its servers'
+	// fault.
 	LinkRestored struct{ Site int }
 
 	// PeerMessage is a message from another gateway.
@@ -259,7 +261,7 @@
 	}
 )
 
-// MembersKind tells how a list of servers is to be read.
+// MembersKind says how to read a server list.
 type MembersKind int
 
 // The kinds of list. Cached is a full list that may be out of date.
@@ -270,7 +272,7 @@
 	Failed
 )
 
-// MemberState is what the list says of a server.
+// MemberState is the state of a server according to the list.
 type MemberState int
 
 // The states of a server on the list.
@@ -284,11 +286,11 @@
 type Member struct {
 	Server string
 	Weight float64
-	Site   int // number of the site; 0 where there are none
+	Site   int // number of the site; 0 if there are none
 	Zone   int
 	Cell   int
 	Kind   int
-	Since  Seconds // time of its last start; 0: long past
+	Since  Seconds // time of its last start; 0: long ago
 	State  MemberState
 }
 
@@ -301,7 +303,7 @@
 		Timeout Seconds
 	}
 
-	// Cancel ends the wait on one attempt.
+	// Cancel ends the wait for one attempt.
 	Cancel struct {
 		ID      uint64
 		Attempt int
@@ -311,22 +313,22 @@
 	Refuse struct {
 		ID         uint64
 		RetryAfter Seconds // 0: no hint
-		Over       bool    // for want of quota, not of servers
+		Over       bool    // the quota is used up; otherwise no server is available
 	}
 
-	// Admit is the final answer to one that only asks.
+	// Admit is the final answer to a request with VerdictOnly.
 	Admit struct{ ID uint64 }
 
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer that promises nothing: the request may have had an effect.
 	Fail struct{ ID uint64 }
 
-	// SetTimer asks for a Timer event.
+	// SetTimer requests a Timer event.
 	SetTimer struct {
 		Delay Seconds
 		Token uint64
 	}
 
-	// Probe asks a server how it is.
+	// Probe requests a server's state.
 	Probe struct{ Server string }
 
 	// CloseIdle closes idle connections to a server.
@@ -338,7 +340,7 @@
 		Data string
 	}
 
-	// Count adds Amount to a named number and asks for the total.
+	// Count adds Amount to a named count and requests the total.
 	Count struct {
 		Name   uint64
 		Amount float64
@@ -348,10 +350,10 @@
 	// Watch subscribes to the server list, or ends the subscription.
 	Watch struct{ On bool }
 
-	// Fetch asks for the whole server list once.
+	// Fetch requests the full server list once.
 	Fetch struct{}
 
-	// Log leaves a line for the operators.
+	// Log writes a line for the operators.
 	Log struct{ Text string }
 )
 
@@ -384,13 +386,13 @@
 func (Fetch) action()       {}
 func (Log) action()         {}
 
-// validate refuses settings that cannot be right.
+// validate returns an error if the settings are invalid.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
-		return errors.New("control: no classes or no plans")
+		return errors.New("control: settings without classes or without plans")
 	}
 	if s.Gateways < 1 || s.Sites < 0 || s.Ordinal < 0 || s.Limits.MaxAttempts < 0 {
-		return errors.New("control: gateway or site numbers or attempt limit out of range")
+		return errors.New("control: settings: Gateways, Sites, Ordinal or MaxAttempts out of range")
 	}
 	finite := func(values ...float64) bool {
 		return !slices.ContainsFunc(values, func(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) })
@@ -398,23 +400,26 @@
 	l, r, c := s.Limits, s.Guarantees, s.Counter
 	if !finite(l.MaxRetryAfter, l.PeerIntake, r.ColdFrom, r.Ramp, r.FallMultiple, r.FallAfter, r.AskEvery,
 		c.Price, c.Timeout, s.Meter) {
-		return errors.New("control: a limit, guarantee or counter figure that is no finite number")
+		return errors.New("control: settings: a limit, guarantee, counter or meter value is not a finite number")
 	}
 	for i, c := range s.Classes {
 		if !finite(c.Aim, c.Deadline, c.Worth, c.LateWorth, c.Window) {
-			return fmt.Errorf("control: class %d: a figure that is no finite number", i)
+			return fmt.Errorf(
+				"control: class %d: aim %v s, deadline %v s, worth %v, late worth %v or window %v s not finite",
+				i, c.Aim, c.Deadline, c.Worth, c.LateWorth, c.Window)
 		}
 		if !(c.Aim > 0) || !(c.Deadline > 0) || c.Worth < 0 || c.Window < 0 {
-			return fmt.Errorf("control: class %d: aim, deadline, worth or window out of range", i)
+			return fmt.Errorf("control: class %d: aim %v s, deadline %v s, worth %v or window %v s out of range",
+				i, c.Aim, c.Deadline, c.Worth, c.Window)
 		}
 	}
 	for i, p := range s.Plans {
 		if !finite(p.Rate, p.Burst, p.Worth, p.OverWorth, p.OverCost,
 			p.CeilingRate, p.CeilingBurst, p.CeilingSlack) {
-			return fmt.Errorf("control: plan %d: a figure that is no finite number", i)
+			return fmt.Errorf("control: plan %d: a rate, burst, worth factor or ceiling value is not finite", i)
 		}
 		if min(p.Rate, p.Burst, float64(p.Open), p.CeilingRate, p.CeilingBurst, p.CeilingSlack) < 0 {
-			return fmt.Errorf("control: plan %d: a negative quota", i)
+			return fmt.Errorf("control: plan %d: a rate, burst, open or ceiling value is negative", i)
 		}
 	}
 	return nil
