--- a/control/control.go
+++ b/control/control.go
@@ -223,8 +223,8 @@
 	// lateAimShare is the share of a class's aim after which an answer counts as late, a sign of overload.
 	lateAimShare = 0.6
 
-	// busyLimitShare is the share of a limit in use from which the limit may grow. For the pooled limit, use
-	// beyond this share adds to the overload.
+	// busyLimitShare is the share of a limit in use from which the limit may grow. Use beyond this
+	// share of all of a gateway's limits together adds to the overload.
 	busyLimitShare = 0.7
 
 	// lossyMaxLateShare is the share of late answers, of those that come, up to which missing answers are
@@ -253,7 +253,7 @@
 	maxRetryOverload = 0.05
 
 	// shedProbeCount is the number of requests shed since the last attempt after which one is admitted in
-	// spite of the overload, if shedProbeInterval has passed, too.
+	// spite of the overload, if shedProbeInterval has passed as well.
 	shedProbeCount = 12
 
 	// shedProbeInterval is the time since the last attempt after which such a request may be admitted, in
@@ -280,8 +280,8 @@
 	// allRejectBackoff is the same where all servers rejected the class.
 	allRejectBackoff = 2.0
 
-	// unprovenCostFactor sets the extra cost of a server that has not served the class lately. It is
-	// multiplied by the share of the class's attempts that are rejected.
+	// unprovenCostFactor sets the extra cost of a server that has not served the class within
+	// classRejectBackoff. It is multiplied by the share of the class's attempts that are rejected.
 	unprovenCostFactor = 4.0
 
 	// ---- Averages over attempts ----
@@ -537,8 +537,8 @@
 	return (demandPriorUnits + observed) / (demandPriorUnits/usual + share*rateTimeConstant)
 }
 
-// admissionValue is the expected gain of admitting a request, per unit of its worth: 1 for one inside the
-// quota, and 0 or less for one to refuse.
+// admissionValue is the expected gain of admitting a request, per unit of its worth: at most 1, for one
+// inside the quota, and 0 or less for one to refuse.
 func (g *Gateway) admissionValue(c *customer, class int, units float64) float64 {
 	p := c.plan
 	if p.CeilingRate > 0 && c.ceilingLevel < units {
@@ -555,7 +555,7 @@
 	}
 	age, othersRate := c.viewAge(g.now), c.othersRate
 	if g.missedCalls > 0 && g.now-g.peerHeardAt < viewStaleAfter {
-		age = min(age, g.peerInterval) // peers report their use at this interval
+		age = min(age, g.peerInterval) // peers report at this interval: what they have not reported is no older
 	}
 	othersDemand := g.demand(c, units) * (1 - share)
 	if age > viewStaleAfter {
@@ -604,7 +604,7 @@
 
 // ---- 2. The counter ----
 
-// scheduleCall queues a counter call for a customer, at a time at which its bucket can't have run dry.
+// scheduleCall queues a counter call for a customer, due before its bucket is expected to run dry.
 func (g *Gateway) scheduleCall(c *customer) {
 	if !g.settings.Counter.Allowed || c.plan.Rate <= 0 || c.evicted || g.customers[c.id] != c {
 		return
@@ -684,7 +684,7 @@
 	return g.callTokens >= 1 && (c.unflushed != 0 || g.callTokens >= 1+lookupReserve)
 }
 
-// callCounter adds the customer's unflushed units to the count of their window, or only reads that count if
+// callCounter adds the customer's unflushed units to the count of its window, or only reads that count if
 // the window is over or a previous add is uncertain.
 func (g *Gateway) callCounter(c *customer) {
 	current := c.currentWindow(g.now)
@@ -933,7 +933,7 @@
 	// With little time left, the answer is likely too late, and the request is worth less.
 	cs := &p.classes[r.class]
 	inTimeChance := 1 - math.Exp2(-min(class.Aim, r.deadline-g.now)/cs.typicalTime)
-	if inTimeChance < minInTimeChance { // decays: if all are refused, no answer would lower it again
+	if inTimeChance < minInTimeChance { // it decays: if all are refused, no answer would lower it again
 		cs.typicalTime -= cs.typicalTime * typicalTimeDecay
 	}
 	worth := inTimeChance * gain * class.Worth * r.customer.plan.Worth * r.units / max(cs.workTime, 1e-4)
@@ -1000,7 +1000,7 @@
 	sinceUpdate := min(maxOverloadStep, g.now-p.overloadUpdatedAt)
 	p.overloadUpdatedAt = g.now
 	// A high overload must fall as fast as it rose, but only while nearly all answers are in time: in a
-	// lasting overload, a third of the answers would be late otherwise.
+	// lasting overload, the faster fall would let a third of the answers be late.
 	calmWeight := max(0, 1-(1-p.inTimeShare)*(1+overloadRise/overloadFall))
 	step := -overloadFall * (1 + calmWeight*p.fleetOverload*p.fleetOverload)
 	if late {
--- a/control/state.go
+++ b/control/state.go
@@ -61,13 +61,13 @@
 	inTimeShare       float64 // share of attempts that are answered before they are late
 	fleetOverload     float64 // overload of all servers, estimated from late answers; 0: none
 	overloadDecayedAt Seconds // when fleetOverload last decayed by itself
-	overloadUpdatedAt Seconds // time of the last answer or time-out that changed fleetOverload
+	overloadUpdatedAt Seconds // time of the last answer or overdue attempt that changed fleetOverload
 	pooledLimit       float64 // attempts of this gateway that may be in flight at a server, pooled over all
-	meanInFlight      float64 // attempts in flight, averaged
+	meanInFlight      float64 // attempts in flight at all usable servers, averaged
 	meanInFlightAt    Seconds // when meanInFlight was last updated
 	nearLimit         bool    // most of the limit is in use
 	overload          float64 // fleetOverload plus the use of this gateway's limits beyond busyLimitShare
-	meanWorthRate     float64 // mean of the requests' worth in time per second of work
+	meanWorthRate     float64 // mean worth that requests are expected to earn per second of work
 	worthSamples      float64 // requests averaged in meanWorthRate
 	shedSinceAttempt  int     // requests refused because of overload since the last attempt
 
@@ -128,8 +128,8 @@
 	unitsSinceView float64 // units admitted since the last view
 	neverViewed    bool    // no total has been read yet
 	callInFlight   bool
-	// readsPrevious tells that the call in flight reads the previous window, and levelUnknown that level was
-	// not derived from a total yet.
+	// readsPrevious says that the call in flight reads the previous window, and levelUnknown that level does
+	// not take the use in that window into account.
 	readsPrevious, levelUnknown bool
 	planChanged                 bool      // the plan changed while a call was in flight
 	heldRequests                []Request // requests held until the call in flight is answered
