--- a/control/types.go
+++ b/control/types.go
@@ -389,7 +389,7 @@
 // validate returns an error if the settings are invalid.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
-		return errors.New("control: settings without classes or without plans")
+		return errors.New("control: settings have no classes or no plans")
 	}
 	if s.Gateways < 1 || s.Sites < 0 || s.Ordinal < 0 || s.Limits.MaxAttempts < 0 {
 		return errors.New("control: settings: Gateways, Sites, Ordinal or MaxAttempts out of range")
