--- a/control/control.go
+++ b/control/control.go
@@ -1,9 +1,13 @@
 package control
 
-// The interface (settings, events, actions) is types.go; state.go and peers.go hold no decision.
-// Reading order: the tuned values; New and Handle; then 1. customers and their quotas: the batched-delta
-// mechanism, the heart; 2. the counter: when to call it, and what its answers mean; 3. requests; 4. servers.
-// docs/design.md tells what comes from the source and what was changed.
+// This file makes the decisions. types.go declares the interface: settings, events and actions. state.go,
+// peers.go and copies.go hold the state, arithmetic on it, messages to peers and hedged requests.
+//
+// Reading order: the constants; New and Handle; then 1. customers and their quotas, the core of the package:
+// units are counted locally and added to the shared counter in batches; 2. the counter: when to call it, and
+// how its answers are used; 3. requests; 4. servers.
+//
+// docs/design.md says which parts come from the source of this design and which were changed.
 
 import (
 	"cmp"
@@ -13,1043 +17,1354 @@
 )
 
 const (
-	pulse        = 0.02  // s between looks at what is due; far below the shortest call interval
-	shortWindow  = 3.0   // s; shorter windows would spend calls on rolling over
-	nameLives    = 4     // windows a name is kept: past its closing read, and no longer
-	slowFlush    = 1.0   // s, the source's periodic flush; nobody waits longer to be counted
-	readPause    = 0.7   // of the time in which a unit comes in; reading more often shows nothing
-	flushShare   = 0.3   // of the time in which the store could run dry may pass between calls
-	pricedCall   = 0.02  // call price at which intervals are doubled
-	blind        = 0.012 // s: a tick, a call and its way; use of others within it can't be seen
-	askPrior     = 0.5   // units at the usual rate that weigh against own asks: customers differ much
-	openSpike    = 0.7   // of what others likely ask is taken to be out, where attempts out are capped
-	askSpike     = 0.4   // of what others likely ask is taken as drawn, at the least
-	stale        = 1.5   // s after which a view tells little of what others ask
-	unknownUse   = 0.5   // of its rate that a customer not yet looked up is taken to use
-	rateMemory   = 2.0   // s over which rates of use are averaged
-	shareLasts   = 1.5   // s that a share outlives the last view
-	shareMemory  = 6.0   // s over which shares are: the busiest gateway changes every few seconds
-	doze         = 3.0   // windows without a request after which a customer is forgotten
-	maxCustomers = 20000 // held at once; one-off floods beyond this share no memory
-
-	lookAfter  = 0.3    // s after which a view is too old to let in what the split does not
-	lookTime   = 4.0    // times a call's time-out that a client must wait to be held for one
-	callsFirst = 500.0  // counter calls a second of all gateways, before anything is learned
-	callsLeast = 40.0   // of all gateways; fewer would be slow to see that the counter is back
-	callsMost  = 2000.0 // of all gateways, where it stops growing
-	callsOwn   = 13.0   // instead of callsFirst for each, if that is more: counters grow with fleets
-	callGrow   = 0.5    // growth a second while answers are quick
-	callShrink = 2.0    // fall a second while they are slow or missing
-	callSpell  = 0.2    // s that one bad answer can tell of at the most
-	waitMost   = 20.0   // s that a call may be put off for customers asked for again sooner
-	callBurst  = 0.02   // s of calls that may go out at once
-	callsSaved = 4.0    // and as many at least: a try that finds none left would be let in without a look
-	lookCalls  = 3.0    // left for tries that wait to be looked up, by calls that only read
-	slowCall   = 0.35   // of a call's time-out: later answers say that the counter is crowded
-
-	peerAfter  = 0.3  // s without an answer of the counter before peers are told
-	peerMisses = 2    // unanswered calls in a row: one alone is a crowd, no silence
-	peerPause  = 0.15 // s between messages: a tenth of a second or so is what a total would lag
-	peerIntake = 0.5  // of what a gateway can take in is used: customers crowd at some
-	peerMost   = 14   // customers in a message, to fit 256 bytes
-
-	hintLeast  = 0.2 // of the longest wait that clients heed, where nothing tells of a better time
-	hintSpread = 0.3 // and as much more at the most, so that they do not come back in step
-
-	retryEarn  = 0.1 // attempts beyond the first that each request earns: a retry storm stays at a tenth
-	retryPurse = 8.0 // and how many may be saved up
-	tryAim     = 0.8 // share of the aim after which a repeatable attempt is given up for another
-	tryTypical = 5.0 // but never before this many typical times: long work is not a fault
-
-	slotsFirst   = 6.0   // attempts at a server from all gateways, before anything is learned
-	slotsPooled  = 4.0   // the same where they are pooled and averaged: an average has no peaks
-	slotsFloor   = 0.2   // under 1, as many gateways share a server: then only some servers are in use at once
-	lostAfter    = 3.0   // typical times after which an answer seems lost while others come quickly
-	slotsMemory  = 1.0   // s over which attempts out are averaged where few are
-	slotsLeast   = 0.3   // of the first guess; crowd does the rest
-	growTo       = 1.010 // at each good sign
-	cutTo        = 0.92  // at each bad one
-	lateShare    = 0.6   // an answer later than this share of its aim says that there is a crowd
-	busyShare    = 0.7   // of a limit in use: it may grow; of all own slots: they add to the crowd
-	lateFew      = 0.07  // of the answers that come must be late for silence to tell of a crowd
-	inTimeFew    = 0.4   // or this few of all attempts answered in time: no network that is of use loses more
-	crowdUp      = 1.0   // a second, while answers come late
-	crowdDown    = 0.125 // a second, while they are in time: they balance at one late answer in nine
-	crowdSpell   = 0.5   // s that one answer can tell of at the most
-	crowdMost    = 4.0   // where it stops rising: one request in fifty of middling worth
-	crowdFew     = 0.05  // from here on no attempt is given up for another
-	probeAfter   = 12    // requests refused since the last attempt, and
-	probePause   = 3.0   // s since then, after which one is let in whatever the overload
-	hopeLeast    = 0.5   // chance of an answer in time under which nothing is started
-	hopeFades    = 0.01  // fall of the typical time for each that is refused for want of hope
-	crowdFades   = 6.0   // s; where all is refused no answer would tell that the crowd is gone
-	fullFor      = 8.0   // s that a server is passed over for the class it turned away
-	fullForAll   = 2.0   // s, the same where all servers turned it away
-	provenBy     = 4.0   // extra cost where the class was not lately served, times how often it is turned away
-	learn        = 0.12  // weight of a new sample in averages over attempts
-	learnFleet   = 0.03  // the same for what is learned of all servers
-	lostFew      = 0.2   // share of attempts without an answer from which three in a row must fail
-	forgetSlow   = 4.0   // s in which a server without answers is thought of as average again
-	jitter       = 0.15  // random part of a server's cost, so that gateways do not pick alike
-	abroad       = 0.01  // extra cost of a server in another zone: near ones win ties
-	choices      = 3     // servers looked at, for each that a gateway has to itself
-	choicesLeast = 4     // and at the least
-	serverGates  = 12    // gateways that go to one server: each costs it a connection, and is to meet it often
-
-	strikes    = 3   // failures in a row that put a server out; a refused connection counts double
-	outFirst   = 0.4 // s a server is first left alone, doubled at each failed trial
-	outMost    = 4.0
-	trialShare = 1.0  // gateways, of all, that send a trial with their next request
-	trialFor   = 10.0 // of the time left alone, in which only trials are sent
-	coldPart   = 0.7  // of what a warm server gets times the warm share: chance and other gateways need room
-	coldBurst  = 1.5  // attempts that one gateway may send a cold server at once
-	coldCores  = 4.0  // as many cores' work is begun on each by all gateways where no server is warm
+	// ---- Customers: windows, flushes and estimates of use ----
+
+	// timerInterval is the mean of the shortest time between two timers, in seconds. It is far below the
+	// shortest interval between counter calls.
+	timerInterval = 0.02
+
+	// minWindow is the shortest window over which units are counted, in seconds. Shorter windows would spend
+	// calls on moving from one window to the next.
+	minWindow = 3.0
+
+	// countTTLWindows is the time for which the counter keeps the name of a window's count, in windows: until
+	// after the closing read of that window, and no longer.
+	countTTLWindows = 4
+
+	// maxFlushDelay is the longest time that units wait to be added to the counter, in seconds: the periodic
+	// flush of the original design. It also bounds the time between two timers and between two sweeps.
+	maxFlushDelay = 1.0
+
+	// readIntervalUnits is the shortest time before a call that adds nothing, as a multiple of the time in
+	// which the plan's rate refills one unit. Reading more often shows nothing new.
+	readIntervalUnits = 0.7
+
+	// flushDepletionShare is the share of the time in which the bucket could run dry that may pass between
+	// calls.
+	flushDepletionShare = 0.3
+
+	// doublingCallPrice is the price of a counter call (CounterInfo.Price) at which call intervals are
+	// doubled.
+	doublingCallPrice = 0.02
+
+	// counterLag is the time within which units used at other gateways cannot be seen, in seconds: a timer
+	// interval, a call and its transmission.
+	counterLag = 0.012
+
+	// demandPriorUnits is the weight of a customer's usual rate in an estimate of its demand, in units,
+	// against the units asked of this gateway. Customers differ widely.
+	demandPriorUnits = 0.5
+
+	// openSpikeShare is the share of the demand expected at other gateways that is assumed to be in flight
+	// there. It matters to plans that cap the attempts in flight.
+	openSpikeShare = 0.7
+
+	// drawnSpikeShare is the least share of the demand expected at other gateways that is assumed to be drawn
+	// from the quota.
+	drawnSpikeShare = 0.4
+
+	// viewStaleAfter is the age after which a view says little about demand at other gateways, in seconds.
+	viewStaleAfter = 1.5
+
+	// unknownUseShare is the share of its rate that a customer is assumed to use before the first view.
+	unknownUseShare = 0.5
+
+	// rateTimeConstant is the time constant of the averages of rates, in seconds.
+	rateTimeConstant = 2.0
+
+	// staleShareTimeConstant is the time constant with which a gateway's share returns to the even split
+	// after the last view, in seconds.
+	staleShareTimeConstant = 1.5
+
+	// shareTimeConstant is the time constant of the recent units that shares are computed from, in seconds.
+	// The gateway that has most of a customer's traffic changes every few seconds.
+	shareTimeConstant = 6.0
+
+	// idleEvictionWindows is the time without a request after which a customer is evicted, in windows.
+	idleEvictionWindows = 3.0
+
+	// maxCustomers is the number of customers kept at once, which bounds the memory that a flood of customers
+	// seen only once can take.
+	maxCustomers = 20000
+
+	// ---- Counter calls: lookups before admission, and the rate limit on calls ----
+
+	// lookupViewAge is the age from which a view is too old to admit a request that the split alone does not
+	// admit, in seconds. The request is held until the counter has answered.
+	lookupViewAge = 0.3
+
+	// minHoldTimeouts is the time that a client must have left for its request to be held for a counter call,
+	// as a multiple of the call's time-out.
+	minHoldTimeouts = 4.0
+
+	// initialFleetCallRate is the initial rate of calls of all gateways together, in calls a second.
+	initialFleetCallRate = 500.0
+
+	// minFleetCallRate is the lowest rate of calls of all gateways together, in calls a second. A lower rate
+	// would be slow to show that the counter is back.
+	minFleetCallRate = 40.0
+
+	// maxFleetCallRate is the rate of all gateways together at which growth stops, in calls a second.
+	maxFleetCallRate = 2000.0
+
+	// initialGatewayCallRate is the initial rate of one gateway, in calls a second, where that is more than
+	// its part of initialFleetCallRate: counters grow with fleets.
+	initialGatewayCallRate = 13.0
+
+	// callRateGrowth is the relative growth a second of the call rate while answers are quick.
+	callRateGrowth = 0.5
+
+	// callRateDecay is the exponential decay a second of the call rate while answers are slow or missing.
+	callRateDecay = 2.0
+
+	// maxDecayStep is the longest time that one slow or missing answer accounts for, in seconds.
+	maxDecayStep = 0.2
+
+	// maxCallDeferral is the longest time that a call is put off in favor of customers whose next request is
+	// expected sooner, in seconds.
+	maxCallDeferral = 20.0
+
+	// callBurstTime sets the burst of the limit on calls: the calls of this many seconds may go out at once.
+	callBurstTime = 0.02
+
+	// minCallBurst is the least burst, in calls. A request that finds no call left would be admitted without
+	// a lookup.
+	minCallBurst = 4.0
+
+	// lookupReserve is the number of calls that calls which only read leave to requests that wait for a
+	// lookup.
+	lookupReserve = 3.0
+
+	// slowCallShare is the share of a call's time-out from which an answer shows that the counter is
+	// overloaded.
+	slowCallShare = 0.35
+
+	// ---- Messages to peers while the counter does not answer ----
+
+	// peerFallbackDelay is the time without an answer of the counter before peers are told of use, in
+	// seconds.
+	peerFallbackDelay = 0.3
+
+	// peerFallbackMisses is the number of consecutive calls without an answer before peers are told. A single
+	// one is a sign of overload, not of an outage.
+	peerFallbackMisses = 2
+
+	// minPeerInterval is the shortest time between rounds of messages, in seconds. A total read from the
+	// counter would be about a tenth of a second old, too.
+	minPeerInterval = 0.15
+
+	// peerIntakeShare is the share of the messages a gateway can take in that is used. Customers are
+	// concentrated at some gateways.
+	peerIntakeShare = 0.5
+
+	// maxPeerEntries is the number of customers in one message, which has to fit into 256 bytes.
+	maxPeerEntries = 14
+
+	// ---- Retry-After hints ----
+
+	// minHintShare is the least hint where nothing indicates a better time, as a share of
+	// Limits.MaxRetryAfter.
+	minHintShare = 0.2
+
+	// hintJitterShare is the range of the random addition to that hint, as a share of Limits.MaxRetryAfter.
+	// It keeps clients from coming back in step.
+	hintJitterShare = 0.3
+
+	// ---- Retries: the retry budget and the time-out of an attempt ----
+
+	// retryBudgetRatio is the number of retries that each request adds to the budget. It keeps a retry storm
+	// at a tenth of the load.
+	retryBudgetRatio = 0.1
+
+	// retryBudgetMax is the most that the budget holds, in retries.
+	retryBudgetMax = 8.0
+
+	// attemptTimeoutAimShare is the time after which a repeatable attempt is given up for another, as a share
+	// of the aim of its class.
+	attemptTimeoutAimShare = 0.8
+
+	// minAttemptTimeoutTypicals is the least time-out of an attempt, in typical answer times. Long work is
+	// not a fault.
+	minAttemptTimeoutTypicals = 5.0
+
+	// ---- Concurrency limits: attempts in flight at a server. Each gateway adapts its own ----
+
+	// initialServerLimit is the initial limit of a server, in attempts in flight from all gateways.
+	initialServerLimit = 6.0
+
+	// initialPooledLimit is the same where a gateway pools the limits of all servers and averages the
+	// attempts in flight: an average has no peaks.
+	initialPooledLimit = 4.0
+
+	// minLimit is the least limit of one gateway at one server, in attempts. It is below 1 because many
+	// gateways share a server; then only some of the servers are in use at once.
+	minLimit = 0.2
+
+	// lostAfterTypicals is the age in typical answer times from which an attempt counts as lost while other
+	// answers come quickly.
+	lostAfterTypicals = 3.0
+
+	// inFlightTimeConstant is the time constant of the average of attempts in flight, in seconds. It is used
+	// where a gateway has only few in flight.
+	inFlightTimeConstant = 1.0
+
+	// minPooledLimitShare is the least pooled limit, as a share of its initial value. The overload estimate
+	// does the rest.
+	minPooledLimitShare = 0.3
+
+	// limitGrowthFactor multiplies a limit after an answer in time.
+	limitGrowthFactor = 1.010
+
+	// limitCutFactor multiplies a limit after a late answer or another sign of overload.
+	limitCutFactor = 0.92
+
+	// ---- Load shedding: the estimate of overload, and what is admitted in spite of it ----
+
+	// lateAimShare is the share of a class's aim after which an answer counts as late, a sign of overload.
+	lateAimShare = 0.6
+
+	// busyLimitShare is the share of a limit in use from which the limit may grow. Use beyond this
+	// share of all of a gateway's limits together adds to the overload.
+	busyLimitShare = 0.7
+
+	// lossyMaxLateShare is the share of late answers, of those that come, up to which missing answers are
+	// taken as loss. Above it they are a sign of overload.
+	lossyMaxLateShare = 0.07
+
+	// lossyMinInTimeShare is the share of all attempts that must be answered in time for missing answers to
+	// be taken as loss. No usable network loses more than the rest.
+	lossyMinInTimeShare = 0.4
+
+	// overloadRise is the change a second of the fleet's overload while answers are late.
+	overloadRise = 1.0
+
+	// overloadFall is its fall a second while answers are in time. Rise and fall balance at one late answer
+	// in nine.
+	overloadFall = 0.125
+
+	// maxOverloadStep is the longest time that one answer accounts for, in seconds.
+	maxOverloadStep = 0.5
+
+	// maxFleetOverload is where the fleet's overload stops rising. One request in fifty of average worth is
+	// still admitted there.
+	maxFleetOverload = 4.0
+
+	// maxRetryOverload is the overload from which no attempt is given up for another.
+	maxRetryOverload = 0.05
+
+	// shedProbeCount is the number of requests shed since the last attempt after which one is admitted in
+	// spite of the overload, if shedProbeInterval has passed as well.
+	shedProbeCount = 12
+
+	// shedProbeInterval is the time since the last attempt after which such a request may be admitted, in
+	// seconds.
+	shedProbeInterval = 3.0
+
+	// minInTimeChance is the least chance of an answer in time for a request to be started.
+	minInTimeChance = 0.5
+
+	// typicalTimeDecay is the relative fall of a class's typical answer time for each request refused because
+	// that chance is too low.
+	typicalTimeDecay = 0.01
+
+	// overloadTimeConstant is the time constant with which the fleet's overload decays on its own, in
+	// seconds. Where all requests are shed, no answer would show that the overload is over.
+	overloadTimeConstant = 6.0
+
+	// ---- Servers that reject a class of requests as full ----
+
+	// classRejectBackoff is the time for which a server gets no requests of a class that it rejected, in
+	// seconds.
+	classRejectBackoff = 8.0
+
+	// allRejectBackoff is the same where all servers rejected the class.
+	allRejectBackoff = 2.0
+
+	// unprovenCostFactor sets the extra cost of a server that has not served the class within
+	// classRejectBackoff. It is multiplied by the share of the class's attempts that are rejected.
+	unprovenCostFactor = 4.0
+
+	// ---- Averages over attempts ----
+
+	// sampleWeight is the weight of a new sample in averages for one server or class.
+	sampleWeight = 0.12
+
+	// poolSampleWeight is the same for averages over all servers of a pool.
+	poolSampleWeight = 0.03
+
+	// highLossShare is the share of attempts without an answer from which a server is ejected only after
+	// ejectionFailures consecutive time-outs. Below it fewer are enough.
+	highLossShare = 0.2
+
+	// slownessTimeConstant is the time constant with which a server that gives no answers is taken as average
+	// again, in seconds.
+	slownessTimeConstant = 4.0
+
+	// ---- Choice of a server ----
+
+	// costJitter is the random part of a server's cost. It keeps gateways from all choosing the same server.
+	costJitter = 0.15
+
+	// crossZoneCost is the extra cost of a server in another zone: servers in the own zone win ties.
+	crossZoneCost = 0.01
+
+	// choicesPerOwnServer is the number of servers compared, for each server that a gateway has to itself.
+	choicesPerOwnServer = 3
+
+	// minChoices is the least number of servers compared.
+	minChoices = 4
+
+	// gatewaysPerServer is the number of gateways that send to one server. Each costs the server a
+	// connection, and each has to send there often enough to learn about it.
+	gatewaysPerServer = 12
+
+	// ---- Outlier ejection, and slow start of cold servers ----
+
+	// ejectionFailures is the number of consecutive failures after which a server is ejected. A refused
+	// connection counts twice.
+	ejectionFailures = 3
+
+	// minEjectionTime is the time for which a server is first ejected, in seconds. Each failed trial doubles
+	// it.
+	minEjectionTime = 0.4
+
+	// maxEjectionTime is the longest time for which a server is ejected, in seconds.
+	maxEjectionTime = 4.0
+
+	// trialGateways is the number of gateways, of all, that send a trial with their next request after an
+	// ejection.
+	trialGateways = 1.0
+
+	// trialEjectionTimes is the time after an ejection in which a server gets only trials, as a multiple of
+	// the time for which it was ejected.
+	trialEjectionTimes = 10.0
+
+	// coldLoadShare is the load of a cold server, as a share of what a warm one gets times the cold one's
+	// warm share. The rest is headroom for chance and for other gateways.
+	coldLoadShare = 0.7
+
+	// coldBurstAttempts is the number of attempts that one gateway may send to a cold server at once.
+	coldBurstAttempts = 1.5
+
+	// coldStartCores is the work that all gateways together start on each server where none is warm, in cores
+	// kept busy.
+	coldStartCores = 4.0
 )
 
-// New makes a gateway that knows its settings. The same seed and events give the same actions.
+// New returns a gateway with these settings, or an error if they are invalid. The same seed and events give
+// the same actions.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	s.Limits.MaxAttempts = max(1, s.Limits.MaxAttempts)
 	g := &Gateway{
-		set:       s,
-		rng:       rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		customers: map[uint64]*customer{},
-		callOut:   map[uint64][]*customer{},
-		requests:  map[uint64]*request{},
-		servers:   map[string]*server{},
-		hearsay:   map[uint64]float64{},
-		callRate:  max(callsOwn, callsFirst/float64(max(1, s.Gateways))),
-		purse:     retryPurse,
-		meanUnits: 1,
-		hedges:    newHedger(&s),
+		settings:           s,
+		rng:                rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		customers:          map[uint64]*customer{},
+		callsInFlight:      map[uint64][]*customer{},
+		requests:           map[uint64]*request{},
+		servers:            map[string]*server{},
+		unclaimedPeerUnits: map[uint64]float64{},
+		callRate:           max(initialGatewayCallRate, initialFleetCallRate/float64(max(1, s.Gateways))),
+		retryBudget:        retryBudgetMax,
+		meanUnits:          1,
+		hedger:             newHedger(&s),
 	}
 	classes := make([]classState, len(s.Classes))
 	for i, c := range s.Classes {
-		classes[i] = firstState(&c)
+		classes[i] = initialClassState(&c)
 	}
 	for site := range max(1, s.Sites) {
-		gates := float64(s.gates(site))
-		g.pools = append(g.pools, newPool(classes, gates, slotsPooled/gates))
+		gateways := float64(s.gatewaysOf(site))
+		g.pools = append(g.pools, newPool(classes, gateways, initialPooledLimit/gateways))
 	}
 	return g, nil
 }
 
-// firstState is what a class is taken to be before anything is learned of it.
-func firstState(c *Class) classState { return classState{typical: c.Aim / 5, work: c.Aim / 8} }
+// initialClassState is the estimate for a class before any answer is known.
+func initialClassState(c *Class) classState {
+	return classState{typicalTime: c.Aim / 5, workTime: c.Aim / 8}
+}
 
-// Handle takes one event in and appends the actions it calls for.
+// Handle processes one event and returns actions with those appended that the event calls for.
 func (g *Gateway) Handle(now Seconds, ev Event, actions []Action) []Action {
-	g.now, g.out = now, actions
-	if !g.begun {
-		g.begun, g.opened, g.swept = true, now, now
-		g.wake(now)
+	g.now, g.actions = now, actions
+	if !g.initialized {
+		g.initialized, g.startedAt, g.sweptAt = true, now, now
+		g.wakeBy(now)
 	}
-	g.overdue()
+	g.checkOverdue()
 	switch e := ev.(type) {
 	case Members:
-		g.members(e)
+		g.handleMembers(e)
 	case Request:
-		g.request(e)
-	case Arrived:
-		g.arrived(e)
+		g.handleRequest(e)
+	case BodyReceived:
+		g.handleBodyReceived(e)
 	case Started:
-		g.started(e)
+		g.handleStarted(e)
 	case Outcome:
-		g.outcome(e)
-	case Gone:
-		g.left(e)
+		g.handleOutcome(e)
+	case ClientGone:
+		g.handleClientGone(e)
 	case Timer:
-		if now > g.wakeAt-pulse/4 {
+		if now > g.wakeAt-timerInterval/4 {
 			g.sweep()
 		}
 	case Reconfigured:
-		g.reconfigure(e)
-	case Ending:
-		// Units that are not added yet could be spent a second time at the gateways that stay.
-		g.ending = true
-		for _, c := range g.waiting {
-			g.want(c)
+		g.handleReconfigured(e)
+	case ShuttingDown:
+		// Units that the counter does not hold yet could be spent again at the remaining gateways.
+		g.shuttingDown = true
+		for _, c := range g.callQueue {
+			g.scheduleCall(c)
 		}
-	case Restored:
-		g.pool(e.Site).forgive()
+	case LinkRestored:
+		g.poolOf(e.Site).clearFailures()
 	case Counted:
-		g.counted(e)
+		g.handleCounted(e)
 	case PeerMessage:
-		g.hear(e)
+		g.handlePeerMessage(e)
 	}
-	g.call()
-	return g.out
+	g.makeDueCalls()
+	return g.actions
 }
 
-// wake asks for a timer by then. The random part keeps gateways that start together from calling in step.
-func (g *Gateway) wake(at Seconds) {
-	at = min(max(at, g.now+pulse*(0.5+g.rng.Float64())), g.now+slowFlush)
+// wakeBy requests a timer that fires at the given time, or a little later if that is too soon. The random
+// part keeps gateways that start together from calling the counter in step.
+func (g *Gateway) wakeBy(at Seconds) {
+	at = min(max(at, g.now+timerInterval*(0.5+g.rng.Float64())), g.now+maxFlushDelay)
 	if g.wakeAt <= g.now || at < g.wakeAt {
 		g.wakeAt = at
-		g.do(SetTimer{Delay: at - g.now})
+		g.emit(SetTimer{Delay: at - g.now})
 	}
 }
 
+// sweep does the periodic work of a timer: messages to peers, hedges, a new subscription and the eviction of
+// idle customers.
 func (g *Gateway) sweep() {
-	silent := g.misses >= peerMisses && g.now-g.quiet > peerAfter
-	if g.set.Limits.Peers && silent && g.now-g.peerTold > g.peerGap {
-		g.tell()
+	silent := g.missedCalls >= peerFallbackMisses && g.now-g.firstMissAt > peerFallbackDelay
+	if g.settings.Limits.Peers && silent && g.now-g.peersToldAt > g.peerInterval {
+		g.tellPeers()
 	}
-	if g.wakeAt = 0; g.misses > 0 {
-		g.wake(g.now + max(peerPause, g.peerGap))
+	if g.wakeAt = 0; g.missedCalls > 0 {
+		g.wakeBy(g.now + max(minPeerInterval, g.peerInterval))
 	}
-	g.wake(g.now + slowFlush)
-	g.sendCopies()
-	if g.nextAsk > 0 && g.now >= g.nextAsk {
-		g.nextAsk = 0
-		g.do(Watch{On: true})
+	g.wakeBy(g.now + maxFlushDelay)
+	g.sendDueHedges()
+	if g.resubscribeAt > 0 && g.now >= g.resubscribeAt {
+		g.resubscribeAt = 0
+		g.emit(Watch{On: true})
 	}
-	if g.now-g.swept < slowFlush {
+	if g.now-g.sweptAt < maxFlushDelay {
 		return
 	}
-	g.swept = g.now
-	// Customers that were quiet for long have a full bucket again and need not be kept.
-	g.order = slices.DeleteFunc(g.order, func(c *customer) bool {
-		quiet := g.now-c.lastAsk > max(doze*c.plan.window(shortWindow), c.plan.refillCeiling())
-		if c.gone = quiet && !c.calling && c.unsure == 0 && c.open == 0; c.gone {
+	g.sweptAt = g.now
+	// A customer that has been idle for long has a full bucket again and need not be kept.
+	g.customersByArrival = slices.DeleteFunc(g.customersByArrival, func(c *customer) bool {
+		idle := g.now-c.lastRequestAt > max(idleEvictionWindows*c.plan.windowLength(minWindow),
+			c.plan.ceilingRefillTime())
+		if c.evicted = idle && !c.callInFlight && c.uncertainUnits == 0 && c.openAttempts == 0; c.evicted {
 			delete(g.customers, c.id)
 		}
-		return c.gone
+		return c.evicted
 	})
 }
 
-// good lets a limit grow. Danger: one cut far down would take minutes: the further below first, the faster.
-func (l *limiter) good(first float64) {
-	if float64(l.out)+1 >= l.limit*busyShare {
-		l.limit *= 1 + (growTo-1)*max(1, first/l.limit)
+// grow raises the limit after a good answer if the limit is nearly used up. It grows faster the further it is
+// below its initial value: otherwise a limit that was cut far down would take minutes to recover.
+func (l *limiter) grow(initial float64) {
+	if float64(l.inFlight)+1 >= l.limit*busyLimitShare {
+		l.limit *= 1 + (limitGrowthFactor-1)*max(1, initial/l.limit)
 	}
 }
 
-func (l *limiter) bad() { l.limit = max(slotsFloor, l.limit*cutTo) }
+// cut lowers the limit after a sign of overload.
+func (l *limiter) cut() { l.limit = max(minLimit, l.limit*limitCutFactor) }
 
 // ---- 1. Customers and their quotas ----
 //
-// The judge of a quota is a token bucket, of which a gateway keeps two views. level is what totals and own
-// units leave of it; part what is left if others spend in proportion: own units leave it divided by the own
-// share. A request is let in while part holds it (the design's split), or level very likely does.
+// A quota is a token bucket that all gateways share, and each gateway keeps two estimates of its level. level
+// is what the counter's totals and this gateway's units leave in it. splitLevel assumes that the other
+// gateways spend in proportion: own units are divided by this gateway's share before they are drawn from it.
+// A request is admitted while splitLevel holds its units (the split of the original design), or while level
+// very likely does.
 
-func (g *Gateway) customer(e Request) *customer {
+// customerOf returns the customer of a request, and creates it if this gateway does not know it.
+func (g *Gateway) customerOf(e Request) *customer {
 	if c := g.customers[e.Customer]; c != nil {
-		if c.index != e.Plan {
-			c.replan(g.now, &g.set.Plans[e.Plan], e.Plan)
+		if c.planIndex != e.Plan {
+			c.changePlan(g.now, &g.settings.Plans[e.Plan], e.Plan)
 		}
 		return c
 	}
-	p := &g.set.Plans[e.Plan]
-	room := max(0, p.Burst-g.hearsay[e.Customer])
+	p := &g.settings.Plans[e.Plan]
+	level := max(0, p.Burst-g.unclaimedPeerUnits[e.Customer])
 	c := &customer{
-		id: e.Customer, index: e.Plan, plan: p,
-		door: e.First, spread: float64(max(1, min(e.Spread, g.set.Gateways))),
-		level: room, part: room, filled: g.now,
-		window: p.windowAt(g.now), first: true, unknown: true, seen: g.now,
-		othersRate: unknownUse * p.Rate,
-	}
-	// The process before this one may have spent this part of the ceiling: it refills from this one's start.
-	split := p.CeilingBurst / c.spread
-	c.ceiling = min(split, p.CeilingRate/c.spread*(g.now-g.opened))
+		id: e.Customer, planIndex: e.Plan, plan: p,
+		firstGateway: e.First, gatewayCount: float64(max(1, min(e.Spread, g.settings.Gateways))),
+		level: level, splitLevel: level, refilledAt: g.now,
+		window: p.windowAt(g.now), neverViewed: true, levelUnknown: true, viewedAt: g.now,
+		othersRate: unknownUseShare * p.Rate,
+	}
+	// The previous process may have spent this part of the ceiling: it starts empty when this process starts.
+	split := p.CeilingBurst / c.gatewayCount
+	c.ceilingLevel = min(split, p.CeilingRate/c.gatewayCount*(g.now-g.startedAt))
 	if len(g.customers) < maxCustomers {
 		g.customers[e.Customer] = c
-		g.order = append(g.order, c)
-	} else { // its units are forgotten at once: no ceiling could be kept
-		c.ceiling = 0
+		g.customersByArrival = append(g.customersByArrival, c)
+	} else { // the customer is not kept, so its ceiling could not be enforced
+		c.ceilingLevel = 0
 	}
 	return c
 }
 
-// share is this gateway's part of the customer's recent units. Traffic moves between gateways, so
-// without a new total it falls to the even split, at which all shares add up to one.
+// share is this gateway's part of the customer's recent units, from 0 to 1. Traffic moves between gateways,
+// so without a new total a larger share falls to the even split, at which all shares add up to one.
 func (g *Gateway) share(c *customer) float64 {
-	even := 1 / c.spread
-	share := (c.ownShare + even) / (c.allShare + 1)
-	return even + max(0, min(1, share)-even)*math.Exp(-(g.now-c.seen)/shareLasts)
+	even := 1 / c.gatewayCount
+	share := (c.ownRecentUnits + even) / (c.allRecentUnits + 1)
+	return even + max(0, min(1, share)-even)*math.Exp(-(g.now-c.viewedAt)/staleShareTimeConstant)
 }
 
-// demand estimates the units a second asked of all gateways. The usual rate weighs against own asks:
-// at a share of a hundredth, a single one would otherwise stand for a hundred.
-func (g *Gateway) demand(c *customer, less float64) float64 {
+// demand estimates the units a second that the customer asks of all gateways, without some that were asked of
+// this one. The usual rate is a prior: at a share of 1%, a single request would otherwise count as a hundred.
+func (g *Gateway) demand(c *customer, excluded float64) float64 {
 	share := g.share(c)
-	seen := max(0, c.askRate*rateMemory-less)
-	usual := max(c.ownRate+c.othersRate, unknownUse*c.plan.Rate)
-	return (askPrior + seen) / (askPrior/usual + share*rateMemory)
+	observed := max(0, c.ownDemandRate*rateTimeConstant-excluded)
+	usual := max(c.ownRate+c.othersRate, unknownUseShare*c.plan.Rate)
+	return (demandPriorUnits + observed) / (demandPriorUnits/usual + share*rateTimeConstant)
 }
 
-// allows tells what a try likely earns, per worth: at most 1, for one inside the quota; 0 or less refuses it.
-func (g *Gateway) allows(c *customer, class int, units float64) float64 {
+// admissionValue is the expected gain of admitting a request, per unit of its worth: at most 1, for one
+// inside the quota, and 0 or less for one to refuse.
+func (g *Gateway) admissionValue(c *customer, class int, units float64) float64 {
 	p := c.plan
-	if p.CeilingRate > 0 && c.ceiling < units {
-		return 0 // the fifth rule comes before all gain
+	if p.CeilingRate > 0 && c.ceilingLevel < units {
+		return 0 // the hard ceiling holds whatever a request would gain
 	}
 	share := g.share(c)
-	gain := p.OverWorth - p.OverCost // of a try beyond the quota, per worth
-	capped := g.capped(c)
-	if capped && (p.Rate <= 0 || c.open >= p.Open) {
+	gain := p.OverWorth - p.OverCost // of a request beyond the quota, per unit of worth
+	atOpenLimit := g.atOpenLimit(c)
+	if atOpenLimit && (p.Rate <= 0 || c.openAttempts >= p.Open) {
 		return 0
 	}
 	if p.Rate <= 0 || gain > 0 {
 		return 1
 	}
-	age, rate := c.age(g.now), c.othersRate
-	if g.misses > 0 && g.now-g.heard < stale {
-		age = min(age, g.peerGap) // peers speak: what they have not told is no older
+	age, othersRate := c.viewAge(g.now), c.othersRate
+	if g.missedCalls > 0 && g.now-g.peerHeardAt < viewStaleAfter {
+		age = min(age, g.peerInterval) // peers report at this interval: what they have not reported is no older
 	}
-	asks := g.demand(c, units) * (1 - share)
-	if age > stale {
-		rate = max(rate, asks)
+	othersDemand := g.demand(c, units) * (1 - share)
+	if age > viewStaleAfter {
+		othersRate = max(othersRate, othersDemand)
 	}
-	rate = max(rate, askSpike*asks) // a spike shows in asks before any total tells of it
-	unseen := asks*min(age, blind) + rate*max(0, min(age, p.Burst/p.Rate)-blind)
-	room := c.part
-	if age <= stale {
-		room = min(room, c.level-unseen)
+	othersRate = max(othersRate, drawnSpikeShare*othersDemand) // requests show a spike before any total does
+	unseenUnits := othersDemand*min(age, counterLag) + othersRate*max(0, min(age, p.Burst/p.Rate)-counterLag)
+	available := c.splitLevel
+	if age <= viewStaleAfter {
+		available = min(available, c.level-unseenUnits)
 	}
-	fits := room*share >= units
-	if fits && !capped {
+	fits := available*share >= units
+	if fits && !atOpenLimit {
 		return 1
 	}
 	if c.level < units {
 		return 0
 	}
-	// The split leaves room unused: admit where the chance that there is room makes it worth while.
+	// The split leaves units unused: admit the request where the bucket holds its units with a sufficient
+	// chance.
 	chance := 1.0
 	if !fits {
-		chance = poissonAtMost(int(c.level/units)-1, unseen/units)
+		chance = poissonAtMost(int(c.level/units)-1, unseenUnits/units)
 	}
-	if capped { // the same of attempts out. Others have out what they send in the time that an answer takes.
-		lasts := g.pool(g.set.Site).classes[class].typical
-		chance *= poissonAtMost(p.Open-1-c.open, max(rate, openSpike*asks)/g.meanUnits*lasts)
+	if atOpenLimit { // the same for attempts in flight: others have as many as they send during one answer time
+		answerTime := g.poolOf(g.settings.Site).classes[class].typicalTime
+		chance *= poissonAtMost(p.Open-1-c.openAttempts,
+			max(othersRate, openSpikeShare*othersDemand)/g.meanUnits*answerTime)
 	}
-	// A kept unit is not lost while asks exceed the rate.
-	kept := min(1, g.demand(c, 0)/p.Rate) * (1 - c.level/p.Burst)
-	return chance*(1-kept) + (1-chance)*gain
+	// A unit that is not spent now is spent later while demand exceeds the rate.
+	savedValue := min(1, g.demand(c, 0)/p.Rate) * (1 - c.level/p.Burst)
+	return chance*(1-savedValue) + (1-chance)*gain
 }
 
-// hint tells a client when to come back: a random short time where the bucket seems to hold the units.
-func (g *Gateway) hint(wait Seconds) Seconds {
-	if !g.set.Limits.RetryAfter {
+// retryAfter is the hint when a client should try again, in seconds: the wait for the units, or a short
+// random time if the bucket seems to hold them already. 0 is no hint.
+func (g *Gateway) retryAfter(wait Seconds) Seconds {
+	if !g.settings.Limits.RetryAfter {
 		return 0
 	}
 	if wait <= 0 {
-		wait = (hintLeast + hintSpread*g.rng.Float64()) * g.set.Limits.MaxRetryAfter
+		wait = (minHintShare + hintJitterShare*g.rng.Float64()) * g.settings.Limits.MaxRetryAfter
 	}
-	return min(wait, g.set.Limits.MaxRetryAfter)
+	return min(wait, g.settings.Limits.MaxRetryAfter)
 }
 
 // ---- 2. The counter ----
 
-func (g *Gateway) want(c *customer) {
-	if !g.set.Counter.Allowed || c.plan.Rate <= 0 || c.gone || g.customers[c.id] != c {
+// scheduleCall queues a counter call for a customer, due before its bucket is expected to run dry.
+func (g *Gateway) scheduleCall(c *customer) {
+	if !g.settings.Counter.Allowed || c.plan.Rate <= 0 || c.evicted || g.customers[c.id] != c {
 		return
 	}
-	use := max(g.demand(c, 0), c.ownRate+c.othersRate) // others see a spike as this gateway does
-	wait := flushShare * max(0, c.level-1) / max(use, 1e-9)
-	if c.delta == 0 {
-		wait = max(wait, readPause/c.plan.Rate) // only a read: nobody else waits for it
+	use := max(g.demand(c, 0), c.ownRate+c.othersRate) // a spike is taken to reach the other gateways as well
+	wait := flushDepletionShare * max(0, c.level-1) / max(use, 1e-9)
+	if c.unflushed == 0 {
+		wait = max(wait, readIntervalUnits/c.plan.Rate) // it adds nothing, so no other gateway waits for it
 	}
-	wait = min(slowFlush, wait*(1+g.set.Counter.Price/pricedCall))
-	if c.first && c.part < c.plan.Burst/2 || g.ending && c.delta != 0 {
+	wait = min(maxFlushDelay, wait*(1+g.settings.Counter.Price/doublingCallPrice))
+	if c.neverViewed && c.splitLevel < c.plan.Burst/2 || g.shuttingDown && c.unflushed != 0 {
 		wait = 0
 	}
-	due := c.seen + wait
-	if c.first || g.ending {
+	due := c.viewedAt + wait
+	if c.neverViewed || g.shuttingDown {
 		due = g.now + wait
 	}
 	if !c.queued {
-		c.queued, c.due = true, due
-		g.waiting = append(g.waiting, c)
+		c.queued, c.callDueAt = true, due
+		g.callQueue = append(g.callQueue, c)
 	}
-	c.due = min(c.due, due)
+	c.callDueAt = min(c.callDueAt, due)
 }
 
-func (g *Gateway) call() {
-	g.callPurse = min(max(callsSaved, g.callRate*callBurst), g.callPurse+g.callRate*(g.now-g.callAt))
-	if g.callAt = g.now; len(g.waiting) == 0 {
+// makeDueCalls makes the queued counter calls that are due, as far as the rate limit on calls permits.
+func (g *Gateway) makeDueCalls() {
+	g.callTokens = min(max(minCallBurst, g.callRate*callBurstTime),
+		g.callTokens+g.callRate*(g.now-g.tokensRefilledAt))
+	if g.tokensRefilledAt = g.now; len(g.callQueue) == 0 {
 		return
 	}
 	ready, next := 0.0, math.Inf(1)
-	for _, c := range g.waiting {
+	for _, c := range g.callQueue {
 		switch {
-		case c.calling:
-		case c.due > g.now:
-			next = min(next, c.due)
-		case g.affords(c):
+		case c.callInFlight:
+		case c.callDueAt > g.now:
+			next = min(next, c.callDueAt)
+		case g.mayCall(c):
 			ready++
 		default:
 			next = min(next, g.now+1/g.callRate)
 		}
 	}
-	if ready > g.callPurse {
+	if ready > g.callTokens {
 		next = g.now + 1/g.callRate
 	}
-	g.wake(next)
-	if ready == 0 || g.callPurse < 1 {
+	g.wakeBy(next)
+	if ready == 0 || g.callTokens < 1 {
 		return
 	}
-	if ready > g.callPurse {
-		// More calls are due than may be made: customers seen once wait behind those asked for again soon.
-		urgent := func(c *customer) Seconds { return c.due + min(waitMost, 1/(g.share(c)*g.demand(c, 0))) }
-		slices.SortStableFunc(g.waiting, func(a, b *customer) int { return cmp.Compare(urgent(a), urgent(b)) })
+	if ready > g.callTokens {
+		// More calls are due than the limit permits: customers whose next request is expected soon go first,
+		// before those seen only once.
+		urgency := func(c *customer) Seconds {
+			return c.callDueAt + min(maxCallDeferral, 1/(g.share(c)*g.demand(c, 0)))
+		}
+		slices.SortStableFunc(g.callQueue, func(a, b *customer) int { return cmp.Compare(urgency(a), urgency(b)) })
 	}
-	kept := g.waiting[:0]
-	for _, c := range g.waiting {
+	kept := g.callQueue[:0]
+	for _, c := range g.callQueue {
 		switch {
-		case c.gone:
+		case c.evicted:
 			c.queued = false
-		case c.calling || c.due > g.now || !g.affords(c):
+		case c.callInFlight || c.callDueAt > g.now || !g.mayCall(c):
 			kept = append(kept, c)
 		default:
 			c.queued = false
-			g.callFor(c)
+			g.callCounter(c)
 		}
 	}
-	g.waiting = kept
+	g.callQueue = kept
 }
 
-// affords tells whether a call may be made for a customer for whom nobody waits. Tries that wait to be looked
-// up go before calls that only read, or they would be let in without a look.
-func (g *Gateway) affords(c *customer) bool {
-	return g.callPurse >= 1 && (c.delta != 0 || g.callPurse >= 1+lookCalls)
+// mayCall reports whether the rate limit permits a call for a customer of whom no request is held. Calls that
+// only read leave a reserve to requests that need a lookup, which would otherwise be admitted without one.
+func (g *Gateway) mayCall(c *customer) bool {
+	return g.callTokens >= 1 && (c.unflushed != 0 || g.callTokens >= 1+lookupReserve)
 }
 
-func (g *Gateway) callFor(c *customer) {
+// callCounter adds the customer's unflushed units to the count of its window, or only reads that count if
+// the window is over or a previous add is uncertain.
+func (g *Gateway) callCounter(c *customer) {
 	current := c.currentWindow(g.now)
-	if c.window < current && (c.first || c.window < current-1) && c.unsure == 0 {
-		c.window, c.mine, c.others = current, 0, 0 // nothing to close: too long ago
-		c.unknown = true
+	if c.window < current && (c.neverViewed || c.window < current-1) && c.uncertainUnits == 0 {
+		c.window, c.ownCounted, c.othersCounted = current, 0, 0 // too long ago: no use in closing it
+		c.levelUnknown = true
 	}
-	name, amount := windowName(c.id, c.plan.key(c.index), c.window), 0.0
-	if c.window == current && c.unsure == 0 {
-		amount = c.delta
-		c.delta = 0
+	name, amount := countName(c.id, c.plan.key(c.planIndex), c.window), 0.0
+	if c.window == current && c.uncertainUnits == 0 {
+		amount = c.unflushed
+		c.unflushed = 0
 	}
-	g.count(c, name, amount)
+	g.sendCount(c, name, amount)
 }
 
-// pace adapts the rate of calls: up while answers are quick, down while they are slow or missing. The
-// step follows the time since the last answer, so that calls turned away at once do not drive it.
-func (g *Gateway) pace(quick bool) {
-	spell := g.now - g.callTold
-	g.callTold = g.now
-	all := float64(g.set.Gateways)
-	if quick { // faster far below the first guess
-		step := min(1, callGrow*spell*max(1, max(callsOwn, callsFirst/all)/g.callRate))
-		g.callRate = min(callsMost*max(1/all, callsOwn/callsFirst), g.callRate*(1+step))
+// adaptCallRate raises the rate of calls while answers are quick, and lowers it while they are slow or
+// missing. The step is proportional to the time since the last answer, so that calls rejected at once do not
+// dominate it.
+func (g *Gateway) adaptCallRate(quick bool) {
+	sinceAnswer := g.now - g.counterAnsweredAt
+	g.counterAnsweredAt = g.now
+	gateways := float64(g.settings.Gateways)
+	if quick { // it grows faster far below the initial rate
+		step := min(1, callRateGrowth*sinceAnswer*
+			max(1, max(initialGatewayCallRate, initialFleetCallRate/gateways)/g.callRate))
+		g.callRate = min(maxFleetCallRate*max(1/gateways, initialGatewayCallRate/initialFleetCallRate),
+			g.callRate*(1+step))
 	} else {
-		g.callRate = max(callsLeast/all, g.callRate*math.Exp(-callShrink*min(callSpell, spell)))
+		g.callRate = max(minFleetCallRate/gateways,
+			g.callRate*math.Exp(-callRateDecay*min(maxDecayStep, sinceAnswer)))
 	}
 }
 
-func (g *Gateway) counted(e Counted) {
-	c := g.answeredCall(e.Name)
+// handleCounted processes the answer to a counter call. The requests held for it are decided at the end.
+func (g *Gateway) handleCounted(e Counted) {
+	c := g.takeAnsweredCall(e.Name)
 	if c == nil {
 		return
 	}
-	amount, previous := c.flying, c.previous
-	c.flying, c.calling, c.previous = 0, false, false
-	defer g.looked(c)
-	if c.moved { // the total is that of a plan that the customer has left
-		c.moved = false
-		g.want(c)
+	amount, readsPrevious := c.unitsInFlight, c.readsPrevious
+	c.unitsInFlight, c.callInFlight, c.readsPrevious = 0, false, false
+	defer g.releaseHeld(c)
+	if c.planChanged { // the total belongs to the customer's previous plan
+		c.planChanged = false
+		g.scheduleCall(c)
 		return
 	}
 	if e.Status != OK {
-		if g.misses++; g.misses == 1 {
-			g.quiet = g.now
+		if g.missedCalls++; g.missedCalls == 1 {
+			g.firstMissAt = g.now
 		}
-		g.wake(g.now + peerAfter)
-		g.pace(false)
+		g.wakeBy(g.now + peerFallbackDelay)
+		g.adaptCallRate(false)
 		if e.Status == Timeout {
-			// The add may have been made. It is kept apart until a read tells.
-			c.unsure += amount
+			// The units may have been added. They are kept apart until a read shows it.
+			c.uncertainUnits += amount
 		} else {
-			c.delta += amount
+			c.unflushed += amount
 		}
-		g.want(c)
-		c.due = max(c.due, g.now+g.set.Counter.Timeout*(1+g.rng.Float64()))
+		g.scheduleCall(c)
+		c.callDueAt = max(c.callDueAt, g.now+g.settings.Counter.Timeout*(1+g.rng.Float64()))
 		return
 	}
-	g.misses = 0
-	clear(g.hearsay)
-	g.pace(e.Elapsed <= slowCall*g.set.Counter.Timeout)
-	c.fill(g.now, rateMemory)
-	if previous {
-		c.restore(g.now, e.Total)
+	g.missedCalls = 0
+	clear(g.unclaimedPeerUnits)
+	g.adaptCallRate(e.Elapsed <= slowCallShare*g.settings.Counter.Timeout)
+	c.refill(g.now, rateTimeConstant)
+	if readsPrevious {
+		c.restoreLevel(g.now, e.Total)
 		return
 	}
-	g.view(c, e.Total, amount)
+	g.applyTotal(c, e.Total, amount)
 	if current := c.currentWindow(g.now); c.window < current {
-		c.window, c.mine, c.others = current, 0, 0 // what is left is carried over in level
-		if len(c.held) > 0 {                       // the window that is over tells nothing of the present one
-			g.callFor(c)
+		c.window, c.ownCounted, c.othersCounted = current, 0, 0 // level carries over what is left
+		// The total of a past window does not answer for the present one.
+		if len(c.heldRequests) > 0 {
+			g.callCounter(c)
 			return
 		}
 	}
-	if c.delta > 0 {
-		g.want(c)
+	if c.unflushed > 0 {
+		g.scheduleCall(c)
 	}
-	if c.unsettled(g.now) {
-		g.countPrevious(c)
+	if c.needsPreviousTotal(g.now) {
+		g.readPreviousWindow(c)
 	}
 }
 
-func (g *Gateway) view(c *customer, total, added float64) {
-	if c.unsure > 0 {
-		if total-c.mine-c.others >= c.unsure-1e-6 {
-			c.mine += c.unsure
+// applyTotal updates the estimates of a customer from a total, which includes added units of this gateway's
+// call.
+func (g *Gateway) applyTotal(c *customer, total, added float64) {
+	if c.uncertainUnits > 0 {
+		if total-c.ownCounted-c.othersCounted >= c.uncertainUnits-1e-6 {
+			c.ownCounted += c.uncertainUnits
 		} else {
-			c.delta += c.unsure
+			c.unflushed += c.uncertainUnits
 		}
-		c.unsure = 0
-	}
-	c.mine += added
-	if total < c.mine-1e-4*max(1, c.mine) {
-		// The counter was emptied. Add the own units again; the most seen of others stays known.
-		c.delta += c.mine - added
-		c.mine = added
-	}
-	others := total - c.mine
-	news := max(0, others-c.others-c.told)
-	c.told, c.said = 0, 0
-	c.others = max(c.others, others)
-	age := c.age(g.now)
-	// A total tells of its window only; before that others are taken to have drawn at their rate.
-	span := max(blind, min(age, g.now-float64(c.window)*c.plan.window(shortWindow)))
-	k := math.Exp(-span / rateMemory)
-	c.othersRate = c.othersRate*k + news/span*(1-k)
-	if before := min(age-span, c.plan.refill()); before > 0 && c.plan.Rate > 0 {
-		c.level = max(0, c.level-before*max(0, c.othersRate-c.plan.Rate))
-	}
-	c.first = false
-	// Own units without news of others would look like the whole: shares move only with a total.
-	k = math.Exp(-age / shareMemory)
-	c.ownShare = c.ownShare*k + c.since
-	c.allShare = c.allShare*k + c.since + news
-	c.level -= news
-	// Tries beyond the quota take nothing from the judge's store.
+		c.uncertainUnits = 0
+	}
+	c.ownCounted += added
+	if total < c.ownCounted-1e-4*max(1, c.ownCounted) {
+		// The counter lost its data. Add the own units again; the highest count of others' units is kept.
+		c.unflushed += c.ownCounted - added
+		c.ownCounted = added
+	}
+	others := total - c.ownCounted
+	newUnits := max(0, others-c.othersCounted-c.unitsFromPeers)
+	c.unitsFromPeers, c.unitsToldPeers = 0, 0
+	c.othersCounted = max(c.othersCounted, others)
+	age := c.viewAge(g.now)
+	// A total covers its window only; before that, others are assumed to have drawn at their rate.
+	span := max(counterLag, min(age, g.now-float64(c.window)*c.plan.windowLength(minWindow)))
+	decay := math.Exp(-span / rateTimeConstant)
+	c.othersRate = c.othersRate*decay + newUnits/span*(1-decay)
+	if unseenTime := min(age-span, c.plan.refillTime()); unseenTime > 0 && c.plan.Rate > 0 {
+		c.level = max(0, c.level-unseenTime*max(0, c.othersRate-c.plan.Rate))
+	}
+	c.neverViewed = false
+	// Shares change only with a total: without others' units, the own ones would seem to be all there are.
+	decay = math.Exp(-age / shareTimeConstant)
+	c.ownRecentUnits = c.ownRecentUnits*decay + c.unitsSinceView
+	c.allRecentUnits = c.allRecentUnits*decay + c.unitsSinceView + newUnits
+	c.level -= newUnits
+	// Requests beyond the quota draw nothing from the bucket that the quota is judged by.
 	for c.level < 0 {
 		c.level += max(1, -c.level)
 	}
-	c.part = c.level - c.delta*(1/g.share(c)-1)
-	c.since = 0
-	c.seen = g.now
+	c.splitLevel = c.level - c.unflushed*(1/g.share(c)-1)
+	c.unitsSinceView = 0
+	c.viewedAt = g.now
 }
 
-// tell sends units not surely added to the customer's other gateways while the counter is silent,
-// in no more messages than each receiver takes in.
-func (g *Gateway) tell() {
-	var told []use
-	for _, c := range g.order {
-		if open := c.delta + c.flying + c.unsure - c.said; open > 0 {
-			told = append(told, use{c.id, open, c.door, int(c.spread)})
-			c.said += open
+// tellPeers sends the units that may not have been added to the customers' other gateways while the counter
+// does not answer. The interval grows with the messages sent, to keep within what a receiver takes in.
+func (g *Gateway) tellPeers() {
+	var uses []peerUse
+	for _, c := range g.customersByArrival {
+		if untold := c.unflushed + c.unitsInFlight + c.uncertainUnits - c.unitsToldPeers; untold > 0 {
+			uses = append(uses, peerUse{c.id, untold, c.firstGateway, int(c.gatewayCount)})
+			c.unitsToldPeers += untold
 		}
 	}
 	sent := 0
-	for peer, uses := range addressed(told, g.set.Gateways, g.set.Ordinal, peerMost) {
-		if len(uses) > 0 {
+	for peer, entries := range groupByGateway(uses, g.settings.Gateways, g.settings.Ordinal, maxPeerEntries) {
+		if len(entries) > 0 {
 			sent++
-			g.do(Tell{Peer: peer, Data: encodeUse(uses)})
+			g.emit(MessagePeer{Peer: peer, Data: encodeUse(entries)})
 		}
 	}
-	g.peerTold, g.peerGap = g.now, max(peerPause, float64(sent)/(peerIntake*max(1, g.set.Limits.PeerIntake)))
+	g.peersToldAt, g.peerInterval = g.now, max(minPeerInterval,
+		float64(sent)/(peerIntakeShare*max(1, g.settings.Limits.PeerIntake)))
 }
 
 // ---- 3. Requests ----
 
-func (g *Gateway) request(e Request) {
-	if g.requests[e.ID] != e.held {
+// handleRequest decides about a new request, or again about one that was held for a counter call.
+func (g *Gateway) handleRequest(e Request) {
+	if g.requests[e.ID] != e.heldRequest {
 		return
 	}
-	if e.Class < 0 || e.Class >= len(g.set.Classes) || e.Plan < 0 || e.Plan >= len(g.set.Plans) {
-		g.do(Refuse{ID: e.ID})
+	if e.Class < 0 || e.Class >= len(g.settings.Classes) || e.Plan < 0 || e.Plan >= len(g.settings.Plans) {
+		g.emit(Refuse{ID: e.ID})
 		return
 	}
 	units := max(e.Units, 1e-9)
-	c := g.customer(e)
-	c.fill(g.now, rateMemory)
-	c.lastAsk = g.now
-	if e.held == nil {
-		c.askRate += units / rateMemory
-		g.purse = min(retryPurse, g.purse+retryEarn)
-		g.meanUnits += (units - g.meanUnits) * learnFleet
-	}
-	gain := g.allows(c, e.Class, units)
-	if gain > 0 && e.held == nil && g.look(c, e, units) {
+	c := g.customerOf(e)
+	c.refill(g.now, rateTimeConstant)
+	c.lastRequestAt = g.now
+	if e.heldRequest == nil {
+		c.ownDemandRate += units / rateTimeConstant
+		g.retryBudget = min(retryBudgetMax, g.retryBudget+retryBudgetRatio)
+		g.meanUnits += (units - g.meanUnits) * poolSampleWeight
+	}
+	gain := g.admissionValue(c, e.Class, units)
+	if gain > 0 && e.heldRequest == nil && g.holdForLookup(c, e, units) {
 		return
 	}
 	if gain <= 0 {
-		g.do(Refuse{ID: e.ID, RetryAfter: g.hint((units - c.level) / max(c.plan.Rate, 1e-9)), Over: true})
-		g.want(c)
+		g.emit(Refuse{ID: e.ID, RetryAfter: g.retryAfter((units - c.level) / max(c.plan.Rate, 1e-9)), Over: true})
+		g.scheduleCall(c)
 		return
 	}
-	if e.Ask { // whoever asks sends it on: its units count from now
-		g.take(c, units)
-		g.do(Admit{ID: e.ID})
+	if e.VerdictOnly { // the caller forwards the request itself: its units count from now
+		g.chargeUnits(c, units)
+		g.emit(Admit{ID: e.ID})
 		return
 	}
 	r := &request{id: e.ID, class: e.Class, customer: c, units: units, deadline: g.now + e.TimeLeft}
-	s := g.place(r, e.Reach, gain)
+	s := g.selectServer(r, e.Reach, gain)
 	if s == nil {
-		g.do(Refuse{ID: e.ID, RetryAfter: g.hint(0)})
+		g.emit(Refuse{ID: e.ID, RetryAfter: g.retryAfter(0)})
 		return
 	}
-	if g.requests[r.id] = r; e.Arriving {
-		r.arriving, r.wait, r.deadline = true, e.TimeLeft, math.Inf(1)
+	if g.requests[r.id] = r; e.BodyIncoming {
+		r.bodyIncoming, r.timeLeft, r.deadline = true, e.TimeLeft, math.Inf(1)
 	}
-	g.take(c, units)
+	g.chargeUnits(c, units)
 	g.send(r, s)
 }
 
-// look holds a try that an old view lets in until the counter has answered: of many gateways each
-// sees little of a customer. A counter in trouble is not waited for.
-func (g *Gateway) look(c *customer, e Request, units float64) bool {
-	counts := g.set.Counter.Allowed && c.plan.Rate > 0 && g.misses == 0 && (c.calling || g.callPurse >= 1)
-	known := c.age(g.now) < lookAfter || c.part*g.share(c) >= units
-	if !counts || known || g.customers[c.id] != c || e.TimeLeft < lookTime*g.set.Counter.Timeout {
+// holdForLookup holds a request that is admitted by an old view only until the counter has answered, and
+// reports whether it did: of many gateways, each sees little of a customer. It does not wait for a counter
+// with missed calls.
+func (g *Gateway) holdForLookup(c *customer, e Request, units float64) bool {
+	canCall := g.settings.Counter.Allowed && c.plan.Rate > 0 && g.missedCalls == 0 &&
+		(c.callInFlight || g.callTokens >= 1)
+	known := c.viewAge(g.now) < lookupViewAge || c.splitLevel*g.share(c) >= units
+	if !canCall || known || g.customers[c.id] != c || e.TimeLeft < minHoldTimeouts*g.settings.Counter.Timeout {
 		return false
 	}
-	if g.hold(c, e); !c.calling {
-		g.callFor(c)
+	if g.holdRequest(c, e); !c.callInFlight {
+		g.callCounter(c)
 	}
 	return true
 }
 
-// take books the units of a try that is let in.
-func (g *Gateway) take(c *customer, units float64) {
-	c.ceiling -= units
-	c.ownRate += units / rateMemory
-	g.settle(c, units)
-	g.want(c)
+// chargeUnits charges a customer for an admitted request.
+func (g *Gateway) chargeUnits(c *customer, units float64) {
+	c.ceilingLevel -= units
+	c.ownRate += units / rateTimeConstant
+	g.drawUnits(c, units)
+	g.scheduleCall(c)
 }
 
-// place finds a server within reach: at the first site or, where that has none or sheds it, at the second.
-// A retry (gain 0) is not shed, nor what has room by the measure of sites; shed learns from it all the same.
-func (g *Gateway) place(r *request, reach Reach, gain float64) *server {
+// selectServer returns a server at the first site within reach or, if there is none or the request is shed
+// there, at the second; nil if there is none. A retry (gain 0) is not shed, nor a request for which package
+// sites reports room at the first site; shed still updates its estimates from the latter.
+func (g *Gateway) selectServer(r *request, reach Reach, gain float64) *server {
 	for i, site := range [...]int{reach.First, reach.Then} {
-		last := i > 0 || reach.Then == reach.First
-		s := g.choose(r, g.pool(site), last)
+		lastSite := i > 0 || reach.Then == reach.First
+		s := g.chooseServer(r, g.poolOf(site), lastSite)
 		if s != nil && (gain <= 0 || !reach.Full && (!g.shed(r, gain, s.pool) || i == 0 && reach.Room)) {
 			return s
 		}
-		if last {
+		if lastSite {
 			break
 		}
 	}
 	return nil
 }
 
+// shed reports whether a request is refused because of overload, and updates the pool's estimates of it. The
+// less a request is worth compared with others, the more likely it is shed.
 func (g *Gateway) shed(r *request, gain float64, p *pool) bool {
-	class := &g.set.Classes[r.class]
-	// Danger: little time left. What is likely answered too late is worth less.
+	class := &g.settings.Classes[r.class]
+	// With little time left, the answer is likely too late, and the request is worth less.
 	cs := &p.classes[r.class]
-	hope := 1 - math.Exp2(-min(class.Aim, r.deadline-g.now)/cs.typical)
-	if hope < hopeLeast { // Danger: where all are refused for it no answer would ever lower it again.
-		cs.typical -= cs.typical * hopeFades
-	}
-	worth := hope * gain * class.Worth * r.customer.plan.Worth * r.units / max(cs.work, 1e-4)
-	rarer := p.weigh(worth)
-	// Danger: a large fleet. With one attempt out, own slots show no crowd; late answers of any server do.
-	p.crowd *= math.Exp(-(g.now - p.crowdAt) / crowdFades)
-	p.crowdAt = g.now
-	// Danger: lost answers. What is out long while answers are quick is no work.
-	few, oldest, work := slotsFirst < p.gates, math.Inf(1), 1.0
-	if few && p.lossy() {
-		oldest, work = lostAfter, p.inTime
-	}
-	slots, taken, servers := p.occupancy(g.now, oldest)
-	slots, taken = slots+slotsFloor, taken*work
-	if few { // of a server met seldom nothing is known: as of all. Danger: chance, where few are out
-		k := math.Exp(-(g.now - p.takenAt) / slotsMemory)
-		p.taken, p.takenAt = p.taken*k+taken*(1-k), g.now
-		slots, taken = slotsFloor+p.slots*servers, p.taken
-	}
-	p.inUse = taken >= slots*busyShare
-	p.press = p.crowd + max(0, taken-slots*busyShare)/(slots*(1-busyShare))
-	if hope < hopeLeast || p.press <= 0 || g.rng.Float64() <= math.Exp(-p.press*rarer*rarer) {
-		return hope < hopeLeast
-	}
-	// A gateway that refuses all it gets would not see the overload end: now and then one is let in.
-	p.refused++
-	return p.refused < probeAfter || g.now-p.sentAt < probePause
+	inTimeChance := 1 - math.Exp2(-min(class.Aim, r.deadline-g.now)/cs.typicalTime)
+	if inTimeChance < minInTimeChance { // it decays: if all are refused, no answer would lower it again
+		cs.typicalTime -= cs.typicalTime * typicalTimeDecay
+	}
+	worth := inTimeChance * gain * class.Worth * r.customer.plan.Worth * r.units / max(cs.workTime, 1e-4)
+	meanRatio := p.recordWorth(worth)
+	// In a large fleet, a gateway with one attempt in flight can't see overload in its own limits; late
+	// answers of any server show it.
+	p.fleetOverload *= math.Exp(-(g.now - p.overloadDecayedAt) / overloadTimeConstant)
+	p.overloadDecayedAt = g.now
+	// If answers get lost, attempts in flight for long while others are answered quickly keep no server busy.
+	sparse, maxAge, workShare := initialServerLimit < p.gateways, math.Inf(1), 1.0
+	if sparse && p.lossy() {
+		maxAge, workShare = lostAfterTypicals, p.inTimeShare
+	}
+	limit, inFlight, servers := p.occupancy(g.now, maxAge)
+	limit, inFlight = limit+minLimit, inFlight*workShare
+	// A gateway that seldom sends to a server knows nothing about it, so one limit is pooled over all. With
+	// few attempts in flight their number is mostly chance, and is averaged.
+	if sparse {
+		decay := math.Exp(-(g.now - p.meanInFlightAt) / inFlightTimeConstant)
+		p.meanInFlight, p.meanInFlightAt = p.meanInFlight*decay+inFlight*(1-decay), g.now
+		limit, inFlight = minLimit+p.pooledLimit*servers, p.meanInFlight
+	}
+	p.nearLimit = inFlight >= limit*busyLimitShare
+	p.overload = p.fleetOverload + max(0, inFlight-limit*busyLimitShare)/(limit*(1-busyLimitShare))
+	if inTimeChance < minInTimeChance || p.overload <= 0 ||
+		g.rng.Float64() <= math.Exp(-p.overload*meanRatio*meanRatio) {
+		return inTimeChance < minInTimeChance
+	}
+	// A gateway that sheds every request would not see the overload end: from time to time one is admitted.
+	p.shedSinceAttempt++
+	return p.shedSinceAttempt < shedProbeCount || g.now-p.lastAttemptAt < shedProbeInterval
 }
 
-// overdue takes an attempt that is out too long as a sign of overload, whatever becomes of it: overloaded
-// servers may work only on what nobody waits for, and then no answer ever tells of it.
-func (g *Gateway) overdue() {
+// checkOverdue takes each attempt that is in flight for too long as a sign of overload, however it ends:
+// overloaded servers may be busy only with requests whose clients have given up, and then no answer ever
+// shows it.
+func (g *Gateway) checkOverdue() {
 	for _, p := range g.pools {
 		for i := range p.classes {
-			cs, limit := &p.classes[i], lateShare*g.set.Classes[i].Aim
-			for len(cs.open) > 0 && (cs.open[0].ended || g.now-cs.open[0].sent > limit) {
-				a := cs.open[0]
-				cs.open = cs.open[1:]
+			cs, limit := &p.classes[i], lateAimShare*g.settings.Classes[i].Aim
+			for len(cs.undecided) > 0 && (cs.undecided[0].ended || g.now-cs.undecided[0].sentAt > limit) {
+				a := cs.undecided[0]
+				cs.undecided = cs.undecided[1:]
 				if a.ended || !g.representative(a.server) {
 					continue
 				}
-				if p.inTime -= p.inTime * learn; !p.lossy() {
-					p.slots = max(slotsLeast*slotsPooled/p.gates, p.slots*cutTo)
-					g.feel(p, true)
+				if p.inTimeShare -= p.inTimeShare * sampleWeight; !p.lossy() {
+					p.pooledLimit = max(minPooledLimitShare*initialPooledLimit/p.gateways, p.pooledLimit*limitCutFactor)
+					g.updateOverload(p, true)
 				}
 			}
 		}
 	}
 }
 
-// lossy tells that silence is loss. Danger: lost answers are no crowd: most come, and quickly.
-func (p *pool) lossy() bool { return p.lateOK <= lateFew && p.inTime >= inTimeFew }
+// lossy reports whether missing answers are lost rather than delayed by overload: then most answers do come,
+// and quickly.
+func (p *pool) lossy() bool {
+	return p.lateShare <= lossyMaxLateShare && p.inTimeShare >= lossyMinInTimeShare
+}
 
-func (g *Gateway) feel(p *pool, late bool) {
-	spell := min(crowdSpell, g.now-p.felt)
-	p.felt = g.now
-	// A high one must come down as fast as it rose. Danger: lasting overload; it would let a third be late.
-	clean := max(0, 1-(1-p.inTime)*(1+crowdUp/crowdDown))
-	step := -crowdDown * (1 + clean*p.crowd*p.crowd)
+// updateOverload raises or lowers the fleet's overload after an answer that was late or in time.
+func (g *Gateway) updateOverload(p *pool, late bool) {
+	sinceUpdate := min(maxOverloadStep, g.now-p.overloadUpdatedAt)
+	p.overloadUpdatedAt = g.now
+	// A high overload must fall as fast as it rose, but only while nearly all answers are in time: in a
+	// lasting overload, the faster fall would let a third of the answers be late.
+	calmWeight := max(0, 1-(1-p.inTimeShare)*(1+overloadRise/overloadFall))
+	step := -overloadFall * (1 + calmWeight*p.fleetOverload*p.fleetOverload)
 	if late {
-		step = crowdUp
+		step = overloadRise
 	}
-	p.crowd = max(0, min(crowdMost, p.crowd+step*spell))
+	p.fleetOverload = max(0, min(maxFleetOverload, p.fleetOverload+step*sinceUpdate))
 }
 
+// send starts an attempt of a request at a server.
 func (g *Gateway) send(r *request, s *server) {
-	class, p := &g.set.Classes[r.class], s.pool
+	class, p := &g.settings.Classes[r.class], s.pool
 	timeout := 0.0
-	// Danger: while servers are pressed, a second attempt doubles the work of the first.
-	again := class.Repeat != Unsafe && !class.Stream && len(r.attempts)+1 < g.set.Limits.MaxAttempts
-	if p.press < crowdFew && again && !r.arriving {
-		timeout = max(tryAim*class.Aim, tryTypical*p.classes[r.class].typical)
-		if g.now+timeout > r.deadline-p.classes[r.class].typical {
+	// Under overload there is no early time-out: a second attempt would double the work of the first.
+	mayRepeat := class.Repeat != Unsafe && !class.Stream && len(r.attempts)+1 < g.settings.Limits.MaxAttempts
+	if p.overload < maxRetryOverload && mayRepeat && !r.bodyIncoming {
+		timeout = max(attemptTimeoutAimShare*class.Aim, minAttemptTimeoutTypicals*p.classes[r.class].typicalTime)
+		if g.now+timeout > r.deadline-p.classes[r.class].typicalTime {
 			timeout = 0
 		}
 	}
-	a := r.begin(s, g.now)
-	if !r.arriving {
-		g.depart(r, a)
+	a := r.startAttempt(s, g.now)
+	if !r.bodyIncoming {
+		g.bookAtServer(r, a)
 	}
-	p.sendRate = p.sendRate*math.Exp(-(g.now-p.sentAt)/rateMemory) + 1/rateMemory
-	p.sentAt, p.refused = g.now, 0
-	g.do(Send{ID: r.id, Server: s.id, Timeout: timeout})
-	g.awaitCopy(r)
+	p.attemptRate = p.attemptRate*math.Exp(-(g.now-p.lastAttemptAt)/rateTimeConstant) + 1/rateTimeConstant
+	p.lastAttemptAt, p.shedSinceAttempt = g.now, 0
+	g.emit(Send{ID: r.id, Server: s.id, Timeout: timeout})
+	g.scheduleHedge(r)
 }
 
-// depart books an attempt that a server is about to have whole. Danger: slow bodies. Booked from their
-// first byte they would look like work out too long.
-func (g *Gateway) depart(r *request, a *attempt) {
+// bookAtServer counts an attempt as work of its server from now on, when the server is about to have the
+// whole request. Counted from the first byte, a slow upload would look like overdue work.
+func (g *Gateway) bookAtServer(r *request, a *attempt) {
 	cs := &a.server.pool.classes[r.class]
-	a.sent, a.whole, cs.open = g.now, true, append(cs.open, a)
-	a.server.sent(sentAt{r.id, g.now, cs.typical})
+	a.sentAt, a.bodySent, cs.undecided = g.now, true, append(cs.undecided, a)
+	a.server.addAttempt(openAttempt{r.id, g.now, cs.typicalTime})
 }
 
-func (g *Gateway) outcome(e Outcome) {
+// handleOutcome processes the end of an attempt, and retries or finishes the request.
+func (g *Gateway) handleOutcome(e Outcome) {
 	r := g.requests[e.ID]
-	a := r.end(e.Attempt)
+	a := r.endAttempt(e.Attempt)
 	if a == nil {
 		return
 	}
-	g.judge(r, a, e)
-	g.timeCopies(r, a, e.Status)
-	if e.Status == OK && e.Units > 0 && g.set.Counter.Settles {
-		r.customer.fill(g.now, rateMemory)
-		g.settle(r.customer, e.Units-r.units)
-		g.want(r.customer)
+	g.recordOutcome(r, a, e)
+	g.recordHedgeTimes(r, a, e.Status)
+	if e.Status == OK && e.Units > 0 && g.settings.Counter.Settles {
+		r.customer.refill(g.now, rateTimeConstant)
+		g.drawUnits(r.customer, e.Units-r.units)
+		g.scheduleCall(r.customer)
 		r.units = e.Units
 	}
 	if r.closed || e.Closed {
 		g.finish(r)
 		return
 	}
-	if e.Status != Full && e.Status != ConnectFailed && e.Status != Moot && !r.mayRan {
-		r.mayRan, r.ranFirst, r.ranAt = true, a.sent, a.server
+	if e.Status != Full && e.Status != ConnectFailed && e.Status != NotSent && !r.mayHaveRun {
+		r.mayHaveRun, r.firstRunSentAt, r.firstRunServer = true, a.sentAt, a.server
 	}
-	if r.out > 0 {
+	if r.inFlight > 0 {
 		return
 	}
 	var s *server
 	if g.mayRetry(r, a.server.pool, e.Status) {
-		s = g.place(r, e.Reach, 0)
+		s = g.selectServer(r, e.Reach, 0)
 	}
 	if s == nil {
-		g.end(r)
+		g.giveUp(r)
 		return
 	}
-	if r.mayRan {
-		g.purse--
+	if r.mayHaveRun {
+		g.retryBudget--
 	}
 	g.send(r, s)
 }
 
-func (g *Gateway) mayRetry(r *request, p *pool, last Status) bool {
-	class := &g.set.Classes[r.class]
+// mayRetry reports whether another attempt of the request may follow one that ended with lastStatus.
+func (g *Gateway) mayRetry(r *request, p *pool, lastStatus Status) bool {
+	class := &g.settings.Classes[r.class]
 	switch {
-	case len(r.attempts) >= g.set.Limits.MaxAttempts, last == Moot, r.streaming,
-		g.now+p.classes[r.class].work > r.deadline:
+	case len(r.attempts) >= g.settings.Limits.MaxAttempts, lastStatus == NotSent, r.streaming,
+		g.now+p.classes[r.class].workTime > r.deadline:
 		return false
-	case !r.mayRan:
-		return last != Full || p.press < crowdFew // turned away in a crowd: no storm
-	case g.purse < 1, class.Repeat == Unsafe:
+	case !r.mayHaveRun:
+		return lastStatus != Full || p.overload < maxRetryOverload // no retry storm under overload
+	case g.retryBudget < 1, class.Repeat == Unsafe:
 		return false
 	}
-	return class.Repeat == Safe || g.now < r.ranFirst+class.Window
+	return class.Repeat == Safe || g.now < r.firstRunSentAt+class.Window
 }
 
-func (g *Gateway) end(r *request) {
-	class := &g.set.Classes[r.class]
-	if !r.mayRan || class.Repeat == Safe || (class.Repeat == Keyed && class.Group == GroupAll) {
-		g.do(Refuse{ID: r.id, RetryAfter: g.hint(0)})
+// giveUp answers a request that gets no further attempt: Refuse if it had no effect or may be repeated, else
+// Fail.
+func (g *Gateway) giveUp(r *request) {
+	class := &g.settings.Classes[r.class]
+	if !r.mayHaveRun || class.Repeat == Safe || (class.Repeat == Keyed && class.Group == GroupAll) {
+		g.emit(Refuse{ID: r.id, RetryAfter: g.retryAfter(0)})
 	} else {
-		g.do(Fail{ID: r.id})
+		g.emit(Fail{ID: r.id})
 	}
 	g.finish(r)
 }
 
-// finish closes a request that has its answer or whose client has left, and calls off what is out.
+// finish closes a request that has its answer or whose client has left, and cancels its attempts in flight.
 func (g *Gateway) finish(r *request) {
 	r.closed = true
-	g.hedges.Ended(r.id, r.class)
-	if r.out == 0 {
+	g.hedger.Ended(r.id, r.class)
+	if r.inFlight == 0 {
 		delete(g.requests, r.id)
 		return
 	}
 	for i, a := range r.attempts {
-		if !a.ended && g.set.Limits.Cancel {
-			g.do(Cancel{ID: r.id, Attempt: i})
+		if !a.ended && g.settings.Limits.Cancel {
+			g.emit(Cancel{ID: r.id, Attempt: i})
 		}
 	}
 }
 
 // ---- 4. Servers ----
 
-func (g *Gateway) members(e Members) {
+// handleMembers applies a server list, or changes to it.
+func (g *Gateway) handleMembers(e Members) {
 	if e.Kind == Failed {
-		g.nextAsk = g.now + 1 + g.rng.Float64()
-		g.wake(g.nextAsk)
+		g.resubscribeAt = g.now + 1 + g.rng.Float64()
+		g.wakeBy(g.resubscribeAt)
 		return
 	}
-	if e.Kind == Cached && g.set.Subscribe {
-		g.do(Watch{On: true})
+	if e.Kind == Cached && g.settings.Subscribe {
+		g.emit(Watch{On: true})
 	}
-	if e.Kind != Delta { // what a whole list does not name is gone, and is not kept
+	if e.Kind != Delta { // a server that a full list does not name is removed
 		for _, s := range g.servers {
 			s.listed, s.member.State = false, Removed
 		}
 	}
 	for _, m := range e.Entries {
-		s, p := g.servers[m.Server], g.pool(m.Site)
-		if s != nil && s.pool != p { // it moved: what is out at it ends where it was begun
+		s, p := g.servers[m.Server], g.poolOf(m.Site)
+		if s != nil && s.pool != p { // it moved: its attempts in flight end in the old pool
 			s.listed, s.member.State = false, Removed
 			s = nil
 		}
 		if s == nil {
-			s = newServer(m.Server, p, max(1, slotsFirst/p.gates))
+			s = newServer(m.Server, p, max(1, initialServerLimit/p.gateways))
 			g.servers[m.Server] = s
-			p.list = append(p.list, s)
+			p.servers = append(p.servers, s)
 			if m.Since > 0 {
-				g.chill(s, m.Since)
+				g.markCold(s, m.Since)
 			}
 		} else if m.Since > s.member.Since {
-			g.chill(s, m.Since)
-			s.forgive()
+			g.markCold(s, m.Since)
+			s.clearFailures()
 		}
 		s.member = m
 		s.listed = m.State == Ready
 	}
 	for _, p := range g.pools {
 		g.forgetRemoved(p)
-		p.arrange(float64(g.set.Ordinal) / float64(g.set.Gateways))
+		p.orderServers(float64(g.settings.Ordinal) / float64(g.settings.Gateways))
 	}
 }
 
-func (g *Gateway) chill(s *server, since Seconds) {
-	if g.now-since < g.set.Guarantees.Ramp {
+// markCold starts the slow start of a server that was started at the given time, unless its ramp is over.
+func (g *Gateway) markCold(s *server, since Seconds) {
+	if g.now-since < g.settings.Guarantees.Ramp {
 		if !s.cold {
-			// Each gateway starts with another part of an attempt, so that they don't all send at once.
-			s.budget, s.budgeted = g.rng.Float64(), g.now
+			// Each gateway starts with a random part of an attempt, so that they don't all send at once.
+			s.coldBudget, s.budgetRefilledAt = g.rng.Float64(), g.now
 		}
-		s.cold, s.coldFrom = true, since
+		s.cold, s.coldSince = true, since
 	}
 }
 
-func (g *Gateway) refillBudget(s *server) (warm float64) {
+// refillColdBudget refills the budget of a cold server up to now, and returns its warm share (1 if it is
+// warm).
+func (g *Gateway) refillColdBudget(s *server) (warmShare float64) {
 	p := s.pool
-	warm = g.set.Guarantees.warmth(g.now - s.coldFrom)
-	if s.cold = s.cold && warm < 1; !s.cold {
+	warmShare = g.settings.Guarantees.warmShare(g.now - s.coldSince)
+	if s.cold = s.cold && warmShare < 1; !s.cold {
 		return 1
 	}
-	// A cold server gets its part of what a warm one gets, not of the mean: a release of most lowers that.
-	rate := p.sendRate * math.Exp(-(g.now-p.sentAt)/rateMemory) / max(1, p.parts)
-	if p.warm == 0 { // a part of what warm servers get would be nothing for ever
-		rate = max(rate, coldCores/p.guess/p.gates)
+	// A cold server gets a share of what a warm server gets, not of the mean, which is low while a release
+	// restarts most servers.
+	rate := p.attemptRate * math.Exp(-(g.now-p.lastAttemptAt)/rateTimeConstant) / max(1, p.effectiveServers)
+	if p.warmServers == 0 { // a share of what no warm server gets would stay 0
+		rate = max(rate, coldStartCores/p.initialWorkTime/p.gateways)
 	}
-	s.budget = min(coldBurst, s.budget+coldPart*warm*rate*(g.now-s.budgeted))
-	s.budgeted = g.now
-	return warm
+	s.coldBudget = min(coldBurstAttempts, s.coldBudget+coldLoadShare*warmShare*rate*(g.now-s.budgetRefilledAt))
+	s.budgetRefilledAt = g.now
+	return warmShare
 }
 
-// choose picks the cheapest of a few random servers: with all compared, gateways that share an old view would
-// all pick the same one. Only where none of the few takes the request are all looked at.
-func (g *Gateway) choose(r *request, p *pool, last bool) *server {
+// chooseServer returns the cheapest of a few random servers. If all were compared, gateways with similar
+// information would all choose the same one. Only if none of the few can take the request are all compared.
+// nil: there is none.
+func (g *Gateway) chooseServer(r *request, p *pool, lastSite bool) *server {
 	var best *server
-	bestCost, few := math.Inf(1), max(choicesLeast, choices*len(p.list)/int(p.gates))
-	passedOver := fullFor
-	look := func(s *server, picked bool) {
-		if cost := g.fitness(r, s, picked, passedOver); cost < bestCost {
+	bestCost, sampleSize := math.Inf(1), max(minChoices, choicesPerOwnServer*len(p.servers)/int(p.gateways))
+	rejectBackoff := classRejectBackoff
+	consider := func(s *server, sampled bool) {
+		if cost := g.eligibleCost(r, s, sampled, rejectBackoff); cost < bestCost {
 			best, bestCost = s, cost
 		}
 	}
-	// In a large fleet a gateway keeps to the first of its list: it meets each often enough to learn of it, and
-	// a server has few connections. All arrange their lists so that each server has as many.
-	reach := min(len(p.list), max(2*few, serverGates*len(p.list)/int(p.gates)))
-	for range few {
-		if 2*few < len(p.list) {
-			look(p.list[g.rng.IntN(reach)], true)
+	// In a large fleet, a gateway uses only the first servers of its list: it sends to each often enough to
+	// learn about it, and a server has few connections. The lists are ordered so that each server has equally
+	// many gateways.
+	reach := min(len(p.servers), max(2*sampleSize, gatewaysPerServer*len(p.servers)/int(p.gateways)))
+	for range sampleSize {
+		if 2*sampleSize < len(p.servers) {
+			consider(p.servers[g.rng.IntN(reach)], true)
 		}
 	}
 	if best != nil {
 		return best
 	}
-	usable := p.survey(&g.set.Guarantees, g.now, coldPart)
-	if p.turnsAway(r.class, g.now) { // no server would tell that there is room again
-		passedOver = fullForAll
+	usable := p.countCapacity(&g.settings.Guarantees, g.now, coldLoadShare)
+	if p.rejectsEverywhere(r.class, g.now) { // otherwise no server would show that it has room again
+		rejectBackoff = allRejectBackoff
 	}
-	for _, s := range p.list {
-		look(s, false)
+	for _, s := range p.servers {
+		consider(s, false)
 	}
-	if best != nil || usable > 0 || !last {
+	if best != nil || usable > 0 || !lastSite {
 		return best
 	}
-	for _, s := range p.list { // never all of them out: the least bad is tried
-		if cost := g.cost(r, s); s.listed && !s.cold && g.fits(r, s) && cost < bestCost {
+	for _, s := range p.servers { // never eject all servers: use the least bad one
+		if cost := g.cost(r, s); s.listed && !s.cold && g.mayServe(r, s) && cost < bestCost {
 			best, bestCost = s, cost
 		}
 	}
 	return best
 }
 
-// fitness is the cost of s for r, or infinite. Cold servers go by budget, or by chance where picked alike.
-func (g *Gateway) fitness(r *request, s *server, picked bool, passedOver Seconds) float64 {
-	if !s.usable(g.now) || !g.fits(r, s) || float64(s.lim.out) >= max(1, s.lim.limit) {
+// eligibleCost is the cost of s for r, or infinite if s must not get it. A cold server is limited by its
+// budget, or by chance where servers are sampled at random.
+func (g *Gateway) eligibleCost(r *request, s *server, sampled bool, rejectBackoff Seconds) float64 {
+	if !s.usable(g.now) || !g.mayServe(r, s) || float64(s.limiter.inFlight) >= max(1, s.limiter.limit) {
 		return math.Inf(1)
 	}
-	warm := g.refillBudget(s)
-	unsafe := g.set.Classes[r.class].Repeat == Unsafe
-	trial := s.trial && g.now < s.until+trialFor*s.outFor // later it is like any other
+	warmShare := g.refillColdBudget(s)
+	unsafe := g.settings.Classes[r.class].Repeat == Unsafe
+	// After the trial phase, the server is chosen like any other.
+	onTrial := s.onTrial && g.now < s.ejectedUntil+trialEjectionTimes*s.ejectionTime
 	switch {
-	case s.cold && !picked && s.budget < 1, s.cold && picked && g.rng.Float64() > coldPart*warm,
-		s.full[r.class] > 0 && g.now-s.full[r.class] < passedOver,
-		// Others try a server that is out, too: the more they are, the rarer the trials of each.
-		trial && (unsafe || g.rng.Float64()*s.pool.gates > trialShare):
+	case s.cold && !sampled && s.coldBudget < 1, s.cold && sampled && g.rng.Float64() > coldLoadShare*warmShare,
+		s.classRejectedAt[r.class] > 0 && g.now-s.classRejectedAt[r.class] < rejectBackoff,
+		// Other gateways try an ejected server, too: the more there are, the rarer the trials of each.
+		onTrial && (unsafe || g.rng.Float64()*s.pool.gateways > trialGateways):
 		return math.Inf(1)
 	}
-	if trial {
-		return 0 // somebody must find out
+	if onTrial {
+		return 0 // a trial has to find out whether the server has recovered
 	}
 	cost := g.cost(r, s)
-	if g.now-s.served[r.class] > fullFor {
-		cost *= 1 + provenBy*s.pool.classes[r.class].full
+	if g.now-s.classSuccessAt[r.class] > classRejectBackoff {
+		cost *= 1 + unprovenCostFactor*s.pool.classes[r.class].rejectShare
 	}
 	return cost
 }
 
+// cost is the relative cost of sending r to s: its slowness times its attempts, with penalties and a random
+// part.
 func (g *Gateway) cost(r *request, s *server) float64 {
-	slow := s.slow
-	if idle := g.now - s.heard; s.lim.out == 0 {
-		slow = 1 + (slow-1)*math.Exp(-idle/forgetSlow)
+	slowness := s.slowness
+	if idle := g.now - s.lastOutcomeAt; s.limiter.inFlight == 0 {
+		slowness = 1 + (slowness-1)*math.Exp(-idle/slownessTimeConstant)
 	}
-	cost := slow * (1 + float64(s.lim.out))
-	if len(s.sentAt) > 0 {
-		// Danger: a server that stands still tells nothing; its oldest attempt does.
-		cost += max(0, (g.now-s.sentAt[0].at)/s.sentAt[0].typical-2)
+	cost := slowness * (1 + float64(s.limiter.inFlight))
+	if len(s.openAttempts) > 0 {
+		// A server that hangs gives no answers to learn from; the age of its oldest attempt shows it.
+		cost += max(0, (g.now-s.openAttempts[0].sentAt)/s.openAttempts[0].typicalTime-2)
 	}
 	for i := range r.attempts {
 		if r.attempts[i].server == s {
-			cost *= 4 // elsewhere rather than where it just failed
+			cost *= 4 // prefer a server on which the request has not just failed
 		}
 	}
-	if s.member.Zone != g.set.Zone {
-		cost *= 1 + abroad
+	if s.member.Zone != g.settings.Zone {
+		cost *= 1 + crossZoneCost
 	}
-	return cost * (1 + jitter*g.rng.Float64())
+	return cost * (1 + costJitter*g.rng.Float64())
 }
 
-// fits tells whether r may go to s: a copy to no server that has it, a keyed one that may have run only
-// to those that drop its repeats.
-func (g *Gateway) fits(r *request, s *server) bool {
-	class := &g.set.Classes[r.class]
-	return !r.isOutAt(s) && (!r.mayRan || class.Repeat != Keyed || class.Group.holds(s, r.ranAt))
+// mayServe reports whether r may be sent to s: a hedge not to a server that has the request in flight, and a
+// keyed request that may have run only to servers that drop its repeats.
+func (g *Gateway) mayServe(r *request, s *server) bool {
+	class := &g.settings.Classes[r.class]
+	return !r.isInFlightAt(s) &&
+		(!r.mayHaveRun || class.Repeat != Keyed || class.Group.dropsRepeats(s, r.firstRunServer))
 }
 
-func (g *Gateway) judge(r *request, a *attempt, e Outcome) {
+// recordOutcome updates the estimates for a server, its pool and a class from the end of an attempt.
+func (g *Gateway) recordOutcome(r *request, a *attempt, e Outcome) {
 	s, p := a.server, a.server.pool
-	if a.whole {
-		s.returned(r.id, a.sent)
-	}
-	s.slow = 1 + (s.slow-1)*math.Exp(-(g.now-s.heard)/forgetSlow)
-	s.heard = g.now
-	class, cs := &g.set.Classes[r.class], &p.classes[r.class]
-	took := g.now - a.sent
-	late := took > lateShare*class.Aim
+	if a.bodySent {
+		s.removeAttempt(r.id, a.sentAt)
+	}
+	s.slowness = 1 + (s.slowness-1)*math.Exp(-(g.now-s.lastOutcomeAt)/slownessTimeConstant)
+	s.lastOutcomeAt = g.now
+	class, cs := &g.settings.Classes[r.class], &p.classes[r.class]
+	elapsed := g.now - a.sentAt
+	late := elapsed > lateAimShare*class.Aim
 	switch e.Status {
 	case OK:
-		if s.suspect {
-			s.suspect = false
-			g.chill(s, g.now)
+		if s.suspectedRestart {
+			s.suspectedRestart = false
+			g.markCold(s, g.now)
 		}
-		s.answered, s.served[r.class], s.full[r.class] = g.now, g.now, 0
-		cs.full -= cs.full * learn
-		s.strikes, s.until, s.outFor, s.trial = 0, 0, 0, false
-		p.lost -= p.lost * learnFleet
-		s.slow += (min(took/cs.typical, 20) - s.slow) * learn
-		cs.typical = min(class.Aim, cs.typical+cs.typical*learnFleet*sign(took-cs.typical))
-		cs.work += cs.work * learnFleet * (sign(took-cs.work) - 0.6)
+		s.lastSuccessAt, s.classSuccessAt[r.class], s.classRejectedAt[r.class] = g.now, g.now, 0
+		cs.rejectShare -= cs.rejectShare * sampleWeight
+		s.failures, s.ejectedUntil, s.ejectionTime, s.onTrial = 0, 0, 0, false
+		p.lossShare -= p.lossShare * poolSampleWeight
+		s.slowness += (min(elapsed/cs.typicalTime, 20) - s.slowness) * sampleWeight
+		cs.typicalTime = min(class.Aim, cs.typicalTime+cs.typicalTime*poolSampleWeight*sign(elapsed-cs.typicalTime))
+		cs.workTime += cs.workTime * poolSampleWeight * (sign(elapsed-cs.workTime) - 0.6)
 		if g.representative(s) {
-			p.lateOK += ((sign(took-lateShare*class.Aim)+1)/2 - p.lateOK) * learn
+			p.lateShare += ((sign(elapsed-lateAimShare*class.Aim)+1)/2 - p.lateShare) * sampleWeight
 		}
 		if late {
-			s.lim.bad()
+			s.limiter.cut()
 			break
 		}
-		s.lim.good(slotsFirst / p.gates)
-		p.inTime += (1 - p.inTime) * learn
-		g.feel(p, false)
-		if p.inUse {
-			p.slots *= growTo
+		s.limiter.grow(initialServerLimit / p.gateways)
+		p.inTimeShare += (1 - p.inTimeShare) * sampleWeight
+		g.updateOverload(p, false)
+		if p.nearLimit {
+			p.pooledLimit *= limitGrowthFactor
 		}
 	case Full:
-		// Danger: room for others. The pair is remembered; full is who serves nobody.
-		s.full[r.class] = g.now
-		cs.full += (1 - cs.full) * learn
-		if g.now-s.answered > rateMemory {
-			s.lim.bad()
+		// It may have room for other classes: the pair is recorded. It counts as full if it serves no class.
+		s.classRejectedAt[r.class] = g.now
+		cs.rejectShare += (1 - cs.rejectShare) * sampleWeight
+		if g.now-s.lastSuccessAt > rateTimeConstant {
+			s.limiter.cut()
 		}
 	case ConnectFailed:
-		// Danger: a crash the list has not told. What answers there next is cold from then on.
-		s.suspect = true
-		g.strike(s, 2)
-	case Reset, Error: // a reset alone is no restart: answers may be lost on most of the fleet
-		g.strike(s, 1)
-	case Timeout:
-		// What the client did not wait for tells nothing, least of all of the server.
-		if cs.typical = min(class.Aim, cs.typical+cs.typical*learnFleet*max(0, sign(took-cs.typical))); !late {
+		// The server may have crashed before the list shows it. When it answers again, it is treated as cold.
+		s.suspectedRestart = true
+		g.recordFailure(s, 2)
+	case Reset, Error: // no suspected restart: answers may be lost on most of the fleet
+		g.recordFailure(s, 1)
+	case Timeout: // if it is not late, the client gave up early, which says nothing about the server
+		if cs.typicalTime = min(class.Aim, cs.typicalTime+cs.typicalTime*poolSampleWeight*
+			max(0, sign(elapsed-cs.typicalTime))); !late {
 			return
 		}
-		s.slow += (min(took/cs.typical, 20) - s.slow) * learn
-		s.lim.bad()
-		// Danger: a black hole met seldom: one loss is enough. While many are lost the fleet is needed.
-		p.lost += (1 - p.lost) * learnFleet
-		g.strike(s, int(1+(strikes-1)*max(0, 1-p.lost/lostFew)))
+		s.slowness += (min(elapsed/cs.typicalTime, 20) - s.slowness) * sampleWeight
+		s.limiter.cut()
+		// One time-out of a seldom used server that drops all requests suffices for ejection. While many
+		// answers are lost everywhere, more are needed, to keep the fleet in use.
+		p.lossShare += (1 - p.lossShare) * poolSampleWeight
+		g.recordFailure(s, int(1+(ejectionFailures-1)*max(0, 1-p.lossShare/highLossShare)))
 	}
 }
 
-func (g *Gateway) strike(s *server, n int) {
-	s.strikes += n
-	if s.strikes < strikes && !s.trial {
+// recordFailure adds to the consecutive failures of a server, and ejects it after enough of them or a failed
+// trial.
+func (g *Gateway) recordFailure(s *server, weight int) {
+	s.failures += weight
+	if s.failures < ejectionFailures && !s.onTrial {
 		return
 	}
-	s.outFor = min(outMost, max(outFirst, 2*s.outFor))
-	s.until = g.now + s.outFor*(0.8+0.4*g.rng.Float64())
-	s.trial = true
+	s.ejectionTime = min(maxEjectionTime, max(minEjectionTime, 2*s.ejectionTime))
+	s.ejectedUntil = g.now + s.ejectionTime*(0.8+0.4*g.rng.Float64())
+	s.onTrial = true
 }
