--- a/cmd/junctionring/drain.go
+++ b/cmd/junctionring/drain.go
@@ -134,7 +134,7 @@
 
 // shedAdvice is the Retry-After of what is shed; empty: none.
 func (s *service) shedAdvice() string {
-	if wait := s.core.Pause(); wait > 0 {
+	if wait := s.core.RetryAfter(); wait > 0 {
 		return s.wordWait(wait)
 	}
 	return ""
@@ -144,7 +144,7 @@
 func (s *service) finish() {
 	last, done := context.WithTimeout(context.Background(), shutdown.LastUnits)
 	defer done()
-	if err := s.core.Finish(last); err != nil {
+	if err := s.core.FlushUnits(last); err != nil {
 		s.log.Warn("quota", "err", err)
 	}
 }
--- a/cmd/junctionring/platform.go
+++ b/cmd/junctionring/platform.go
@@ -38,7 +38,7 @@
 	config  config.Platform
 	log     *slog.Logger
 	core    *core.Core
-	counter *counter.Line
+	counter *counter.LineClient
 	figures *telemetry.Figures
 	moves   chan string // addresses that discovery moves to
 
@@ -112,7 +112,7 @@
 	})
 	g := &platformGateway{
 		path: path, config: p, log: log, figures: telemetry.New("svc"), moves: make(chan string, 1),
-		counter:   counter.NewLine(p.Counter, counterWait(set.Module.Counter.Timeout)),
+		counter:   counter.NewLineClient(p.Counter, counterWait(set.Module.Counter.Timeout)),
 		table:     retune.Start(set.Classes, set.Module.Classes, set.Plans, set.Module.Plans, set.Module.Limits.MaxAttempts),
 		deadlines: deadlineHistory{since: time.Now()},
 	}
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	g.figures.Classes(set.Classes)
-	g.core.Count(g.figures)
+	g.core.SetMetrics(g.figures)
 	g.names.Store(platformNames(g.table, set))
 	g.deadlines.set(longestWait(set.Module.Classes))
 	return g, nil
@@ -213,7 +213,7 @@
 	}
 	g.moves <- p.Discovery
 	if g.config.Settings.Module.Counter.Allowed {
-		g.counter.Move(p.Counter)
+		g.counter.SetAddress(p.Counter)
 	}
 }
 
--- a/internal/configuration/manager.go
+++ b/internal/configuration/manager.go
@@ -99,7 +99,7 @@
 	m.documents[key{first.Number, first.Digest}] = content
 	m.life = versions.New(0, first, base.Versions.Snapshot != "")
 	m.slots.Take(effective, func(int) bool { return true }, func(int) bool { return true })
-	c.Name(slices.Clone(m.slots.ClassNames))
+	c.SetClassNames(slices.Clone(m.slots.ClassNames))
 	return m
 }
 
--- a/internal/configuration/steps.go
+++ b/internal/configuration/steps.go
@@ -113,7 +113,7 @@
 		Plans:   append([]control.Plan(nil), m.slots.Plans...), From: from,
 	})
 	next.view.Number(c, p)
-	m.core.Name(slices.Clone(m.slots.ClassNames))
+	m.core.SetClassNames(slices.Clone(m.slots.ClassNames))
 	m.front.Install(next.view)
 	m.targets(next.o)
 	m.now, m.next = next, nil
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,18 +21,18 @@
 	Units         float64
 	Spread, First int
 	Repeat        bool
-	Ask           bool      // only the verdict is wanted; nothing is sent to a target
+	DecisionOnly  bool      // only the verdict is wanted; nothing is sent to a target
 	Deadline      time.Time // the client has its answer by then or never
-	Bound         bool      // its key may have run at the site At, and is known nowhere else
-	At            int
+	Pinned        bool      // its key may have run at the site At, and is known nowhere else
+	PinnedSite    int
 	Payload       any // what egress sends on; the core never looks inside
 
 	// Arriving: its body is still coming in, and is sent on as it comes. Wait is how long the client waits from the
 	// last byte on; Deadline is when the body is given up. Spent tells that a part was sent on that cannot be
 	// sent again.
-	Arriving bool
-	Wait     time.Duration
-	Spent    func() bool
+	Arriving        bool
+	ResponseTimeout time.Duration
+	BodyConsumed    func() bool
 }
 
 // Kind tells how an exchange ended.
@@ -43,45 +43,45 @@
 	Failed  Kind = iota // promises nothing
 	Refused             // shed: trying again is harmless
 	Served
-	Allowed // the verdict for one that only asks
-	Left    // the client went away; nobody reads the answer
+	Allowed    // the verdict for one that only asks
+	ClientGone // the client went away; nobody reads the answer
 )
 
 // Answer is the one final answer of an exchange.
 type Answer struct {
 	Kind        Kind
 	RetryAfter  time.Duration // of Refused; 0: no advice
-	Over        bool          // of Refused: for want of quota
+	OverQuota   bool          // of Refused: for want of quota
 	MayHaveRun  bool          // some attempt reached a target, or may have
 	AttemptsOut int           // as it was given
-	RanAt       int           // the site of the first of those
+	RanAtSite   int           // the site of the first of those
 	Reply       any           // of Served, as egress brought it
 }
 
 // Attempt is one send of an exchange to an egress target. Its context ends when the attempt is not wanted
 // any more: by its deadline (a time-out) or earlier (called off).
 type Attempt struct {
-	Ctx     context.Context
-	Target  string
-	Payload any
-	Repeat  control.Repeat  // of the exchange's class
-	Before  time.Time       // not sent at all later than this, however late its connection comes up; zero: any time
-	Over    <-chan struct{} // closed once nobody wants its answer: what has not gone out yet does not
-	Report  func(Outcome)   // exactly once; may block, so never from the core's goroutine
+	Ctx          context.Context
+	Target       string
+	Payload      any
+	Repeat       control.Repeat  // of the exchange's class
+	SendBefore   time.Time       // not sent at all later than this, however late its connection comes up; zero: any time
+	ExchangeDone <-chan struct{} // closed once nobody wants its answer: what has not gone out yet does not
+	Report       func(Outcome)   // exactly once; may block, so never from the core's goroutine
 
-	// Of a message that is still coming in: Whole is called when its last byte went out, and its answer is waited
-	// for as long as Wait from then on. Whole may block as Report may.
-	Whole func()
-	Wait  time.Duration
+	// Of a message that is still coming in: OnBodySent is called when its last byte went out, and its answer is waited
+	// for as long as Wait from then on. OnBodySent may block as Report may.
+	OnBodySent      func()
+	ResponseTimeout time.Duration
 }
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	Status  control.Status
-	Written bool // the attempt's last byte went out
-	Reply   any
-	Load    []float64
-	Waited  time.Duration // from the request's last byte to the answer's first; 0: not known
+	Status          control.Status
+	Written         bool // the attempt's last byte went out
+	Reply           any
+	Load            []float64
+	TimeToFirstByte time.Duration // from the request's last byte to the answer's first; 0: not known
 }
 
 // Target is an entry of the route table with the address to send to, opaque to the core.
@@ -213,9 +213,9 @@
 	}, nil
 }
 
-// Count has the core count its answers and attempts, and the servers it knows, into f. It must be called before
+// SetMetrics has the core count its answers and attempts, and the servers it knows, into f. It must be called before
 // Run.
-func (c *Core) Count(f *telemetry.Figures) { c.figures = f }
+func (c *Core) SetMetrics(f *telemetry.Figures) { c.figures = f }
 
 // tally counts a final answer by its kind. One that nobody reads counts as nothing.
 func (c *Core) tally(class int, k Kind, late bool) {
@@ -242,8 +242,8 @@
 	Close() error // nobody reads it
 }
 
-// Streamed counts a streamed answer at its end.
-func (c *Core) Streamed(class int, whole bool) {
+// CountStreamed counts a streamed answer at its end.
+func (c *Core) CountStreamed(class int, whole bool) {
 	k := Served
 	if !whole {
 		k = Failed
@@ -251,15 +251,15 @@
 	c.tally(class, k, false) // how long it took is for its reader to say
 }
 
-// Name names the classes by their number, for the figures.
-func (c *Core) Name(names []string) {
+// SetClassNames names the classes by their number, for the figures.
+func (c *Core) SetClassNames(names []string) {
 	if c.figures != nil {
 		c.figures.Classes(names)
 	}
 }
 
-// At tells the core of sites. It must be called before Run.
-func (c *Core) At(r *sites.Router) { c.sites = r }
+// SetSites tells the core of sites. It must be called before Run.
+func (c *Core) SetSites(r *sites.Router) { c.sites = r }
 
 // Sites reports on the sites; false without any, or when the core has ended.
 func (c *Core) Sites() (sites.Report, bool) {
@@ -317,7 +317,7 @@
 		case a := <-h.answer: // a final answer that crossed the client's leaving stands
 			return a
 		case <-c.done:
-			return Answer{Kind: Left, MayHaveRun: true}
+			return Answer{Kind: ClientGone, MayHaveRun: true}
 		}
 	case <-c.done:
 		c.tally(x.Class, Refused, false)
@@ -325,8 +325,8 @@
 	}
 }
 
-// Pause is what the core advises clients to wait whose requests it sheds by itself; 0: no advice.
-func (c *Core) Pause() time.Duration { return c.pause }
+// RetryAfter is what the core advises clients to wait whose requests it sheds by itself; 0: no advice.
+func (c *Core) RetryAfter() time.Duration { return c.pause }
 
 // Routes takes a new route table in. It returns once the core has it in its mailbox.
 func (c *Core) Routes(t Table) { c.post(t) }
@@ -347,9 +347,9 @@
 	c.Settle()
 }
 
-// Finish has what was used and not added to the counter yet added now, and waits for that until ctx ends: units that
+// FlushUnits has what was used and not added to the counter yet added now, and waits for that until ctx ends: units that
 // nobody hears of could be spent a second time.
-func (c *Core) Finish(ctx context.Context) error {
+func (c *Core) FlushUnits(ctx context.Context) error {
 	m := ending{make(chan struct{})}
 	c.post(m)
 	select {
@@ -451,13 +451,13 @@
 	case opened:
 		c.open(m.h)
 	case left:
-		c.end(m.h, Answer{Kind: Left})
+		c.end(m.h, Answer{Kind: ClientGone})
 		c.feed(control.Gone{ID: m.h.id})
 		c.forget(m.h)
 	case whole:
 		if h := m.h; h.Arriving && !h.final {
-			h.Arriving, h.Deadline = false, time.Now().Add(h.Wait)
-			h.guard.Reset(h.Wait + overdue)
+			h.Arriving, h.Deadline = false, time.Now().Add(h.ResponseTimeout)
+			h.guard.Reset(h.ResponseTimeout + overdue)
 			c.feed(control.Arrived{ID: h.id})
 		}
 	case expired:
@@ -517,12 +517,12 @@
 	h.guard = time.AfterFunc(rest+overdue, func() { c.post(expired{h}) })
 	h.came = time.Now()
 	if h.Arriving {
-		rest = h.Wait
+		rest = h.ResponseTimeout
 	}
 	c.feed(control.Request{
 		Arriving: h.Arriving, Reach: c.route(h, rest),
 		ID: h.id, Class: h.Class, Plan: h.Plan, Customer: h.Customer, TimeLeft: rest.Seconds(),
-		Units: h.Units, Spread: h.Spread, First: h.First, Repeat: h.Repeat, Ask: h.Ask,
+		Units: h.Units, Spread: h.Spread, First: h.First, Repeat: h.Repeat, Ask: h.DecisionOnly,
 	})
 	c.forget(h)
 }
@@ -537,7 +537,7 @@
 	if s, ok := a.Reply.(Streamer); !ok || !s.Streaming() { // else it is counted when it has ended: Streamed
 		c.tally(h.Class, a.Kind, time.Since(h.came).Seconds() > c.classes[h.Class].Aim)
 	}
-	a.MayHaveRun, a.RanAt, a.AttemptsOut = h.mayRan || h.out > 0, h.ranAt, h.out
+	a.MayHaveRun, a.RanAtSite, a.AttemptsOut = h.mayRan || h.out > 0, h.ranAt, h.out
 	h.answer <- a
 	if h.guard != nil {
 		h.guard.Stop()
@@ -567,7 +567,7 @@
 	}
 	var reach control.Reach
 	if c.sites != nil {
-		c.sites.Ended(c.now(), e.h.flights[e.attempt], e.Status, e.Waited.Seconds())
+		c.sites.Ended(c.now(), e.h.flights[e.attempt], e.Status, e.TimeToFirstByte.Seconds())
 		if e.Status != control.OK && !e.h.final {
 			reach = c.route(e.h, time.Until(e.h.Deadline))
 		}
@@ -578,7 +578,7 @@
 	case streams:
 		s.Close()
 	}
-	if !e.h.final && e.h.Spent != nil && e.h.Spent() { // there is nothing left to send to another
+	if !e.h.final && e.h.BodyConsumed != nil && e.h.BodyConsumed() { // there is nothing left to send to another
 		c.end(e.h, c.curtail(e.h))
 	}
 	c.feed(control.Outcome{
@@ -607,10 +607,10 @@
 		}
 	case control.Refuse:
 		if h := c.held[a.ID]; h != nil {
-			if c.sites != nil && !a.Over && !h.Ask && !h.final {
+			if c.sites != nil && !a.Over && !h.DecisionOnly && !h.final {
 				c.sites.Refused(h.Class, h.verdict)
 			}
-			c.end(h, Answer{Kind: Refused, RetryAfter: duration(a.RetryAfter), Over: a.Over})
+			c.end(h, Answer{Kind: Refused, RetryAfter: duration(a.RetryAfter), OverQuota: a.Over})
 			c.forget(h)
 		}
 	case control.Admit:
@@ -674,9 +674,9 @@
 		return
 	}
 	if !c.egress.Start(Attempt{
-		Ctx: ctx, Target: a.Server, Payload: h.Payload, Repeat: c.classes[h.Class].Repeat, Before: before, Over: h.over,
-		Report: func(o Outcome) { c.post(done(o)) },
-		Whole:  func() { c.post(whole{h}) }, Wait: h.Wait,
+		Ctx: ctx, Target: a.Server, Payload: h.Payload, Repeat: c.classes[h.Class].Repeat, SendBefore: before, ExchangeDone: h.over,
+		Report:     func(o Outcome) { c.post(done(o)) },
+		OnBodySent: func() { c.post(whole{h}) }, ResponseTimeout: h.ResponseTimeout,
 	}) {
 		c.later = append(c.later, done(Outcome{Status: control.Full}))
 	}
@@ -685,7 +685,7 @@
 // mayCopy tells whether a second attempt of an exchange may be out beside the first: the last guard of what must not
 // run twice, whatever was decided.
 func (c *Core) mayCopy(h *held) bool {
-	return c.copies && c.classes[h.Class].Repeat == control.Safe && h.Spent == nil
+	return c.copies && c.classes[h.Class].Repeat == control.Safe && h.BodyConsumed == nil
 }
 
 func (c *Core) count(a control.Count) {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -63,17 +63,17 @@
 		first.Report(Outcome{Status: control.ConnectFailed})
 		begun := time.Now()
 		second := <-out.sent
-		if !first.Before.IsZero() || !second.Before.IsZero() {
-			t.Errorf("class %d: bound before anything may have run: %v, %v", class, first.Before, second.Before)
+		if !first.SendBefore.IsZero() || !second.SendBefore.IsZero() {
+			t.Errorf("class %d: bound before anything may have run: %v, %v", class, first.SendBefore, second.SendBefore)
 		}
 		reported := time.Now()
 		second.Report(Outcome{Status: control.Reset, Written: true})
 		third := <-out.sent
-		if early, late := begun.Add(3*time.Second-time.Second), reported.Add(3*time.Second); bound && (third.Before.Before(early) || third.Before.After(late)) {
-			t.Errorf("class %d: bound by %v, want up to %v", class, third.Before, late)
+		if early, late := begun.Add(3*time.Second-time.Second), reported.Add(3*time.Second); bound && (third.SendBefore.Before(early) || third.SendBefore.After(late)) {
+			t.Errorf("class %d: bound by %v, want up to %v", class, third.SendBefore, late)
 		}
-		if !bound && !third.Before.IsZero() {
-			t.Errorf("class %d: bound by %v", class, third.Before)
+		if !bound && !third.SendBefore.IsZero() {
+			t.Errorf("class %d: bound by %v", class, third.SendBefore)
 		}
 		third.Report(Outcome{Status: control.OK, Written: true})
 		if a := <-done; a.Kind != Served {
@@ -159,7 +159,7 @@
 		}
 		c.ctx = context.Background()
 		c.held[1] = &held{
-			id: 1, Exchange: Exchange{Class: s.class, Spent: s.spent, Deadline: time.Now().Add(20 * time.Second)},
+			id: 1, Exchange: Exchange{Class: s.class, BodyConsumed: s.spent, Deadline: time.Now().Add(20 * time.Second)},
 			answer: make(chan Answer, 1), over: make(chan struct{}),
 		}
 		c.send(control.Send{ID: 1, Server: "one"})
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -9,10 +9,10 @@
 
 // route asks which sites an exchange may go to with its next attempt.
 func (c *Core) route(h *held, rest time.Duration) control.Reach {
-	if c.sites == nil || h.Ask {
+	if c.sites == nil || h.DecisionOnly {
 		return control.Reach{}
 	}
-	t := sites.Try{Class: h.Class, Elapsed: time.Since(h.came).Seconds(), Left: rest.Seconds(), Bound: h.Bound, At: h.At}
+	t := sites.Try{Class: h.Class, Elapsed: time.Since(h.came).Seconds(), Left: rest.Seconds(), Bound: h.Pinned, At: h.PinnedSite}
 	class := &c.classes[h.Class]
 	if h.mayRan && class.Repeat == control.Keyed && class.Group != control.GroupAll {
 		t.Bound, t.At = true, h.ranAt
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -124,7 +124,7 @@
 // A call given up keeps its place: its late answer is not taken for the next one's.
 func TestLateAnswerIsReadOff(t *testing.T) {
 	s := newStore(t)
-	add := run(t, counter.NewLine(s.Addr().String(), 50*time.Millisecond))
+	add := run(t, counter.NewLineClient(s.Addr().String(), 50*time.Millisecond))
 	c := <-s.conns
 	first := add(7, 2.5)
 	if line := <-s.lines; line != "bump 7 2.5 4000" {
@@ -155,7 +155,7 @@
 // that is not there adds nothing.
 func TestCounterBreaksAndIsGone(t *testing.T) {
 	s := newStore(t)
-	add := run(t, counter.NewLine(s.Addr().String(), 5*time.Second))
+	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	c := <-s.conns
 	out := add(7, 1)
 	<-s.lines
@@ -184,7 +184,7 @@
 // Calls made in a row are written in a row, in order, over one connection.
 func TestCallsArePipelined(t *testing.T) {
 	s := newStore(t)
-	add := run(t, counter.NewLine(s.Addr().String(), 5*time.Second))
+	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	c := <-s.conns
 	var calls []chan answer
 	for i := range 5 {
@@ -239,13 +239,13 @@
 // it is answered, and is in doubt when it is cut.
 func TestCounterMoves(t *testing.T) {
 	first, second := newStore(t), newStore(t)
-	line := counter.NewLine(first.Addr().String(), 5*time.Second)
+	line := counter.NewLineClient(first.Addr().String(), 5*time.Second)
 	add := run(t, line)
 	old := <-first.conns
 	answered, cut := add(7, 1), add(8, 1)
 	<-first.lines
 	<-first.lines
-	line.Move(second.Addr().String())
+	line.SetAddress(second.Addr().String())
 	c := <-second.conns
 	late := add(9, 1)
 	<-second.lines
@@ -276,7 +276,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStore(t)
-			add := run(t, counter.NewLine(s.Addr().String(), 5*time.Second))
+			add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 			c := <-s.conns
 			first, behind := add(7, 1), add(8, 1)
 			<-s.lines
--- a/internal/counter/crossed_line_test.go
+++ b/internal/counter/crossed_line_test.go
@@ -121,7 +121,7 @@
 // time late.
 func TestSecondLineIsNotTakenForAnotherName(t *testing.T) {
 	s := newTwiceLine(t, answerTwice)
-	add := run(t, counter.NewLine(s.Addr().String(), 5*time.Second))
+	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	if a := <-add(1, 5); a != (answer{control.OK, 5}) {
 		t.Fatalf("the first call was answered %v", a)
 	}
@@ -139,7 +139,7 @@
 // Guards against every later total going to the wrong name, where a call is answered twice and another is always out.
 func TestLineTooManyDoesNotShiftTheTotalsBehind(t *testing.T) {
 	s := newTwiceLine(t, answerFirstTwice)
-	add := run(t, counter.NewLine(s.Addr().String(), 5*time.Second))
+	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	var calls []chan answer
 	for i := range 8 {
 		calls = append(calls, add(uint64(i), float64(i+1)))
@@ -155,7 +155,7 @@
 // Guards against a line that nobody asked for being kept for the next call.
 func TestUnaskedLineEndsTheConnection(t *testing.T) {
 	s := newStore(t)
-	add := run(t, counter.NewLine(s.Addr().String(), 5*time.Second))
+	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	c := <-s.conns
 	io.WriteString(c, "ok 5\r\n")
 	c = <-s.conns
--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -31,7 +31,7 @@
 			c.Close()
 		}
 	}()
-	add := run(t, counter.NewLine(l.Addr().String(), 30*time.Millisecond))
+	add := run(t, counter.NewLineClient(l.Addr().String(), 30*time.Millisecond))
 	enough := make(chan time.Duration, 1)
 	go func() {
 		first := <-came
@@ -86,7 +86,7 @@
 			}()
 		}
 	}()
-	line := counter.NewLine(l.Addr().String(), 5*time.Second)
+	line := counter.NewLineClient(l.Addr().String(), 5*time.Second)
 	add := run(t, line)
 	for i := range rounds {
 		call := add(7, 1)
--- a/internal/counter/line.go
+++ b/internal/counter/line.go
@@ -81,11 +81,11 @@
 	answered bool // it has brought an answer
 }
 
-// Line is the counter on the line protocol: an actor that pipelines calls over one connection. A call given
+// LineClient is the counter on the line protocol: an actor that pipelines calls over one connection. A call given
 // up keeps its place in the line, since its answer must still be read off before the next one's. No answer names its call,
 // and one too many would be taken for that of another name, and each behind it too: so a ping follows each call, and an
 // answer counts once the pong has come behind it.
-type Line struct {
+type LineClient struct {
 	address string
 	timeout time.Duration
 	mailbox chan any
@@ -99,14 +99,14 @@
 	lastUse    time.Time
 }
 
-// NewLine makes the actor for the counter at an address; each call is given up after timeout.
-func NewLine(address string, timeout time.Duration) *Line {
-	return &Line{address: address, timeout: timeout,
+// NewLineClient makes the actor for the counter at an address; each call is given up after timeout.
+func NewLineClient(address string, timeout time.Duration) *LineClient {
+	return &LineClient{address: address, timeout: timeout,
 		mailbox: make(chan any, mailboxSize), done: make(chan struct{})}
 }
 
 // Add implements core.Counter.
-func (l *Line) Add(name uint64, amount float64, ttl time.Duration, report func(control.Status, float64)) bool {
+func (l *LineClient) Add(name uint64, amount float64, ttl time.Duration, report func(control.Status, float64)) bool {
 	line := "bump " + strconv.FormatUint(name, 10) + " " + strconv.FormatFloat(amount, 'f', -1, 64) +
 		" " + strconv.FormatInt(max(1, ttl.Milliseconds()), 10) + lineEnd + ping + lineEnd
 	select {
@@ -117,18 +117,18 @@
 	}
 }
 
-func (l *Line) post(m any) {
+func (l *LineClient) post(m any) {
 	select {
 	case l.mailbox <- m:
 	case <-l.done:
 	}
 }
 
-// Move goes over to the counter at another address. Calls that are out at the old one may still be answered.
-func (l *Line) Move(address string) { l.post(moved{address}) }
+// SetAddress goes over to the counter at another address. Calls that are out at the old one may still be answered.
+func (l *LineClient) SetAddress(address string) { l.post(moved{address}) }
 
 // Run is the actor.
-func (l *Line) Run(ctx context.Context) {
+func (l *LineClient) Run(ctx context.Context) {
 	defer close(l.done)
 	tick := time.NewTicker(keepAlive / 2)
 	defer tick.Stop()
@@ -146,7 +146,7 @@
 	}
 }
 
-func (l *Line) handle(ctx context.Context, m any) {
+func (l *LineClient) handle(ctx context.Context, m any) {
 	switch m := m.(type) {
 	case *call:
 		m.timer = time.AfterFunc(l.timeout-time.Since(m.asked), func() { l.post(timedOut{m}) })
@@ -199,7 +199,7 @@
 }
 
 // move leaves the connection to the old address to its reader for as long as answers may still come.
-func (l *Line) move(ctx context.Context, address string) {
+func (l *LineClient) move(ctx context.Context, address string) {
 	if address == l.address {
 		return
 	}
@@ -214,7 +214,7 @@
 	l.connect(ctx)
 }
 
-func (l *Line) connect(ctx context.Context) {
+func (l *LineClient) connect(ctx context.Context) {
 	if l.wire != nil || l.dialing || time.Now().Before(l.retryAt) {
 		return
 	}
@@ -233,7 +233,7 @@
 }
 
 // write sends all that waits in one piece.
-func (l *Line) write() {
+func (l *LineClient) write() {
 	w := l.wire
 	if w == nil || len(l.waiting) == 0 {
 		return
@@ -256,7 +256,7 @@
 }
 
 // drop gives a connection up; what was written to it may have been added.
-func (l *Line) drop(w *wire) {
+func (l *LineClient) drop(w *wire) {
 	if w == nil {
 		return
 	}
@@ -272,7 +272,7 @@
 }
 
 // pauseDials keeps a counter that turns connections away, say because it holds too many, from being dialled without end.
-func (l *Line) pauseDials(ended *wire) {
+func (l *LineClient) pauseDials(ended *wire) {
 	l.unanswered++
 	if ended.answered {
 		l.unanswered = 0
@@ -284,7 +284,7 @@
 }
 
 // tend pings an idle connection, lest the counter close it as a call is written.
-func (l *Line) tend(ctx context.Context, now time.Time) {
+func (l *LineClient) tend(ctx context.Context, now time.Time) {
 	switch {
 	case l.wire == nil:
 		l.connect(ctx)
@@ -294,7 +294,7 @@
 	}
 }
 
-func (l *Line) answer(a answered) {
+func (l *LineClient) answer(a answered) {
 	w := a.wire
 	if len(w.out) == 0 {
 		l.drop(w) // nobody asked
@@ -336,7 +336,7 @@
 
 // read hands lines over. One that is too long, does not end as lines do, or does not come whole ends the
 // connection.
-func (l *Line) read(w *wire) {
+func (l *LineClient) read(w *wire) {
 	in := bufio.NewReaderSize(w, longestLine)
 	for {
 		in.Peek(1) // waits; an error shows below
--- a/internal/egress/attempt.go
+++ b/internal/egress/attempt.go
@@ -17,7 +17,7 @@
 // run a second time.
 func tooLate(a core.Attempt) (control.Status, bool) {
 	select {
-	case <-a.Over:
+	case <-a.ExchangeDone:
 		return control.Cancelled, true
 	default:
 	}
@@ -26,7 +26,7 @@
 		return control.ConnectFailed, true
 	case err != nil:
 		return control.Cancelled, true
-	case !a.Before.IsZero() && time.Now().After(a.Before):
+	case !a.SendBefore.IsZero() && time.Now().After(a.SendBefore):
 		return control.Moot, true
 	}
 	return 0, false
@@ -47,7 +47,7 @@
 	case c = <-l.got:
 	case <-t.ctx.Done(): // it has left the list
 		return nil, control.ConnectFailed
-	case <-a.Over: // also where an attempt that is out may not be called off
+	case <-a.ExchangeDone: // also where an attempt that is out may not be called off
 		t.post(unlease{l})
 		return nil, control.Cancelled
 	case <-a.Ctx.Done():
@@ -77,8 +77,8 @@
 	}
 	sent := time.Now()
 	c.asked = l.question
-	o, reuse := c.roundTrip(a.Ctx, r, t.site.LoadFields, a.Whole, a.Wait)
-	c.waited = o.Waited
+	o, reuse := c.roundTrip(a.Ctx, r, t.site.LoadFields, a.OnBodySent, a.ResponseTimeout)
+	c.waited = o.TimeToFirstByte
 	if reply, ok := o.Reply.(*Reply); ok && reply.Long != nil {
 		reply.Long.finish = func(reuse bool) { t.giveBack(c, reuse) } // the connection is in use until then
 		return o
--- a/internal/egress/conn.go
+++ b/internal/egress/conn.go
@@ -152,7 +152,7 @@
 			waited = time.Since(written)
 		}
 		o, reuse = c.read(r.Method, fields)
-		o.Waited = waited
+		o.TimeToFirstByte = waited
 		reply, ok := o.Reply.(*Reply)
 		if !ok {
 			return o, false
--- a/internal/egress/egress.go
+++ b/internal/egress/egress.go
@@ -165,7 +165,7 @@
 // rest is what of its body follows; ended is told the final answer before the client is; both may be nil.
 func WithExchange(r *http.Request, x *core.Exchange, body []byte, rest *Upload, ended func(core.Answer)) *http.Request {
 	if rest != nil {
-		x.Arriving, x.Spent = true, rest.Spent
+		x.Arriving, x.BodyConsumed = true, rest.Spent
 	}
 	return r.WithContext(context.WithValue(r.Context(), exchangeKey{}, &carried{r.RequestURI, x, body, rest, ended}))
 }
@@ -204,13 +204,13 @@
 		return resp, nil
 	case core.Refused:
 		resp.StatusCode = http.StatusServiceUnavailable
-		if a.Over {
+		if a.OverQuota {
 			resp.StatusCode = http.StatusTooManyRequests
 		}
 		if a.RetryAfter > 0 {
 			resp.Header.Set("Retry-After", t.RetryAfter(a.RetryAfter))
 		}
-	case core.Left:
+	case core.ClientGone:
 		return nil, context.Canceled
 	default:
 		resp.StatusCode = http.StatusBadGateway
--- a/internal/egress/long.go
+++ b/internal/egress/long.go
@@ -236,7 +236,7 @@
 }
 
 func pass(ctx context.Context, s *Stream, c *core.Core, class int) *passed {
-	p := &passed{Stream: s, ended: func(whole bool) { c.Streamed(class, whole) }}
+	p := &passed{Stream: s, ended: func(whole bool) { c.CountStreamed(class, whole) }}
 	p.stop = context.AfterFunc(ctx, func() { s.Close() })
 	return p
 }
--- a/internal/egress/second_answer_test.go
+++ b/internal/egress/second_answer_test.go
@@ -235,7 +235,7 @@
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), deadline)
 	defer cancel()
-	o := s.exchange(core.Attempt{Ctx: ctx, Payload: r, Repeat: repeatOf(r), Whole: func() {}, Wait: deadline})
+	o := s.exchange(core.Attempt{Ctx: ctx, Payload: r, Repeat: repeatOf(r), OnBodySent: func() {}, ResponseTimeout: deadline})
 	reply, ok := o.Reply.(*Reply)
 	if !ok {
 		return "", o.Status
--- a/internal/egress/target_test.go
+++ b/internal/egress/target_test.go
@@ -57,7 +57,7 @@
 				conn.Read(b)
 			}()
 			ask := func(ctx context.Context, path string, before time.Time) core.Outcome {
-				return target.exchange(core.Attempt{Ctx: ctx, Before: before,
+				return target.exchange(core.Attempt{Ctx: ctx, SendBefore: before,
 					Payload: &Request{Method: "GET", Head: []byte("GET " + path + " HTTP/1.1\r\nHost: t\r\n")}})
 			}
 			if o := ask(c.ctx, "/gone", c.before); o.Status != c.want || o.Written {
--- a/internal/forwardauth/forwardauth.go
+++ b/internal/forwardauth/forwardauth.go
@@ -159,9 +159,9 @@
 		x.Deadline = by // later targets no longer drop a repeat
 	}
 	if v == repeat && class.Group != control.GroupAll { // at another site it would run a second time
-		x.Bound, x.At = true, ranAt
+		x.Pinned, x.PinnedSite = true, ranAt
 	}
-	end := core.Answer{Kind: core.Left} // unless the core is reached: nothing can have run
+	end := core.Answer{Kind: core.ClientGone} // unless the core is reached: nothing can have run
 	defer func() { f.keys.end(id, time.Now(), end, v == repeat) }()
 	front.Carry(f.proxy, w, r, &x, body, rest, func(a core.Answer) { end = a })
 }
@@ -183,7 +183,7 @@
 		front.Reject(w, r, err)
 		return
 	}
-	x.Ask = true
+	x.DecisionOnly = true
 	ctx, cancel := context.WithDeadline(r.Context(), x.Deadline)
 	defer cancel()
 	identity, no := f.identify(ctx, r.Header, origin, true)
@@ -201,7 +201,7 @@
 			w.Header()[name] = values
 		}
 		w.WriteHeader(http.StatusOK)
-	case a.Over:
+	case a.OverQuota:
 		(&refusal{status: http.StatusTooManyRequests, retryAfter: max(a.RetryAfter, time.Second)}).write(w)
 	default:
 		(&refusal{status: http.StatusServiceUnavailable, retryAfter: max(a.RetryAfter, time.Second)}).write(w)
--- a/internal/forwardauth/keys.go
+++ b/internal/forwardauth/keys.go
@@ -103,7 +103,7 @@
 	}
 	s.out, s.expires = false, now.Add(keyMemory)
 	if a.MayHaveRun && !again {
-		s.ranAt = a.RanAt
+		s.ranAt = a.RanAtSite
 	}
 	if a.Kind == core.Served {
 		s.served = true
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -184,8 +184,8 @@
 // Arrived gives an exchange its time, once its body is in or begins to be passed on: it runs from its last byte.
 func Arrived(x *core.Exchange, received time.Time, rest *Body) {
 	now := time.Now()
-	x.Wait = x.Deadline.Sub(received)
-	if x.Deadline = now.Add(x.Wait); rest != nil {
+	x.ResponseTimeout = x.Deadline.Sub(received)
+	if x.Deadline = now.Add(x.ResponseTimeout); rest != nil {
 		x.Deadline = now.Add(longest) // for its body to come in
 	}
 }
@@ -209,7 +209,7 @@
 		if upload != nil && !upload.Done() || closes(r) {
 			w.Header().Set("Connection", "close")
 		}
-		if c := connOf(r); c != nil && a.Kind == core.Left {
+		if c := connOf(r); c != nil && a.Kind == core.ClientGone {
 			c.left(a)
 		}
 		if ended != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -60,14 +60,14 @@
 		return nil, err
 	}
 	figures := telemetry.New("svc")
-	c.Count(figures)
+	c.SetMetrics(figures)
 	if len(o.Sites) > 0 {
 		o.Far.Seed = rand.New(rand.NewPCG(seed, 1)).Uint64()
 		router, err := sites.New(o.Far)
 		if err != nil {
 			return nil, err
 		}
-		c.At(router)
+		c.SetSites(router)
 	}
 	front, err := forwardauth.New(o, c, log)
 	if err != nil {
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -95,7 +95,7 @@
 	settings.Plans[0] = control.Plan{Rate: 2, Burst: 6, Worth: 1, OverCost: 1}
 	settings.Counter = control.CounterInfo{Allowed: true, Timeout: 0.7}
 	address, called, release := lineCounter(t)
-	line := counter.NewLine(address, 700*time.Millisecond)
+	line := counter.NewLineClient(address, 700*time.Millisecond)
 	go line.Run(t.Context())
 	p := newPeer(t)
 	g := startGateway(t, limitedFleet(16), settings, line, p)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -149,7 +149,7 @@
 	var taken *atomic.Int64
 	if figures != nil {
 		figures.Classes([]string{"table-view", "move-submit"})
-		c.Count(figures)
+		c.SetMetrics(figures)
 		taken = &figures.Concurrent
 	}
 	ctx, cancel := context.WithCancel(context.Background())
