--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -113,85 +113,85 @@
 }
 
 const (
-	mailboxSize = 4096
-	siteTick    = 50 * time.Millisecond  // between looks at what time alone tells of sites
-	figureTick  = 250 * time.Millisecond // between looks at the servers for the figures: they may be 0.5 s late
-	busyPause   = 500 * time.Millisecond // told to a client where the core sheds by itself; at most what the settings allow
-	overdue     = 15 * time.Millisecond  // past the deadline at which the core answers by itself
+	mailboxSize      = 4096
+	siteTickInterval = 50 * time.Millisecond  // between looks at what time alone tells of sites
+	gaugeInterval    = 250 * time.Millisecond // between looks at the servers for the figures: they may be 0.5 s late
+	shedRetryAfter   = 500 * time.Millisecond // told to a client where the core sheds by itself; at most what the settings allow
+	overdueGrace     = 15 * time.Millisecond  // past the deadline at which the core answers by itself
 )
 
 type (
-	opened  struct{ h *held }
-	left    struct{ h *held }
-	whole   struct{ h *held }
-	expired struct{ h *held }
-	ended   struct {
-		h       *held
+	exchangeOpened struct{ h *heldExchange }
+	clientGone     struct{ h *heldExchange }
+	bodySent       struct{ h *heldExchange }
+	deadlinePassed struct{ h *heldExchange }
+	attemptEnded   struct {
+		h       *heldExchange
 		attempt int
 		target  string
-		sent    time.Time
-		took    control.Seconds
+		sentAt  time.Time
+		elapsed control.Seconds
 		Outcome
 	}
-	probed struct { // over a link
-		target string
-		status control.Status
-		took   control.Seconds
+	linkProbed struct { // over a link
+		target  string
+		status  control.Status
+		elapsed control.Seconds
 	}
-	report  struct{ got chan sites.Report }
-	inUse   struct{ got chan map[int]int }
-	changed struct {
+	sitesReport  struct{ reply chan sites.Report }
+	plansInUse   struct{ reply chan map[int]int }
+	reconfigured struct {
 		control.Reconfigured
 		done chan struct{}
 	}
-	flush   struct{ done chan struct{} }
-	shedAll struct{}
-	ending  struct{ added chan struct{} }
+	flush      struct{ done chan struct{} }
+	shedAll    struct{}
+	flushUnits struct{ done chan struct{} }
 )
 
-// held is an exchange in the table.
-type held struct {
+// heldExchange is an exchange in the table.
+type heldExchange struct {
 	Exchange
-	id      uint64
-	final   bool
-	answer  chan Answer   // of one place: a final answer never waits for its reader
-	over    chan struct{} // closed with the final answer
-	cancels []context.CancelFunc
-	flights []sites.Flight // one for each attempt, where there are sites
-	verdict sites.Verdict  // the last
-	came    time.Time
-	out     int
-	mayRan  bool
-	ranAt   int
-	ran     time.Time // when the first attempt that may have run was sent
-	guard   *time.Timer
+	id              uint64
+	answered        bool
+	answer          chan Answer   // of one place: a final answer never waits for its reader
+	done            chan struct{} // closed with the final answer
+	cancels         []context.CancelFunc
+	flights         []sites.Flight // one for each attempt, where there are sites
+	verdict         sites.Verdict  // the last
+	receivedAt      time.Time
+	inFlight        int
+	mayHaveRun      bool
+	ranAtSite       int
+	mayHaveRunSince time.Time // when the first attempt that may have run was sent
+	overdueTimer    *time.Timer
 }
 
 // Core is the actor. Run runs it; the other methods may be called from anywhere.
 type Core struct {
-	gateway *control.Gateway
-	egress  Egress
-	counter Counter
-	classes []control.Class
-	copies  bool          // the settings allow two attempts of an exchange to be out at once
-	pause   time.Duration // of what the core sheds by itself; 0: no advice
-	log     *slog.Logger
-	sites   *sites.Router // nil: all targets are at one site
-	todo    []sites.Action
-
-	mailbox chan any
-	done    chan struct{} // closed when Run has ended
-	base    time.Time     // wall time and a monotonic reading: a clock that gateways share and never steps
-	baseSec float64
-
-	ctx     context.Context
-	held    map[uint64]*held
-	lastID  uint64
-	later   []any // messages to itself, which must not wait on its own mailbox
-	actions []control.Action
-	figures *telemetry.Figures // nil: not counted
-	adding  []chan struct{}    // closed once the counter holds every unit
-	ending  bool               // all was shed, and what still comes is too
+	gateway      *control.Gateway
+	egress       Egress
+	counter      Counter
+	classes      []control.Class
+	secondCopies bool          // the settings allow two attempts of an exchange to be out at once
+	retryAfter   time.Duration // of what the core sheds by itself; 0: no advice
+	log          *slog.Logger
+	sites        *sites.Router // nil: all targets are at one site
+	siteActions  []sites.Action
+
+	mailbox      chan any
+	done         chan struct{} // closed when Run has ended
+	startTime    time.Time     // wall time and a monotonic reading: a clock that gateways share and never steps
+	startSeconds float64
+
+	ctx          context.Context
+	held         map[uint64]*heldExchange
+	lastID       uint64
+	selfMessages []any // messages to itself, which must not wait on its own mailbox
+	actions      []control.Action
+	metrics      *telemetry.Figures // nil: not counted
+	flushWaiters []chan struct{}    // closed once the counter holds every unit
+	shedding     bool               // all was shed, and what still comes is too
 }
 
 // New makes the actor of a gateway.
@@ -201,38 +201,38 @@
 		return nil, err
 	}
 	now := time.Now()
-	pause := time.Duration(0)
+	retryAfter := time.Duration(0)
 	if s.Limits.RetryAfter {
-		pause = min(busyPause, duration(s.Limits.MaxRetryAfter))
+		retryAfter = min(shedRetryAfter, duration(s.Limits.MaxRetryAfter))
 	}
 	return &Core{
-		gateway: g, egress: egress, counter: counter, classes: s.Classes, pause: pause, log: log,
-		copies:  s.Limits.SecondCopies,
-		mailbox: make(chan any, mailboxSize), done: make(chan struct{}),
-		base: now, baseSec: float64(now.UnixMicro()) / 1e6, held: map[uint64]*held{},
+		gateway: g, egress: egress, counter: counter, classes: s.Classes, retryAfter: retryAfter, log: log,
+		secondCopies: s.Limits.SecondCopies,
+		mailbox:      make(chan any, mailboxSize), done: make(chan struct{}),
+		startTime: now, startSeconds: float64(now.UnixMicro()) / 1e6, held: map[uint64]*heldExchange{},
 	}, nil
 }
 
 // SetMetrics has the core count its answers and attempts, and the servers it knows, into f. It must be called before
 // Run.
-func (c *Core) SetMetrics(f *telemetry.Figures) { c.figures = f }
+func (c *Core) SetMetrics(m *telemetry.Figures) { c.metrics = m }
 
-// tally counts a final answer by its kind. One that nobody reads counts as nothing.
-func (c *Core) tally(class int, k Kind, late bool) {
-	n := c.figures.Class(class)
-	if n == nil {
+// countAnswer counts a final answer by its kind. One that nobody reads counts as nothing.
+func (c *Core) countAnswer(class int, kind Kind, late bool) {
+	counts := c.metrics.Class(class)
+	if counts == nil {
 		return
 	}
-	switch k {
+	switch kind {
 	case Served:
-		n.Success.Add(1)
+		counts.Success.Add(1)
 		if late {
-			n.Late.Add(1)
+			counts.Late.Add(1)
 		}
 	case Refused:
-		n.Overload.Add(1)
+		counts.Overload.Add(1)
 	case Failed:
-		n.Error.Add(1)
+		counts.Error.Add(1)
 	}
 }
 
@@ -243,18 +243,18 @@
 }
 
 // CountStreamed counts a streamed answer at its end.
-func (c *Core) CountStreamed(class int, whole bool) {
-	k := Served
-	if !whole {
-		k = Failed
+func (c *Core) CountStreamed(class int, complete bool) {
+	kind := Served
+	if !complete {
+		kind = Failed
 	}
-	c.tally(class, k, false) // how long it took is for its reader to say
+	c.countAnswer(class, kind, false) // how long it took is for its reader to say
 }
 
 // SetClassNames names the classes by their number, for the figures.
 func (c *Core) SetClassNames(names []string) {
-	if c.figures != nil {
-		c.figures.Classes(names)
+	if c.metrics != nil {
+		c.metrics.Classes(names)
 	}
 }
 
@@ -266,10 +266,10 @@
 	if c.sites == nil {
 		return sites.Report{}, false
 	}
-	m := report{make(chan sites.Report, 1)}
+	m := sitesReport{make(chan sites.Report, 1)}
 	c.post(m)
 	select {
-	case r := <-m.got:
+	case r := <-m.reply:
 		return r, true
 	case <-c.done:
 		return sites.Report{}, false
@@ -278,7 +278,7 @@
 
 // Reconfigure takes new classes and plans in, and returns once exchanges may name them. Numbers in use stay.
 func (c *Core) Reconfigure(e control.Reconfigured) {
-	m := changed{e, make(chan struct{})}
+	m := reconfigured{e, make(chan struct{})}
 	c.post(m)
 	select {
 	case <-m.done:
@@ -288,10 +288,10 @@
 
 // PlansInUse counts the customers that are known, by the number of their plan.
 func (c *Core) PlansInUse() map[int]int {
-	m := inUse{make(chan map[int]int, 1)}
+	m := plansInUse{make(chan map[int]int, 1)}
 	c.post(m)
 	select {
-	case n := <-m.got:
+	case n := <-m.reply:
 		return n
 	case <-c.done:
 		return nil
@@ -301,18 +301,18 @@
 // Do has an exchange decided and carried out, and returns its one final answer. If ctx ends first the client
 // has left: whatever is out for it is called off.
 func (c *Core) Do(ctx context.Context, x Exchange) Answer {
-	h := &held{Exchange: x, answer: make(chan Answer, 1), over: make(chan struct{})}
+	h := &heldExchange{Exchange: x, answer: make(chan Answer, 1), done: make(chan struct{})}
 	select {
-	case c.mailbox <- opened{h}:
+	case c.mailbox <- exchangeOpened{h}:
 	default: // more than the core can take in: shed here, without waiting
-		c.tally(x.Class, Refused, false)
-		return Answer{Kind: Refused, RetryAfter: c.pause}
+		c.countAnswer(x.Class, Refused, false)
+		return Answer{Kind: Refused, RetryAfter: c.retryAfter}
 	}
 	select {
 	case a := <-h.answer:
 		return a
 	case <-ctx.Done():
-		c.post(left{h})
+		c.post(clientGone{h})
 		select {
 		case a := <-h.answer: // a final answer that crossed the client's leaving stands
 			return a
@@ -320,13 +320,13 @@
 			return Answer{Kind: ClientGone, MayHaveRun: true}
 		}
 	case <-c.done:
-		c.tally(x.Class, Refused, false)
-		return Answer{Kind: Refused, RetryAfter: c.pause}
+		c.countAnswer(x.Class, Refused, false)
+		return Answer{Kind: Refused, RetryAfter: c.retryAfter}
 	}
 }
 
 // RetryAfter is what the core advises clients to wait whose requests it sheds by itself; 0: no advice.
-func (c *Core) RetryAfter() time.Duration { return c.pause }
+func (c *Core) RetryAfter() time.Duration { return c.retryAfter }
 
 // Routes takes a new route table in. It returns once the core has it in its mailbox.
 func (c *Core) Routes(t Table) { c.post(t) }
@@ -350,10 +350,10 @@
 // FlushUnits has what was used and not added to the counter yet added now, and waits for that until ctx ends: units that
 // nobody hears of could be spent a second time.
 func (c *Core) FlushUnits(ctx context.Context) error {
-	m := ending{make(chan struct{})}
+	m := flushUnits{make(chan struct{})}
 	c.post(m)
 	select {
-	case <-m.added:
+	case <-m.done:
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("not all units were added to the counter: %w", ctx.Err())
@@ -362,41 +362,41 @@
 	}
 }
 
-// added answers those that wait in Finish.
-func (c *Core) added() {
-	if len(c.adding) == 0 || c.gateway.Unadded() > 0 {
+// notifyFlushed answers those that wait in Finish.
+func (c *Core) notifyFlushed() {
+	if len(c.flushWaiters) == 0 || c.gateway.Unadded() > 0 {
 		return
 	}
-	for _, done := range c.adding {
+	for _, done := range c.flushWaiters {
 		close(done)
 	}
-	c.adding = nil
+	c.flushWaiters = nil
 }
 
-func (c *Core) shed() {
-	c.ending = true
+func (c *Core) shedHeld() {
+	c.shedding = true
 	for _, h := range c.held {
-		if !h.final {
-			c.abandon(h)
+		if !h.answered {
+			c.answerLocally(h)
 		}
 	}
 }
 
-// abandon ends an exchange here, for a reason of the core's own.
-func (c *Core) abandon(h *held) {
-	c.end(h, c.curtail(h))
-	c.feed(control.Gone{ID: h.id})
-	c.forget(h)
+// answerLocally ends an exchange here, for a reason of the core's own.
+func (c *Core) answerLocally(h *heldExchange) {
+	c.answer(h, c.localAnswer(h))
+	c.handleEvent(control.Gone{ID: h.id})
+	c.removeIfDone(h)
 }
 
-// curtail is the answer of an exchange that ends here for a reason of its own.
-func (c *Core) curtail(h *held) Answer {
+// localAnswer is the answer of an exchange that ends here for a reason of its own.
+func (c *Core) localAnswer(h *heldExchange) Answer {
 	class := c.classes[h.Class]
-	again := class.Repeat == control.Safe || class.Repeat == control.Keyed && class.Group == control.GroupAll
-	if !again && (h.mayRan || h.out > 0) { // a refusal would say that trying again is harmless
+	repeatable := class.Repeat == control.Safe || class.Repeat == control.Keyed && class.Group == control.GroupAll
+	if !repeatable && (h.mayHaveRun || h.inFlight > 0) { // a refusal would say that trying again is harmless
 		return Answer{Kind: Failed}
 	}
-	return Answer{Kind: Refused, RetryAfter: c.pause}
+	return Answer{Kind: Refused, RetryAfter: c.retryAfter}
 }
 
 func (c *Core) post(m any) {
@@ -406,67 +406,67 @@
 	}
 }
 
-func (c *Core) now() control.Seconds { return c.baseSec + time.Since(c.base).Seconds() }
+func (c *Core) now() control.Seconds { return c.startSeconds + time.Since(c.startTime).Seconds() }
 
 // Run handles messages until ctx ends.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.done)
 	c.ctx = ctx
-	var tick, look <-chan time.Time
+	var siteTick, gaugeTick <-chan time.Time
 	if c.sites != nil {
-		t := time.NewTicker(siteTick)
+		t := time.NewTicker(siteTickInterval)
 		defer t.Stop()
-		tick = t.C
+		siteTick = t.C
 	}
-	if c.figures != nil {
-		t := time.NewTicker(figureTick)
+	if c.metrics != nil {
+		t := time.NewTicker(gaugeInterval)
 		defer t.Stop()
-		look = t.C
+		gaugeTick = t.C
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick:
-			c.tick()
-		case <-look:
+		case <-siteTick:
+			c.tickSites()
+		case <-gaugeTick:
 			listed, avoided := c.gateway.Listed()
-			c.figures.Targets.Store(int64(listed))
-			c.figures.Disabled.Store(int64(avoided))
-			c.figures.Draining.Store(c.gateway.Draining())
+			c.metrics.Targets.Store(int64(listed))
+			c.metrics.Disabled.Store(int64(avoided))
+			c.metrics.Draining.Store(c.gateway.Draining())
 		case m := <-c.mailbox:
 			c.handle(m)
 		}
-		for len(c.later) > 0 {
-			next := c.later[0]
-			c.later = c.later[1:]
+		for len(c.selfMessages) > 0 {
+			next := c.selfMessages[0]
+			c.selfMessages = c.selfMessages[1:]
 			c.handle(next)
 		}
-		c.added()
+		c.notifyFlushed()
 	}
 }
 
 func (c *Core) handle(m any) {
 	switch m := m.(type) {
-	case opened:
+	case exchangeOpened:
 		c.open(m.h)
-	case left:
-		c.end(m.h, Answer{Kind: ClientGone})
-		c.feed(control.Gone{ID: m.h.id})
-		c.forget(m.h)
-	case whole:
-		if h := m.h; h.Arriving && !h.final {
+	case clientGone:
+		c.answer(m.h, Answer{Kind: ClientGone})
+		c.handleEvent(control.Gone{ID: m.h.id})
+		c.removeIfDone(m.h)
+	case bodySent:
+		if h := m.h; h.Arriving && !h.answered {
 			h.Arriving, h.Deadline = false, time.Now().Add(h.ResponseTimeout)
-			h.guard.Reset(h.ResponseTimeout + overdue)
-			c.feed(control.Arrived{ID: h.id})
+			h.overdueTimer.Reset(h.ResponseTimeout + overdueGrace)
+			c.handleEvent(control.Arrived{ID: h.id})
 		}
-	case expired:
-		if !m.h.final { // guards against an attempt that hangs: the client is never left without an answer
+	case deadlinePassed:
+		if !m.h.answered { // guards against an attempt that hangs: the client is never left without an answer
 			c.log.Warn("exchange overdue", "id", m.h.id)
-			c.abandon(m.h)
+			c.answerLocally(m.h)
 		}
-	case ended:
-		c.ended(m)
+	case attemptEnded:
+		c.endAttempt(m)
 	case Table:
 		c.egress.Update(m)
 		members := control.Members{Kind: m.Kind, Version: m.Version}
@@ -476,128 +476,128 @@
 		if c.sites != nil {
 			c.sites.Members(c.now(), members)
 		}
-		c.feed(members)
-	case probed:
-		c.sites.Probed(c.now(), m.target, m.status, m.took)
-		c.tick() // a link that is up again is used at once
-	case inUse:
-		m.got <- c.gateway.InUse()
-	case changed:
+		c.handleEvent(members)
+	case linkProbed:
+		c.sites.Probed(c.now(), m.target, m.status, m.elapsed)
+		c.tickSites() // a link that is up again is used at once
+	case plansInUse:
+		m.reply <- c.gateway.InUse()
+	case reconfigured:
 		c.classes = m.Classes
 		if c.sites != nil {
 			c.sites.Reconfigure(c.now(), m.Classes, m.From)
 		}
-		c.feed(m.Reconfigured)
+		c.handleEvent(m.Reconfigured)
 		close(m.done)
-	case report:
-		m.got <- c.sites.Report()
+	case sitesReport:
+		m.reply <- c.sites.Report()
 	case flush:
 		close(m.done)
-	case ending:
-		c.adding = append(c.adding, m.added)
-		c.feed(control.Ending{})
+	case flushUnits:
+		c.flushWaiters = append(c.flushWaiters, m.done)
+		c.handleEvent(control.Ending{})
 	case shedAll:
-		c.shed()
+		c.shedHeld()
 	case control.Event:
-		c.feed(m)
+		c.handleEvent(m)
 	default:
 		panic(fmt.Sprintf("core: no such message: %T", m))
 	}
 }
 
-func (c *Core) open(h *held) {
+func (c *Core) open(h *heldExchange) {
 	c.lastID++
 	h.id = c.lastID
-	rest := time.Until(h.Deadline)
-	if rest <= 0 || c.ending {
-		c.end(h, Answer{Kind: Refused, RetryAfter: c.pause})
+	remaining := time.Until(h.Deadline)
+	if remaining <= 0 || c.shedding {
+		c.answer(h, Answer{Kind: Refused, RetryAfter: c.retryAfter})
 		return
 	}
 	c.held[h.id] = h
-	h.guard = time.AfterFunc(rest+overdue, func() { c.post(expired{h}) })
-	h.came = time.Now()
+	h.overdueTimer = time.AfterFunc(remaining+overdueGrace, func() { c.post(deadlinePassed{h}) })
+	h.receivedAt = time.Now()
 	if h.Arriving {
-		rest = h.ResponseTimeout
+		remaining = h.ResponseTimeout
 	}
-	c.feed(control.Request{
-		Arriving: h.Arriving, Reach: c.route(h, rest),
-		ID: h.id, Class: h.Class, Plan: h.Plan, Customer: h.Customer, TimeLeft: rest.Seconds(),
+	c.handleEvent(control.Request{
+		Arriving: h.Arriving, Reach: c.route(h, remaining),
+		ID: h.id, Class: h.Class, Plan: h.Plan, Customer: h.Customer, TimeLeft: remaining.Seconds(),
 		Units: h.Units, Spread: h.Spread, First: h.First, Repeat: h.Repeat, Ask: h.DecisionOnly,
 	})
-	c.forget(h)
+	c.removeIfDone(h)
 }
 
-// end gives the final answer, unless there is one already.
-func (c *Core) end(h *held, a Answer) {
-	if h.final {
+// answer gives the final answer, unless there is one already.
+func (c *Core) answer(h *heldExchange, a Answer) {
+	if h.answered {
 		return
 	}
-	h.final = true
-	close(h.over)
+	h.answered = true
+	close(h.done)
 	if s, ok := a.Reply.(Streamer); !ok || !s.Streaming() { // else it is counted when it has ended: Streamed
-		c.tally(h.Class, a.Kind, time.Since(h.came).Seconds() > c.classes[h.Class].Aim)
+		c.countAnswer(h.Class, a.Kind, time.Since(h.receivedAt).Seconds() > c.classes[h.Class].Aim)
 	}
-	a.MayHaveRun, a.RanAtSite, a.AttemptsOut = h.mayRan || h.out > 0, h.ranAt, h.out
+	a.MayHaveRun, a.RanAtSite, a.AttemptsOut = h.mayHaveRun || h.inFlight > 0, h.ranAtSite, h.inFlight
 	h.answer <- a
-	if h.guard != nil {
-		h.guard.Stop()
+	if h.overdueTimer != nil {
+		h.overdueTimer.Stop()
 	}
 }
 
-// forget drops an exchange that has its answer and nothing out.
-func (c *Core) forget(h *held) {
-	if h.final && h.out == 0 {
+// removeIfDone drops an exchange that has its answer and nothing out.
+func (c *Core) removeIfDone(h *heldExchange) {
+	if h.answered && h.inFlight == 0 {
 		delete(c.held, h.id)
 	}
 }
 
-func (c *Core) ended(e ended) {
+func (c *Core) endAttempt(e attemptEnded) {
 	if e.Written {
-		if n := c.figures.Class(e.h.Class); n != nil {
+		if n := c.metrics.Class(e.h.Class); n != nil {
 			n.Dispatches.Add(1)
 		}
 	}
-	e.h.out--
+	e.h.inFlight--
 	e.h.cancels[e.attempt]()
 	if e.Status != control.Full && e.Status != control.ConnectFailed && e.Status != control.Moot {
-		if !e.h.mayRan {
-			e.h.ran = e.sent
+		if !e.h.mayHaveRun {
+			e.h.mayHaveRunSince = e.sentAt
 		}
-		e.h.mayRan = true
+		e.h.mayHaveRun = true
 	}
 	var reach control.Reach
 	if c.sites != nil {
 		c.sites.Ended(c.now(), e.h.flights[e.attempt], e.Status, e.TimeToFirstByte.Seconds())
-		if e.Status != control.OK && !e.h.final {
+		if e.Status != control.OK && !e.h.answered {
 			reach = c.route(e.h, time.Until(e.h.Deadline))
 		}
 	}
 	switch s, streams := e.Reply.(Streamer); {
-	case e.Status == control.OK && !e.h.final:
-		c.end(e.h, Answer{Kind: Served, Reply: e.Reply})
+	case e.Status == control.OK && !e.h.answered:
+		c.answer(e.h, Answer{Kind: Served, Reply: e.Reply})
 	case streams:
 		s.Close()
 	}
-	if !e.h.final && e.h.BodyConsumed != nil && e.h.BodyConsumed() { // there is nothing left to send to another
-		c.end(e.h, c.curtail(e.h))
+	if !e.h.answered && e.h.BodyConsumed != nil && e.h.BodyConsumed() { // there is nothing left to send to another
+		c.answer(e.h, c.localAnswer(e.h))
 	}
-	c.feed(control.Outcome{
+	c.handleEvent(control.Outcome{
 		ID: e.h.id, Server: e.target, Attempt: e.attempt, Status: e.Status,
-		Closed: e.h.final, Elapsed: e.took, Load: e.Load, Reach: reach,
+		Closed: e.h.answered, Elapsed: e.elapsed, Load: e.Load, Reach: reach,
 	})
-	c.forget(e.h)
+	c.removeIfDone(e.h)
 }
 
-// feed hands one event to the module and carries its actions out.
-func (c *Core) feed(ev control.Event) {
+// handleEvent hands one event to the module and carries its actions out.
+func (c *Core) handleEvent(ev control.Event) {
 	actions := c.gateway.Handle(c.now(), ev, c.actions[:0])
 	c.actions = actions
 	for _, a := range actions {
-		c.act(a)
+		c.perform(a)
 	}
 }
 
-func (c *Core) act(a control.Action) {
+func (c *Core) perform(a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
 		c.send(a)
@@ -607,28 +607,28 @@
 		}
 	case control.Refuse:
 		if h := c.held[a.ID]; h != nil {
-			if c.sites != nil && !a.Over && !h.DecisionOnly && !h.final {
+			if c.sites != nil && !a.Over && !h.DecisionOnly && !h.answered {
 				c.sites.Refused(h.Class, h.verdict)
 			}
-			c.end(h, Answer{Kind: Refused, RetryAfter: duration(a.RetryAfter), OverQuota: a.Over})
-			c.forget(h)
+			c.answer(h, Answer{Kind: Refused, RetryAfter: duration(a.RetryAfter), OverQuota: a.Over})
+			c.removeIfDone(h)
 		}
 	case control.Admit:
 		if h := c.held[a.ID]; h != nil {
-			c.end(h, Answer{Kind: Allowed})
-			c.forget(h)
+			c.answer(h, Answer{Kind: Allowed})
+			c.removeIfDone(h)
 		}
 	case control.Fail:
 		if h := c.held[a.ID]; h != nil {
-			c.end(h, Answer{Kind: Failed})
-			c.forget(h)
+			c.answer(h, Answer{Kind: Failed})
+			c.removeIfDone(h)
 		}
 	case control.SetTimer:
 		time.AfterFunc(duration(a.Delay), func() { c.post(control.Timer{Token: a.Token}) })
 	case control.Count:
-		c.count(a)
+		c.addToCounter(a)
 	case control.Probe:
-		c.probe(a)
+		c.probeServer(a)
 	case control.CloseIdle:
 		c.egress.CloseIdle(a.Server)
 	case control.Log:
@@ -642,7 +642,7 @@
 
 func (c *Core) send(a control.Send) {
 	h := c.held[a.ID]
-	if h == nil || h.final {
+	if h == nil || h.answered {
 		return
 	}
 	deadline := h.Deadline
@@ -652,61 +652,63 @@
 		}
 	}
 	ctx, cancel := context.WithDeadline(c.ctx, deadline)
-	n, sent := len(h.cancels), time.Now()
+	attempt, sentAt := len(h.cancels), time.Now()
 	h.cancels = append(h.cancels, cancel)
-	first := h.out == 0
-	h.out++
+	noneInFlight := h.inFlight == 0
+	h.inFlight++
 	if c.sites != nil {
 		f, _ := c.sites.Sent(c.now(), a.Server, h.Class, h.verdict)
 		h.flights = append(h.flights, f)
-		if !h.mayRan {
-			h.ranAt = max(0, f.Site)
+		if !h.mayHaveRun {
+			h.ranAtSite = max(0, f.Site)
 		}
 	}
-	var before time.Time
-	if class := c.classes[h.Class]; h.mayRan && class.Repeat == control.Keyed { // its key is known for so long
-		before = h.ran.Add(duration(class.Window))
+	var sendBefore time.Time
+	if class := c.classes[h.Class]; h.mayHaveRun && class.Repeat == control.Keyed { // its key is known for so long
+		sendBefore = h.mayHaveRunSince.Add(duration(class.Window))
+	}
+	ended := func(o Outcome) attemptEnded {
+		return attemptEnded{h, attempt, a.Server, sentAt, time.Since(sentAt).Seconds(), o}
 	}
-	done := func(o Outcome) ended { return ended{h, n, a.Server, sent, time.Since(sent).Seconds(), o} }
-	if !first && !c.mayCopy(h) {
+	if !noneInFlight && !c.secondCopyAllowed(h) {
 		c.log.Error("a second copy that is not allowed was not sent", "id", h.id, "class", h.Class)
-		c.later = append(c.later, done(Outcome{Status: control.Moot}))
+		c.selfMessages = append(c.selfMessages, ended(Outcome{Status: control.Moot}))
 		return
 	}
 	if !c.egress.Start(Attempt{
-		Ctx: ctx, Target: a.Server, Payload: h.Payload, Repeat: c.classes[h.Class].Repeat, SendBefore: before, ExchangeDone: h.over,
-		Report:     func(o Outcome) { c.post(done(o)) },
-		OnBodySent: func() { c.post(whole{h}) }, ResponseTimeout: h.ResponseTimeout,
+		Ctx: ctx, Target: a.Server, Payload: h.Payload, Repeat: c.classes[h.Class].Repeat, SendBefore: sendBefore, ExchangeDone: h.done,
+		Report:     func(o Outcome) { c.post(ended(o)) },
+		OnBodySent: func() { c.post(bodySent{h}) }, ResponseTimeout: h.ResponseTimeout,
 	}) {
-		c.later = append(c.later, done(Outcome{Status: control.Full}))
+		c.selfMessages = append(c.selfMessages, ended(Outcome{Status: control.Full}))
 	}
 }
 
-// mayCopy tells whether a second attempt of an exchange may be out beside the first: the last guard of what must not
+// secondCopyAllowed tells whether a second attempt of an exchange may be out beside the first: the last guard of what must not
 // run twice, whatever was decided.
-func (c *Core) mayCopy(h *held) bool {
-	return c.copies && c.classes[h.Class].Repeat == control.Safe && h.BodyConsumed == nil
+func (c *Core) secondCopyAllowed(h *heldExchange) bool {
+	return c.secondCopies && c.classes[h.Class].Repeat == control.Safe && h.BodyConsumed == nil
 }
 
-func (c *Core) count(a control.Count) {
-	asked := time.Now()
+func (c *Core) addToCounter(a control.Count) {
+	start := time.Now()
 	report := func(s control.Status, total float64) control.Counted {
-		return control.Counted{Name: a.Name, Status: s, Total: total, Elapsed: time.Since(asked).Seconds()}
+		return control.Counted{Name: a.Name, Status: s, Total: total, Elapsed: time.Since(start).Seconds()}
 	}
 	if !c.counter.Add(a.Name, a.Amount, duration(a.TTL), func(s control.Status, total float64) {
 		c.post(report(s, total))
 	}) {
-		c.later = append(c.later, report(control.Full, 0))
+		c.selfMessages = append(c.selfMessages, report(control.Full, 0))
 	}
 }
 
-func (c *Core) probe(a control.Probe) {
-	asked := time.Now()
+func (c *Core) probeServer(a control.Probe) {
+	start := time.Now()
 	report := func(s control.Status, load []float64) control.Probed {
-		return control.Probed{Server: a.Server, Status: s, Elapsed: time.Since(asked).Seconds(), Load: load}
+		return control.Probed{Server: a.Server, Status: s, Elapsed: time.Since(start).Seconds(), Load: load}
 	}
 	if !c.egress.Probe(a.Server, 0, func(s control.Status, load []float64) { c.post(report(s, load)) }) {
-		c.later = append(c.later, report(control.ConnectFailed, nil))
+		c.selfMessages = append(c.selfMessages, report(control.ConnectFailed, nil))
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,22 +10,26 @@
 	"junctionring/control"
 )
 
-// hand is an egress whose attempts a test ends by hand.
-type hand struct{ sent chan Attempt }
+// manualEgress is an egress whose attempts a test ends by manualEgress.
+type manualEgress struct{ sent chan Attempt }
 
-func (h hand) Update(Table)                                                      {}
-func (h hand) Start(a Attempt) bool                                              { h.sent <- a; return true }
-func (h hand) Probe(string, time.Duration, func(control.Status, []float64)) bool { return false }
-func (h hand) CloseIdle(string)                                                  {}
+func (h manualEgress) Update(Table)         {}
+func (h manualEgress) Start(a Attempt) bool { h.sent <- a; return true }
+func (h manualEgress) Probe(string, time.Duration, func(control.Status, []float64)) bool {
+	return false
+}
+func (h manualEgress) CloseIdle(string) {}
 
-type nowhere struct{}
+type unavailableCounter struct{}
 
-func (nowhere) Add(uint64, float64, time.Duration, func(control.Status, float64)) bool { return false }
+func (unavailableCounter) Add(uint64, float64, time.Duration, func(control.Status, float64)) bool {
+	return false
+}
 
-// started is a core before two servers.
-func started(t *testing.T, limits control.Limits) (*Core, hand) {
+// startCore is a core before two servers.
+func startCore(t *testing.T, limits control.Limits) (*Core, manualEgress) {
 	t.Helper()
-	out := hand{make(chan Attempt, 16)}
+	egress := manualEgress{make(chan Attempt, 16)}
 	c, err := New(control.Settings{
 		Gateways: 1,
 		Classes: []control.Class{
@@ -35,7 +39,7 @@
 		},
 		Plans: []control.Plan{{Rate: 100, Burst: 100, Worth: 1, OverCost: 1}}, Limits: limits,
 		Guarantees: control.Guarantees{ColdFrom: 0.2, Ramp: 5, FallMultiple: 3, FallAfter: 1.5},
-	}, 1, out, nowhere{}, slog.New(slog.DiscardHandler))
+	}, 1, egress, unavailableCounter{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,32 +51,32 @@
 		table.Targets = append(table.Targets, Target{Member: control.Member{Server: id, State: control.Ready}})
 	}
 	c.Routes(table)
-	return c, out
+	return c, egress
 }
 
 // A repeat of what may have run carries the time after which its key is not known any more, counted from the first
 // attempt that may have run; one that never ran, and one that may be repeated at any time, carries none.
 func TestRepeatIsBoundByItsWindow(t *testing.T) {
-	c, out := started(t, control.Limits{MaxAttempts: 4, Cancel: true})
-	for class, bound := range []bool{false, true} {
+	c, egress := startCore(t, control.Limits{MaxAttempts: 4, Cancel: true})
+	for class, limited := range []bool{false, true} {
 		done := make(chan Answer, 1)
 		go func() {
 			done <- c.Do(context.Background(), Exchange{Class: class, Units: 1, Spread: 1, Deadline: time.Now().Add(20 * time.Second)})
 		}()
-		first := <-out.sent
+		first := <-egress.sent
 		first.Report(Outcome{Status: control.ConnectFailed})
-		begun := time.Now()
-		second := <-out.sent
+		failedAt := time.Now()
+		second := <-egress.sent
 		if !first.SendBefore.IsZero() || !second.SendBefore.IsZero() {
 			t.Errorf("class %d: bound before anything may have run: %v, %v", class, first.SendBefore, second.SendBefore)
 		}
 		reported := time.Now()
 		second.Report(Outcome{Status: control.Reset, Written: true})
-		third := <-out.sent
-		if early, late := begun.Add(3*time.Second-time.Second), reported.Add(3*time.Second); bound && (third.SendBefore.Before(early) || third.SendBefore.After(late)) {
+		third := <-egress.sent
+		if early, late := failedAt.Add(3*time.Second-time.Second), reported.Add(3*time.Second); limited && (third.SendBefore.Before(early) || third.SendBefore.After(late)) {
 			t.Errorf("class %d: bound by %v, want up to %v", class, third.SendBefore, late)
 		}
-		if !bound && !third.SendBefore.IsZero() {
+		if !limited && !third.SendBefore.IsZero() {
 			t.Errorf("class %d: bound by %v", class, third.SendBefore)
 		}
 		third.Report(Outcome{Status: control.OK, Written: true})
@@ -89,17 +93,17 @@
 		limits control.Limits
 		want   time.Duration
 	}{
-		{control.Limits{MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2}, busyPause},
+		{control.Limits{MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2}, shedRetryAfter},
 		{control.Limits{MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 0.2}, 200 * time.Millisecond},
 		{control.Limits{MaxAttempts: 2, MaxRetryAfter: 1}, 0},
 	} {
-		c, out := started(t, s.limits)
+		c, egress := startCore(t, s.limits)
 		done := make(chan Answer, 3)
 		for class := range 3 {
 			go func() {
 				done <- c.Do(context.Background(), Exchange{Class: class, Units: 1, Spread: 1, Deadline: time.Now().Add(20 * time.Second)})
 			}()
-			<-out.sent
+			<-egress.sent
 		}
 		c.Shed()
 		failed := 0
@@ -120,7 +124,7 @@
 				t.Errorf("after the end: %+v", a)
 			}
 		}
-		if len(out.sent) > 0 {
+		if len(egress.sent) > 0 {
 			t.Error("something was sent on after the end")
 		}
 	}
@@ -144,7 +148,7 @@
 		{"an unsafe class", allowed, 2, nil, 1},
 		{"a message sent on as it came in", allowed, 0, func() bool { return false }, 1},
 	} {
-		out := hand{make(chan Attempt, 4)}
+		egress := manualEgress{make(chan Attempt, 4)}
 		c, err := New(control.Settings{
 			Gateways: 1,
 			Classes: []control.Class{
@@ -153,22 +157,22 @@
 				{Aim: 5, Deadline: 20, Repeat: control.Unsafe},
 			},
 			Plans: []control.Plan{{Rate: 100, Burst: 100}}, Limits: s.limits,
-		}, 1, out, nowhere{}, slog.New(slog.DiscardHandler))
+		}, 1, egress, unavailableCounter{}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.ctx = context.Background()
-		c.held[1] = &held{
+		c.held[1] = &heldExchange{
 			id: 1, Exchange: Exchange{Class: s.class, BodyConsumed: s.spent, Deadline: time.Now().Add(20 * time.Second)},
-			answer: make(chan Answer, 1), over: make(chan struct{}),
+			answer: make(chan Answer, 1), done: make(chan struct{}),
 		}
 		c.send(control.Send{ID: 1, Server: "one"})
 		c.send(control.Send{ID: 1, Server: "two"})
-		if len(out.sent) != s.sent {
-			t.Errorf("%s: %d attempts out at once, want %d", s.name, len(out.sent), s.sent)
+		if len(egress.sent) != s.sent {
+			t.Errorf("%s: %d attempts out at once, want %d", s.name, len(egress.sent), s.sent)
 		}
-		if s.sent == 1 && (len(c.later) != 1 || c.later[0].(ended).Status != control.Moot) {
-			t.Errorf("%s: the attempt that was not sent ends as %+v, want moot", s.name, c.later)
+		if s.sent == 1 && (len(c.selfMessages) != 1 || c.selfMessages[0].(attemptEnded).Status != control.Moot) {
+			t.Errorf("%s: the attempt that was not sent ends as %+v, want moot", s.name, c.selfMessages)
 		}
 	}
 }
@@ -176,7 +180,7 @@
 // Both copies of a request are answered, in either order or one after the other has failed: the client has one answer,
 // and the copy that is still out when it comes is called off.
 func TestTwoCopiesGiveOneAnswer(t *testing.T) {
-	c, out := started(t, control.Limits{MaxAttempts: 6, SecondCopies: true, Cancel: true})
+	c, egress := startCore(t, control.Limits{MaxAttempts: 6, SecondCopies: true, Cancel: true})
 	ask := func() chan Answer {
 		done := make(chan Answer, 1)
 		go func() {
@@ -186,12 +190,12 @@
 	}
 	for range 60 { // so that the gateway knows how long answers take
 		done := ask()
-		(<-out.sent).Report(Outcome{Status: control.OK, Written: true})
+		(<-egress.sent).Report(Outcome{Status: control.OK, Written: true})
 		<-done
 	}
 	for winner := range 2 {
 		done := ask()
-		copies := []Attempt{<-out.sent, <-out.sent}
+		copies := []Attempt{<-egress.sent, <-egress.sent}
 		if copies[0].Target == copies[1].Target {
 			t.Errorf("both copies went to %s", copies[0].Target)
 		}
@@ -205,10 +209,10 @@
 		c.Settle()
 	}
 	done := ask()
-	first, second := <-out.sent, <-out.sent
+	first, second := <-egress.sent, <-egress.sent
 	first.Report(Outcome{Status: control.Error, Written: true})
 	c.Settle()
-	if len(out.sent) > 0 {
+	if len(egress.sent) > 0 {
 		t.Error("a third attempt beside the copy")
 	}
 	second.Report(Outcome{Status: control.OK, Written: true, Reply: "copy"})
@@ -221,15 +225,15 @@
 func TestOverdueIsAnsweredByItsClass(t *testing.T) {
 	for class, want := range []Kind{control.Safe: Refused, control.Keyed: Refused, control.Unsafe: Failed} {
 		synctest.Test(t, func(t *testing.T) {
-			c, out := started(t, control.Limits{MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2})
+			c, egress := startCore(t, control.Limits{MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2})
 			a := c.Do(t.Context(), Exchange{Class: class, Units: 1, Spread: 1, Deadline: time.Now().Add(time.Second)})
-			if len(out.sent) == 0 {
+			if len(egress.sent) == 0 {
 				t.Fatal("nothing was sent")
 			}
-			if a.Kind != want || want == Refused && a.RetryAfter != busyPause {
+			if a.Kind != want || want == Refused && a.RetryAfter != shedRetryAfter {
 				t.Errorf("class %d: answered %+v, want kind %v", class, a, want)
 			}
-			(<-out.sent).Report(Outcome{Status: control.Cancelled})
+			(<-egress.sent).Report(Outcome{Status: control.Cancelled})
 		})
 	}
 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -21,17 +21,17 @@
 	total  float64
 }
 
-// adder runs a counter and makes calls on it.
-type adder interface {
+// counterClient runs a counter and makes calls on it.
+type counterClient interface {
 	Add(uint64, float64, time.Duration, func(control.Status, float64)) bool
 	Run(context.Context)
 }
 
-func run(t *testing.T, c adder) func(name uint64, amount float64) chan answer {
+func startCounter(t *testing.T, c counterClient) func(name uint64, amount float64) chan answer {
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { c.Run(ctx); close(ended) }()
-	t.Cleanup(func() { cancel(); <-ended })
+	done := make(chan struct{})
+	go func() { c.Run(ctx); close(done) }()
+	t.Cleanup(func() { cancel(); <-done })
 	return func(name uint64, amount float64) chan answer {
 		t.Helper()
 		got := make(chan answer, 2)
@@ -42,15 +42,15 @@
 	}
 }
 
-// store accepts connections for a test to script; pings are answered by itself, each in its place among the calls.
-type store struct {
+// fakeCounter accepts connections for a test to script; pings are answered by itself, each in its place among the calls.
+type fakeCounter struct {
 	net.Listener
 	lines chan string
 	conns chan net.Conn
 }
 
-// storeConn is a connection of a store. A test writes the answers to calls on it.
-type storeConn struct {
+// fakeCounterConn is a connection of a store. A test writes the answers to calls on it.
+type fakeCounterConn struct {
 	net.Conn
 
 	mu       sync.Mutex
@@ -59,7 +59,7 @@
 	pings    []int // those without an answer yet: how many calls came before each
 }
 
-func (c *storeConn) came(line string) (isCall bool) {
+func (c *fakeCounterConn) received(line string) (isCall bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if line != "ping" {
@@ -67,12 +67,12 @@
 		return true
 	}
 	c.pings = append(c.pings, c.calls)
-	c.pong()
+	c.answerPings()
 	return false
 }
 
-// pong answers the pings whose turn it is. c.mu is held.
-func (c *storeConn) pong() {
+// answerPings answers the pings whose turn it is. c.mu is held.
+func (c *fakeCounterConn) answerPings() {
 	for len(c.pings) > 0 && c.pings[0] <= c.answered {
 		c.pings = c.pings[1:]
 		io.WriteString(c.Conn, "pong\r\n")
@@ -80,7 +80,7 @@
 }
 
 // Write writes answers, with those to pings between them.
-func (c *storeConn) Write(b []byte) (n int, err error) {
+func (c *fakeCounterConn) Write(b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for line := range bytes.Lines(b) {
@@ -89,17 +89,17 @@
 		}
 		n += len(line)
 		c.answered += bytes.Count(line, []byte("\n"))
-		c.pong()
+		c.answerPings()
 	}
 	return n, nil
 }
 
-func newStore(t *testing.T) *store {
+func newFakeCounter(t *testing.T) *fakeCounter {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &store{l, make(chan string, 64), make(chan net.Conn, 64)}
+	s := &fakeCounter{l, make(chan string, 64), make(chan net.Conn, 64)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -107,11 +107,11 @@
 			if err != nil {
 				return
 			}
-			c := &storeConn{Conn: nc}
+			c := &fakeCounterConn{Conn: nc}
 			s.conns <- c
 			go func() {
 				for in := bufio.NewScanner(c); in.Scan(); {
-					if c.came(in.Text()) {
+					if c.received(in.Text()) {
 						s.lines <- in.Text()
 					}
 				}
@@ -123,8 +123,8 @@
 
 // A call given up keeps its place: its late answer is not taken for the next one's.
 func TestLateAnswerIsReadOff(t *testing.T) {
-	s := newStore(t)
-	add := run(t, counter.NewLineClient(s.Addr().String(), 50*time.Millisecond))
+	s := newFakeCounter(t)
+	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 50*time.Millisecond))
 	c := <-s.conns
 	first := add(7, 2.5)
 	if line := <-s.lines; line != "bump 7 2.5 4000" {
@@ -154,13 +154,13 @@
 // A broken connection ends what is out on it as in doubt, and the next call goes out on a new one. A counter
 // that is not there adds nothing.
 func TestCounterBreaksAndIsGone(t *testing.T) {
-	s := newStore(t)
-	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
+	s := newFakeCounter(t)
+	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	c := <-s.conns
-	out := add(7, 1)
+	pending := add(7, 1)
 	<-s.lines
 	c.Close()
-	if a := <-out; a.status != control.Timeout {
+	if a := <-pending; a.status != control.Timeout {
 		t.Errorf("a call on a broken connection ended as %v", a)
 	}
 	c = <-s.conns
@@ -183,8 +183,8 @@
 
 // Calls made in a row are written in a row, in order, over one connection.
 func TestCallsArePipelined(t *testing.T) {
-	s := newStore(t)
-	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
+	s := newFakeCounter(t)
+	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	c := <-s.conns
 	var calls []chan answer
 	for i := range 5 {
@@ -206,20 +206,20 @@
 // On Redis a name gets its life when it is new, and a lost answer is in doubt: it is not sent again.
 func TestRedis(t *testing.T) {
 	s := newRedis(t)
-	add := run(t, counter.NewRedis(s.Addr(), 5*time.Second))
+	add := startCounter(t, counter.NewRedis(s.Addr(), 5*time.Second))
 	for i, want := range []float64{2.5, 5} {
 		if a := <-add(7, 2.5); a != (answer{control.OK, want}) {
 			t.Errorf("add %d: %v", i, a)
 		}
 	}
-	if lives := s.Life(); len(lives) != 1 || lives[0] > 4*time.Second || lives[0] <= 0 {
-		t.Errorf("lives %v", lives)
+	if ttls := s.Life(); len(ttls) != 1 || ttls[0] > 4*time.Second || ttls[0] <= 0 {
+		t.Errorf("lives %v", ttls)
 	}
 	s.Empty()
 	if a := <-add(7, 1); a != (answer{control.OK, 1}) {
 		t.Errorf("an emptied store: %v", a)
 	}
-	short := run(t, counter.NewRedis(s.Addr(), 100*time.Millisecond))
+	short := startCounter(t, counter.NewRedis(s.Addr(), 100*time.Millisecond))
 	<-short(8, 0) // it has its connection
 	s.Silence()
 	if a := <-short(8, 1); a.status != control.Timeout {
@@ -229,8 +229,8 @@
 	if sum := s.Sum(); sum != 7 { // 5, 1, and the one in doubt once
 		t.Errorf("%g units were added, want 7", sum)
 	}
-	gone := run(t, counter.NewRedis("127.0.0.1:1", 5*time.Second))
-	if a := <-gone(8, 1); a.status != control.ConnectFailed {
+	absent := startCounter(t, counter.NewRedis("127.0.0.1:1", 5*time.Second))
+	if a := <-absent(8, 1); a.status != control.ConnectFailed {
 		t.Errorf("no store there: %v", a)
 	}
 }
@@ -238,9 +238,9 @@
 // A counter that moves gets new calls at its new address at once; what is out at the old one still counts when
 // it is answered, and is in doubt when it is cut.
 func TestCounterMoves(t *testing.T) {
-	first, second := newStore(t), newStore(t)
+	first, second := newFakeCounter(t), newFakeCounter(t)
 	line := counter.NewLineClient(first.Addr().String(), 5*time.Second)
-	add := run(t, line)
+	add := startCounter(t, line)
 	old := <-first.conns
 	answered, cut := add(7, 1), add(8, 1)
 	<-first.lines
@@ -269,19 +269,19 @@
 // What is not an answer to the letter leaves its call in doubt, and the ones behind it; the connection is given
 // up, and the next call goes out on another.
 func TestSpoiltAnswerIsInDoubt(t *testing.T) {
-	for name, spoilt := range map[string]string{
+	for name, malformed := range map[string]string{
 		"noise": "\x80\xff\x00\r\n", "no total": "ok\r\n", "a word": "ok many\r\n", "not a number": "ok nan\r\n",
 		"without end": "ok inf\r\n", "hex": "ok 0x10\r\n", "out of range": "ok 1e999\r\n", "more behind": "busy now\r\n",
 		"line feed": "busy\n", "another's answer": "pong\r\n", "half a line": "\x80 ok 4", "long": strings.Repeat("o", 4096),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStore(t)
-			add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
+			s := newFakeCounter(t)
+			add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 			c := <-s.conns
 			first, behind := add(7, 1), add(8, 1)
 			<-s.lines
 			<-s.lines
-			io.WriteString(c, spoilt)
+			io.WriteString(c, malformed)
 			if a, b := <-first, <-behind; a.status != control.Timeout || b.status != control.Timeout {
 				t.Errorf("ended as %v and %v", a, b)
 			}
--- a/internal/counter/crossed_line_test.go
+++ b/internal/counter/crossed_line_test.go
@@ -13,23 +13,23 @@
 	"junctionring/internal/counter"
 )
 
-// twiceLine is a counter that answers some call of its first connection twice. It answers well on every other.
-type twiceLine struct {
+// duplicatingCounter is a counter that answers some call of its first connection twice. It answers well on every other.
+type duplicatingCounter struct {
 	net.Listener
-	came chan struct{} // one for each call
+	received chan struct{} // one for each call
 
 	mu     sync.Mutex
 	totals map[string]float64
 	conns  []net.Conn
 }
 
-func newTwiceLine(t *testing.T, first func(*twiceLine, net.Conn)) *twiceLine {
+func newDuplicatingCounter(t *testing.T, first func(*duplicatingCounter, net.Conn)) *duplicatingCounter {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &twiceLine{Listener: l, came: make(chan struct{}, 64), totals: map[string]float64{}}
+	s := &duplicatingCounter{Listener: l, received: make(chan struct{}, 64), totals: map[string]float64{}}
 	var serving sync.WaitGroup
 	t.Cleanup(func() {
 		l.Close()
@@ -37,7 +37,7 @@
 		serving.Wait()
 	})
 	serving.Go(func() {
-		for serve := first; ; serve = answerWell {
+		for serve := first; ; serve = answerOnce {
 			c, err := l.Accept()
 			if err != nil {
 				return
@@ -54,7 +54,7 @@
 	return s
 }
 
-func (s *twiceLine) closeConns() {
+func (s *duplicatingCounter) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -64,64 +64,64 @@
 
 const pong = "pong\r\n"
 
-func answerWell(s *twiceLine, c net.Conn) {
+func answerOnce(s *duplicatingCounter, c net.Conn) {
 	for in := bufio.NewScanner(c); in.Scan(); {
-		own := pong
+		reply := pong
 		if in.Text() != "ping" {
-			own = s.add(in.Text())
+			reply = s.add(in.Text())
 		}
-		io.WriteString(c, own)
+		io.WriteString(c, reply)
 	}
 }
 
-// answerTwice answers each call twice: the second time when the next one has come, right before the answer to that.
-func answerTwice(s *twiceLine, c net.Conn) {
-	second := ""
+// answerEachTwice answers each call twice: the second time when the next one has come, right before the answer to that.
+func answerEachTwice(s *duplicatingCounter, c net.Conn) {
+	duplicate := ""
 	for in := bufio.NewScanner(c); in.Scan(); {
 		if in.Text() == "ping" {
 			io.WriteString(c, pong)
 			continue
 		}
-		own := s.add(in.Text())
-		io.WriteString(c, second+own)
-		second = own
+		reply := s.add(in.Text())
+		io.WriteString(c, duplicate+reply)
+		duplicate = reply
 	}
 }
 
 // answerFirstTwice answers the first call twice, and each when the next one has come.
-func answerFirstTwice(s *twiceLine, c net.Conn) {
-	held := ""
+func answerFirstTwice(s *duplicatingCounter, c net.Conn) {
+	pending := ""
 	for in := bufio.NewScanner(c); in.Scan(); {
 		if in.Text() == "ping" {
-			held += pong
+			pending += pong
 			continue
 		}
-		own := s.add(in.Text())
-		if held == "" {
-			held = own + own
+		reply := s.add(in.Text())
+		if pending == "" {
+			pending = reply + reply
 			continue
 		}
-		io.WriteString(c, held)
-		held = own
+		io.WriteString(c, pending)
+		pending = reply
 	}
 }
 
-func (s *twiceLine) add(line string) (answer string) {
+func (s *duplicatingCounter) add(line string) (answer string) {
 	var name string
-	var amount, life float64
-	fmt.Sscanf(line, "bump %s %g %g", &name, &amount, &life)
+	var amount, ttl float64
+	fmt.Sscanf(line, "bump %s %g %g", &name, &amount, &ttl)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.totals[name] += amount
-	s.came <- struct{}{}
+	s.received <- struct{}{}
 	return fmt.Sprintf("ok %g\r\n", s.totals[name])
 }
 
 // Guards against the total of one name being taken for another's, where the counter answers a call twice and the second
 // time late.
 func TestSecondLineIsNotTakenForAnotherName(t *testing.T) {
-	s := newTwiceLine(t, answerTwice)
-	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
+	s := newDuplicatingCounter(t, answerEachTwice)
+	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	if a := <-add(1, 5); a != (answer{control.OK, 5}) {
 		t.Fatalf("the first call was answered %v", a)
 	}
@@ -138,12 +138,12 @@
 
 // Guards against every later total going to the wrong name, where a call is answered twice and another is always out.
 func TestLineTooManyDoesNotShiftTheTotalsBehind(t *testing.T) {
-	s := newTwiceLine(t, answerFirstTwice)
-	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
+	s := newDuplicatingCounter(t, answerFirstTwice)
+	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	var calls []chan answer
 	for i := range 8 {
 		calls = append(calls, add(uint64(i), float64(i+1)))
-		<-s.came
+		<-s.received
 	}
 	for i, call := range calls[:len(calls)-1] { // the last may still be held
 		if a := <-call; a.status == control.OK && a.total != float64(i+1) {
@@ -154,8 +154,8 @@
 
 // Guards against a line that nobody asked for being kept for the next call.
 func TestUnaskedLineEndsTheConnection(t *testing.T) {
-	s := newStore(t)
-	add := run(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
+	s := newFakeCounter(t)
+	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	c := <-s.conns
 	io.WriteString(c, "ok 5\r\n")
 	c = <-s.conns
--- a/internal/counter/crossed_redis_test.go
+++ b/internal/counter/crossed_redis_test.go
@@ -15,9 +15,9 @@
 	"junctionring/internal/counter"
 )
 
-// twiceRedis is a Redis store that answers each transaction of its first connection twice: the second time when the next
+// duplicatingRedis is a Redis store that answers each transaction of its first connection twice: the second time when the next
 // one has come whole, right before the answer to that one. It answers well on every other connection.
-type twiceRedis struct {
+type duplicatingRedis struct {
 	net.Listener
 
 	mu     sync.Mutex
@@ -25,13 +25,13 @@
 	conns  []net.Conn
 }
 
-func newTwiceRedis(t *testing.T) *twiceRedis {
+func newDuplicatingRedis(t *testing.T) *duplicatingRedis {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &twiceRedis{Listener: l, totals: map[string]float64{}}
+	s := &duplicatingRedis{Listener: l, totals: map[string]float64{}}
 	var serving sync.WaitGroup
 	t.Cleanup(func() {
 		l.Close()
@@ -53,7 +53,7 @@
 	return s
 }
 
-func (s *twiceRedis) closeConns() {
+func (s *duplicatingRedis) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -61,9 +61,9 @@
 	}
 }
 
-func (s *twiceRedis) serve(c net.Conn, twice bool) {
+func (s *duplicatingRedis) serve(c net.Conn, twice bool) {
 	defer c.Close()
-	in, second := bufio.NewReader(c), ""
+	in, duplicate := bufio.NewReader(c), ""
 	for {
 		words, err := readWords(in)
 		if err != nil {
@@ -73,21 +73,21 @@
 			io.WriteString(c, "-ERR unknown command\r\n")
 			continue
 		}
-		own, err := s.transaction(in)
+		reply, err := s.transaction(in)
 		if err != nil {
 			return
 		}
-		if _, err := io.WriteString(c, second+own); err != nil {
+		if _, err := io.WriteString(c, duplicate+reply); err != nil {
 			return
 		}
 		if twice {
-			second = own
+			duplicate = reply
 		}
 	}
 }
 
 // transaction takes the rest of a transaction in, and returns the answer to all of it.
-func (s *twiceRedis) transaction(in *bufio.Reader) (answer string, err error) {
+func (s *duplicatingRedis) transaction(in *bufio.Reader) (answer string, err error) {
 	answer = "+OK\r\n"
 	var results []string
 	for {
@@ -103,7 +103,7 @@
 	}
 }
 
-func (s *twiceRedis) run(words []string) string {
+func (s *duplicatingRedis) run(words []string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := words[1]
@@ -149,8 +149,8 @@
 
 // Guards against the total of one name being taken for another's, where a store answers twice and the second time late.
 func TestSecondRedisAnswerIsNotTakenForAnotherName(t *testing.T) {
-	s := newTwiceRedis(t)
-	add := run(t, counter.NewRedis(s.Addr().String(), 5*time.Second))
+	s := newDuplicatingRedis(t)
+	add := startCounter(t, counter.NewRedis(s.Addr().String(), 5*time.Second))
 	if a := <-add(1, 5); a != (answer{control.OK, 5}) {
 		t.Fatalf("the first call was answered %v", a)
 	}
--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -19,30 +19,30 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	came := make(chan time.Time, 1024)
+	accepted := make(chan time.Time, 1024)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			came <- time.Now()
+			accepted <- time.Now()
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
 	}()
-	add := run(t, counter.NewLineClient(l.Addr().String(), 30*time.Millisecond))
-	enough := make(chan time.Duration, 1)
+	add := startCounter(t, counter.NewLineClient(l.Addr().String(), 30*time.Millisecond))
+	reached := make(chan time.Duration, 1)
 	go func() {
-		first := <-came
+		first := <-accepted
 		for range dials - 1 {
-			<-came
+			<-accepted
 		}
-		enough <- time.Since(first)
+		reached <- time.Since(first)
 	}()
 	for {
 		select {
-		case took := <-enough:
+		case took := <-reached:
 			if least := (dials - 2) * pause; took < least { // the first two may follow each other at once
 				t.Errorf("%d dials within %v, want %v at least", dials, took, least)
 			}
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	var open, most atomic.Int64
+	var open, maxOpen atomic.Int64
 	served, ended := make(chan net.Conn), make(chan struct{})
 	go func() {
 		for {
@@ -72,7 +72,7 @@
 			if err != nil {
 				return
 			}
-			most.Store(max(most.Load(), open.Add(1)))
+			maxOpen.Store(max(maxOpen.Load(), open.Add(1)))
 			go func() {
 				defer func() { open.Add(-1); c.Close(); ended <- struct{}{} }()
 				b := make([]byte, 256)
@@ -87,7 +87,7 @@
 		}
 	}()
 	line := counter.NewLineClient(l.Addr().String(), 5*time.Second)
-	add := run(t, line)
+	add := startCounter(t, line)
 	for i := range rounds {
 		call := add(7, 1)
 		c := <-served
@@ -100,7 +100,7 @@
 		c.(*net.TCPConn).CloseWrite()
 		<-ended // the gateway has seen the end, and closed too
 	}
-	if n := most.Load(); n > 2 {
+	if n := maxOpen.Load(); n > 2 {
 		t.Errorf("%d connections were open at once", n)
 	}
 	go func() { <-ended }() // the last one, when the actor ends
--- a/internal/counter/line.go
+++ b/internal/counter/line.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	mailboxSize = 1024
-	mostOut     = 512                    // calls on a connection not yet answered
-	silence     = time.Second            // without the oldest answer: the connection is given up
-	keepAlive   = 2 * time.Second        // the counter closes idle connections after about 10 s
-	redialPause = 100 * time.Millisecond // so that a dead counter is not stormed with dials
-	dialWait    = 250 * time.Millisecond
-	longestLine = 256                     // bytes of an answer
-	mostDigits  = 32                      // of a total
-	lineWait    = 100 * time.Millisecond  // for the rest of a line that has begun
-	moveWait    = 1500 * time.Millisecond // for answers from an address that the counter has left
-	ping, pong  = "ping", "pong"
-	lineEnd     = "\r\n"
+	mailboxSize       = 1024
+	maxInFlight       = 512                    // calls on a connection not yet answered
+	silenceTimeout    = time.Second            // without the oldest answer: the connection is given up
+	keepAliveInterval = 2 * time.Second        // the counter closes idle connections after about 10 s
+	redialDelay       = 100 * time.Millisecond // so that a dead counter is not stormed with dials
+	dialTimeout       = 250 * time.Millisecond
+	maxAnswerLine     = 256                     // bytes of an answer
+	maxTotalLen       = 32                      // of a total
+	lineTimeout       = 100 * time.Millisecond  // for the rest of a line that has begun
+	oldAddressTimeout = 1500 * time.Millisecond // for answers from an address that the counter has left
+	ping, pong        = "ping", "pong"
+	lineEnd           = "\r\n"
 )
 
-type report = func(control.Status, float64)
+type reportFunc = func(control.Status, float64)
 
 // call is one add. Its timer and its answer race; both are handled by the actor, so one of them wins.
 type call struct {
 	redisAdd // of the Redis store
 
-	line   string // with a ping behind it
-	said   bool   // its answer has come: the pong is next
-	status control.Status
-	total  float64
-	report report
-	timer  *time.Timer
-	done   bool
-	asked  time.Time
+	request     string // with a ping behind it
+	answerRead  bool   // its answer has come: the pong is next
+	status      control.Status
+	total       float64
+	report      reportFunc
+	timer       *time.Timer
+	done        bool
+	requestedAt time.Time
 }
 
 func (c *call) finish(s control.Status, total float64) {
@@ -65,20 +65,20 @@
 		address string
 		err     error
 	}
-	answered struct {
-		wire *wire
+	lineReceived struct {
+		conn *lineConn
 		line string
 	}
-	broken struct{ wire *wire }
-	moved  struct{ address string }
-	redial struct{} // a pause is over
+	connBroken     struct{ conn *lineConn }
+	addressChanged struct{ address string }
+	redial         struct{} // a pause is over
 )
 
-// wire is a connection and the calls written to it that have no answer yet, in order.
-type wire struct {
+// lineConn is a connection and the calls written to it that have no answer yet, in order.
+type lineConn struct {
 	net.Conn
-	out      []*call
-	answered bool // it has brought an answer
+	unanswered  []*call
+	hasAnswered bool // it has brought an answer
 }
 
 // LineClient is the counter on the line protocol: an actor that pipelines calls over one connection. A call given
@@ -91,12 +91,12 @@
 	mailbox chan any
 	done    chan struct{}
 
-	wire       *wire // nil: none that takes calls
-	dialing    bool
-	retryAt    time.Time
-	waiting    []*call // for a connection
-	unanswered int     // connections in a row that ended with no answer on them
-	lastUse    time.Time
+	conn            *lineConn // nil: none that takes calls
+	dialing         bool
+	retryAt         time.Time
+	queued          []*call // for a connection
+	unansweredConns int     // connections in a row that ended with no answer on them
+	lastUse         time.Time
 }
 
 // NewLineClient makes the actor for the counter at an address; each call is given up after timeout.
@@ -107,10 +107,10 @@
 
 // Add implements core.Counter.
 func (l *LineClient) Add(name uint64, amount float64, ttl time.Duration, report func(control.Status, float64)) bool {
-	line := "bump " + strconv.FormatUint(name, 10) + " " + strconv.FormatFloat(amount, 'f', -1, 64) +
+	request := "bump " + strconv.FormatUint(name, 10) + " " + strconv.FormatFloat(amount, 'f', -1, 64) +
 		" " + strconv.FormatInt(max(1, ttl.Milliseconds()), 10) + lineEnd + ping + lineEnd
 	select {
-	case l.mailbox <- &call{line: line, report: report, asked: time.Now()}:
+	case l.mailbox <- &call{request: request, report: report, requestedAt: time.Now()}:
 		return true
 	default:
 		return false
@@ -125,23 +125,23 @@
 }
 
 // SetAddress goes over to the counter at another address. Calls that are out at the old one may still be answered.
-func (l *LineClient) SetAddress(address string) { l.post(moved{address}) }
+func (l *LineClient) SetAddress(address string) { l.post(addressChanged{address}) }
 
 // Run is the actor.
 func (l *LineClient) Run(ctx context.Context) {
 	defer close(l.done)
-	tick := time.NewTicker(keepAlive / 2)
+	tick := time.NewTicker(keepAliveInterval / 2)
 	defer tick.Stop()
 	l.connect(ctx)
 	for {
 		select {
 		case <-ctx.Done():
-			l.drop(l.wire)
+			l.closeConn(l.conn)
 			return
 		case m := <-l.mailbox:
 			l.handle(ctx, m)
 		case now := <-tick.C:
-			l.tend(ctx, now)
+			l.keepConnAlive(ctx, now)
 		}
 	}
 }
@@ -149,17 +149,17 @@
 func (l *LineClient) handle(ctx context.Context, m any) {
 	switch m := m.(type) {
 	case *call:
-		m.timer = time.AfterFunc(l.timeout-time.Since(m.asked), func() { l.post(timedOut{m}) })
-		l.waiting = append(l.waiting, m)
-		if l.wire != nil && len(l.wire.out) > 0 && time.Since(l.wire.out[0].asked) > silence {
-			l.drop(l.wire) // what is gone silent may be a machine that vanished
+		m.timer = time.AfterFunc(l.timeout-time.Since(m.requestedAt), func() { l.post(timedOut{m}) })
+		l.queued = append(l.queued, m)
+		if l.conn != nil && len(l.conn.unanswered) > 0 && time.Since(l.conn.unanswered[0].requestedAt) > silenceTimeout {
+			l.closeConn(l.conn) // what is gone silent may be a machine that vanished
 		}
 		l.connect(ctx)
-		l.write()
+		l.writeQueued()
 	case timedOut:
-		for i, c := range l.waiting { // not written: nothing was added
+		for i, c := range l.queued { // not written: nothing was added
 			if c == m.c {
-				l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+				l.queued = append(l.queued[:i], l.queued[i+1:]...)
 				m.c.finish(control.ConnectFailed, 0)
 				return
 			}
@@ -175,53 +175,53 @@
 			return
 		}
 		if m.err != nil {
-			l.retryAt = time.Now().Add(redialPause)
-			for _, c := range l.waiting {
+			l.retryAt = time.Now().Add(redialDelay)
+			for _, c := range l.queued {
 				c.finish(control.ConnectFailed, 0)
 			}
-			l.waiting = nil
+			l.queued = nil
 			return
 		}
-		l.wire, l.lastUse = &wire{Conn: m.conn}, time.Now()
-		go l.read(l.wire)
-		l.write()
-	case answered:
-		l.answer(m)
+		l.conn, l.lastUse = &lineConn{Conn: m.conn}, time.Now()
+		go l.readLines(l.conn)
+		l.writeQueued()
+	case lineReceived:
+		l.handleLine(m)
 		l.connect(ctx)
-	case broken:
-		l.drop(m.wire)
+	case connBroken:
+		l.closeConn(m.conn)
 		l.connect(ctx)
 	case redial:
 		l.connect(ctx)
-	case moved:
-		l.move(ctx, m.address)
+	case addressChanged:
+		l.changeAddress(ctx, m.address)
 	}
 }
 
-// move leaves the connection to the old address to its reader for as long as answers may still come.
-func (l *LineClient) move(ctx context.Context, address string) {
+// changeAddress leaves the connection to the old address to its reader for as long as answers may still come.
+func (l *LineClient) changeAddress(ctx context.Context, address string) {
 	if address == l.address {
 		return
 	}
 	l.address, l.retryAt = address, time.Time{}
-	if old := l.wire; old != nil {
-		l.wire = nil
-		if len(old.out) == 0 {
+	if old := l.conn; old != nil {
+		l.conn = nil
+		if len(old.unanswered) == 0 {
 			old.Close()
 		}
-		old.SetReadDeadline(time.Now().Add(moveWait))
+		old.SetReadDeadline(time.Now().Add(oldAddressTimeout))
 	}
 	l.connect(ctx)
 }
 
 func (l *LineClient) connect(ctx context.Context) {
-	if l.wire != nil || l.dialing || time.Now().Before(l.retryAt) {
+	if l.conn != nil || l.dialing || time.Now().Before(l.retryAt) {
 		return
 	}
 	l.dialing = true
 	address := l.address
 	go func() {
-		conn, err := (&net.Dialer{Timeout: dialWait}).DialContext(ctx, "tcp", address)
+		conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 		select {
 		case l.mailbox <- dialed{conn, address, err}:
 		case <-l.done:
@@ -232,91 +232,91 @@
 	}()
 }
 
-// write sends all that waits in one piece.
-func (l *LineClient) write() {
-	w := l.wire
-	if w == nil || len(l.waiting) == 0 {
+// writeQueued sends all that waits in one piece.
+func (l *LineClient) writeQueued() {
+	conn := l.conn
+	if conn == nil || len(l.queued) == 0 {
 		return
 	}
-	n := min(len(l.waiting), mostOut-len(w.out))
+	n := min(len(l.queued), maxInFlight-len(conn.unanswered))
 	if n <= 0 {
 		return // the rest times out in the line, with nothing added
 	}
 	var b strings.Builder
-	for _, c := range l.waiting[:n] {
-		b.WriteString(c.line)
+	for _, c := range l.queued[:n] {
+		b.WriteString(c.request)
 	}
-	w.out = append(w.out, l.waiting[:n]...)
-	l.waiting = append([]*call(nil), l.waiting[n:]...)
+	conn.unanswered = append(conn.unanswered, l.queued[:n]...)
+	l.queued = append([]*call(nil), l.queued[n:]...)
 	l.lastUse = time.Now()
-	w.SetWriteDeadline(l.lastUse.Add(l.timeout)) // a peer that takes nothing in must not stop the actor
-	if _, err := w.Write([]byte(b.String())); err != nil {
-		l.drop(w) // a part may have gone out
+	conn.SetWriteDeadline(l.lastUse.Add(l.timeout)) // a peer that takes nothing in must not stop the actor
+	if _, err := conn.Write([]byte(b.String())); err != nil {
+		l.closeConn(conn) // a part may have gone out
 	}
 }
 
-// drop gives a connection up; what was written to it may have been added.
-func (l *LineClient) drop(w *wire) {
-	if w == nil {
+// closeConn gives a connection up; what was written to it may have been added.
+func (l *LineClient) closeConn(conn *lineConn) {
+	if conn == nil {
 		return
 	}
-	w.Close()
-	if w == l.wire {
-		l.wire = nil
-		l.pauseDials(w)
+	conn.Close()
+	if conn == l.conn {
+		l.conn = nil
+		l.delayRedial(conn)
 	}
-	for _, c := range w.out {
+	for _, c := range conn.unanswered {
 		c.finish(control.Timeout, 0)
 	}
-	w.out = nil
+	conn.unanswered = nil
 }
 
-// pauseDials keeps a counter that turns connections away, say because it holds too many, from being dialled without end.
-func (l *LineClient) pauseDials(ended *wire) {
-	l.unanswered++
-	if ended.answered {
-		l.unanswered = 0
+// delayRedial keeps a counter that turns connections away, say because it holds too many, from being dialled without end.
+func (l *LineClient) delayRedial(conn *lineConn) {
+	l.unansweredConns++
+	if conn.hasAnswered {
+		l.unansweredConns = 0
 	}
-	if l.unanswered > 1 { // a single one may have been reset
-		l.retryAt = time.Now().Add(redialPause)
-		time.AfterFunc(redialPause, func() { l.post(redial{}) })
+	if l.unansweredConns > 1 { // a single one may have been reset
+		l.retryAt = time.Now().Add(redialDelay)
+		time.AfterFunc(redialDelay, func() { l.post(redial{}) })
 	}
 }
 
-// tend pings an idle connection, lest the counter close it as a call is written.
-func (l *LineClient) tend(ctx context.Context, now time.Time) {
+// keepConnAlive pings an idle connection, lest the counter close it as a call is written.
+func (l *LineClient) keepConnAlive(ctx context.Context, now time.Time) {
 	switch {
-	case l.wire == nil:
+	case l.conn == nil:
 		l.connect(ctx)
-	case len(l.wire.out) == 0 && now.Sub(l.lastUse) >= keepAlive/2:
-		l.waiting = append(l.waiting, &call{line: ping + lineEnd, said: true, asked: now})
-		l.write()
+	case len(l.conn.unanswered) == 0 && now.Sub(l.lastUse) >= keepAliveInterval/2:
+		l.queued = append(l.queued, &call{request: ping + lineEnd, answerRead: true, requestedAt: now})
+		l.writeQueued()
 	}
 }
 
-func (l *LineClient) answer(a answered) {
-	w := a.wire
-	if len(w.out) == 0 {
-		l.drop(w) // nobody asked
+func (l *LineClient) handleLine(a lineReceived) {
+	conn := a.conn
+	if len(conn.unanswered) == 0 {
+		l.closeConn(conn) // nobody asked
 		return
 	}
-	c := w.out[0]
-	if !c.said {
+	c := conn.unanswered[0]
+	if !c.answerRead {
 		c.status, c.total = decodeAnswer(a.line)
-		c.said = true
+		c.answerRead = true
 		if c.status == control.Timeout {
-			l.drop(w) // not the answer to this call: nor can any behind it be told apart from noise
+			l.closeConn(conn) // not the answer to this call: nor can any behind it be told apart from noise
 		}
 		return
 	}
 	if a.line != pong {
-		l.drop(w) // one answer too many has come, and it may be that of this call or of one before
+		l.closeConn(conn) // one answer too many has come, and it may be that of this call or of one before
 		return
 	}
-	w.out, w.answered = w.out[1:], true
+	conn.unanswered, conn.hasAnswered = conn.unanswered[1:], true
 	c.finish(c.status, c.total)
-	if w != l.wire && len(w.out) == 0 {
-		w.Close() // the counter has moved, and this was the last answer
+	if conn != l.conn && len(conn.unanswered) == 0 {
+		conn.Close() // the counter has moved, and this was the last answer
 	}
 }
 
@@ -326,7 +326,7 @@
 	switch {
 	case line == "busy", line == "error":
 		return control.Full, 0
-	case word == "ok" && rest != "" && len(rest) <= mostDigits && strings.Trim(rest, "0123456789.+-eE") == "":
+	case word == "ok" && rest != "" && len(rest) <= maxTotalLen && strings.Trim(rest, "0123456789.+-eE") == "":
 		if total, err := strconv.ParseFloat(rest, 64); err == nil { // an infinite one is out of range: an error
 			return control.OK, total
 		}
@@ -334,26 +334,26 @@
 	return control.Timeout, 0
 }
 
-// read hands lines over. One that is too long, does not end as lines do, or does not come whole ends the
+// readLines hands lines over. One that is too long, does not end as lines do, or does not come whole ends the
 // connection.
-func (l *LineClient) read(w *wire) {
-	in := bufio.NewReaderSize(w, longestLine)
+func (l *LineClient) readLines(conn *lineConn) {
+	in := bufio.NewReaderSize(conn, maxAnswerLine)
 	for {
 		in.Peek(1) // waits; an error shows below
-		part, _ := in.Peek(in.Buffered())
-		cut := len(part) > 0 && bytes.IndexByte(part, '\n') < 0
-		if cut {
-			w.SetReadDeadline(time.Now().Add(lineWait))
+		buffered, _ := in.Peek(in.Buffered())
+		partial := len(buffered) > 0 && bytes.IndexByte(buffered, '\n') < 0
+		if partial {
+			conn.SetReadDeadline(time.Now().Add(lineTimeout))
 		}
 		line, err := in.ReadSlice('\n')
-		text, whole := strings.CutSuffix(string(line), lineEnd)
-		if err != nil || !whole {
-			l.post(broken{w})
+		text, terminated := strings.CutSuffix(string(line), lineEnd)
+		if err != nil || !terminated {
+			l.post(connBroken{conn})
 			return
 		}
-		if cut {
-			w.SetReadDeadline(time.Time{})
+		if partial {
+			conn.SetReadDeadline(time.Time{})
 		}
-		l.post(answered{w, text})
+		l.post(lineReceived{conn, text})
 	}
 }
--- a/internal/counter/redis.go
+++ b/internal/counter/redis.go
@@ -21,11 +21,11 @@
 
 // Redis is the counter on a Redis store that all gateways share: a few workers behind one mailbox.
 type Redis struct {
-	address string
-	client  atomic.Pointer[redis.Client] // replaced when an answer on one of its connections was another call's
-	timeout time.Duration
-	mailbox chan *call
-	calls   atomic.Uint64 // that were sent: their numbers
+	address        string
+	client         atomic.Pointer[redis.Client] // replaced when an answer on one of its connections was another call's
+	timeout        time.Duration
+	mailbox        chan *call
+	lastCallNumber atomic.Uint64 // that were sent: their numbers
 }
 
 type redisAdd struct {
@@ -51,18 +51,18 @@
 	})
 }
 
-// replace ends all connections of a client. Calls that are out on them may have been added.
-func (r *Redis) replace(spoilt *redis.Client) {
-	if fresh := r.newClient(); r.client.CompareAndSwap(spoilt, fresh) {
-		spoilt.Close()
+// replaceClient ends all connections of a client. Calls that are out on them may have been added.
+func (r *Redis) replaceClient(old *redis.Client) {
+	if replacement := r.newClient(); r.client.CompareAndSwap(old, replacement) {
+		old.Close()
 	} else { // another worker has replaced it
-		fresh.Close()
+		replacement.Close()
 	}
 }
 
 // Add implements core.Counter.
 func (r *Redis) Add(name uint64, amount float64, ttl time.Duration, report func(control.Status, float64)) bool {
-	c := &call{report: report, asked: time.Now(),
+	c := &call{report: report, requestedAt: time.Now(),
 		redisAdd: redisAdd{redisPrefix + strconv.FormatUint(name, 10), amount, max(ttl, time.Millisecond)}}
 	select {
 	case r.mailbox <- c:
@@ -98,13 +98,13 @@
 // transaction no other gateway comes between the two, nor can a name be left without an end. ECHO returns the call's own
 // number, so that an answer to another call on the connection is not taken for its own.
 func (r *Redis) add(ctx context.Context, c *call) (control.Status, float64) {
-	rest := r.timeout - time.Since(c.asked)
-	if rest <= 0 {
+	remaining := r.timeout - time.Since(c.requestedAt)
+	if remaining <= 0 {
 		return control.Full, 0 // it waited here for all its time: nothing was added
 	}
-	ctx, cancel := context.WithTimeout(ctx, rest)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
-	client, number := r.client.Load(), strconv.FormatUint(r.calls.Add(1), 10)
+	client, number := r.client.Load(), strconv.FormatUint(r.lastCallNumber.Add(1), 10)
 	tx := client.TxPipeline()
 	tx.SetNX(ctx, c.name, 0, c.ttl)
 	total := tx.IncrByFloat(ctx, c.name, c.amount)
@@ -113,7 +113,7 @@
 		return redisStatus(err), 0
 	}
 	if echo.Val() != number {
-		r.replace(client)
+		r.replaceClient(client)
 		return control.Timeout, 0
 	}
 	return control.OK, total.Val()
@@ -128,8 +128,8 @@
 	case errors.Is(err, redis.ErrPoolTimeout):
 		return control.Full
 	}
-	var answer redis.Error
-	if errors.As(err, &answer) && !errors.Is(err, redis.Nil) {
+	var reply redis.Error
+	if errors.As(err, &reply) && !errors.Is(err, redis.Nil) {
 		return control.Full // the store's own word: a transaction that it turns away adds nothing
 	}
 	return control.Timeout
