--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core is the actor round the decision module. It deals in exchanges, attempts and outcomes and
-// knows no wire: fronts hand it exchanges, egress carries attempts out, and a counter keeps the totals.
-// It owns the table of held exchanges and the rule that each gets exactly one final answer.
+// Package core runs the decision module control as an actor: it holds the exchanges in flight, reports their events to
+// control, carries out the actions that control decides on, and gives each exchange exactly one final answer. It speaks
+// no protocol itself: front ends submit exchanges, egress sends the attempts, and a counter keeps the shared totals.
 package core
 
 import (
@@ -14,110 +14,110 @@
 	"junctionring/sites"
 )
 
-// Exchange is one client request, as the core sees it.
+// Exchange is one client request as submitted to the core.
 type Exchange struct {
 	Class, Plan   int
 	Customer      uint64
 	Units         float64
 	Spread, First int
 	Repeat        bool
-	DecisionOnly  bool      // only the verdict is wanted; nothing is sent to a target
-	Deadline      time.Time // the client has its answer by then or never
-	Pinned        bool      // its key may have run at the site At, and is known nowhere else
+	DecisionOnly  bool      // only the decision is wanted; nothing is sent to a target
+	Deadline      time.Time // the client waits for an answer until then
+	Pinned        bool      // a request with its key may have run at PinnedSite; no other site knows the key
 	PinnedSite    int
-	Payload       any // what egress sends on; the core never looks inside
+	Payload       any // the request for egress to send; opaque to the core
 
-	// Arriving: its body is still coming in, and is sent on as it comes. Wait is how long the client waits from the
-	// last byte on; Deadline is when the body is given up. Spent tells that a part was sent on that cannot be
-	// sent again.
+	// Arriving: the body is still being received and is forwarded as it arrives. ResponseTimeout is how long the client
+	// waits for an answer after the last byte of the body, and Deadline is the time until which the body may arrive.
+	// BodyConsumed reports whether a part of the body was forwarded, which cannot be sent again.
 	Arriving        bool
 	ResponseTimeout time.Duration
 	BodyConsumed    func() bool
 }
 
-// Kind tells how an exchange ended.
+// Kind is the way in which an exchange ended.
 type Kind int
 
-// The ends of an exchange.
+// The kinds of final answers.
 const (
-	Failed  Kind = iota // promises nothing
-	Refused             // shed: trying again is harmless
+	Failed  Kind = iota // no statement on whether the request ran
+	Refused             // shed or over quota: a retry is harmless
 	Served
-	Allowed    // the verdict for one that only asks
-	ClientGone // the client went away; nobody reads the answer
+	Allowed    // the decision to admit an exchange with DecisionOnly
+	ClientGone // the client disconnected; nobody reads the answer
 )
 
 // Answer is the one final answer of an exchange.
 type Answer struct {
 	Kind        Kind
-	RetryAfter  time.Duration // of Refused; 0: no advice
-	OverQuota   bool          // of Refused: for want of quota
+	RetryAfter  time.Duration // of Refused: the wait advised to the client; 0: none
+	OverQuota   bool          // of Refused: the customer has no quota left
 	MayHaveRun  bool          // some attempt reached a target, or may have
-	AttemptsOut int           // as it was given
-	RanAtSite   int           // the site of the first of those
-	Reply       any           // of Served, as egress brought it
+	AttemptsOut int           // in flight when the answer was given
+	RanAtSite   int           // the site of the first attempt that may have run
+	Reply       any           // of Served: the reply from egress
 }
 
-// Attempt is one send of an exchange to an egress target. Its context ends when the attempt is not wanted
-// any more: by its deadline (a time-out) or earlier (called off).
+// Attempt is one send of an exchange to an egress target. Its context ends when the attempt is no longer
+// wanted: at its deadline (a timeout) or earlier (a cancellation).
 type Attempt struct {
 	Ctx          context.Context
 	Target       string
 	Payload      any
-	Repeat       control.Repeat  // of the exchange's class
-	SendBefore   time.Time       // not sent at all later than this, however late its connection comes up; zero: any time
-	ExchangeDone <-chan struct{} // closed once nobody wants its answer: what has not gone out yet does not
-	Report       func(Outcome)   // exactly once; may block, so never from the core's goroutine
+	Repeat       control.Repeat  // the rule of the exchange's class
+	SendBefore   time.Time       // not sent after this time, even if its connection takes longer; zero: no limit
+	ExchangeDone <-chan struct{} // closed when the exchange has its final answer: an attempt not sent by then is dropped
+	Report       func(Outcome)   // called exactly once; may block, so never on the core's goroutine
 
-	// Of a message that is still coming in: OnBodySent is called when its last byte went out, and its answer is waited
-	// for as long as Wait from then on. OnBodySent may block as Report may.
+	// For a request whose body is still being received: OnBodySent is called when its last byte has been sent, and the
+	// answer may take ResponseTimeout from then on. OnBodySent may block, as Report may.
 	OnBodySent      func()
 	ResponseTimeout time.Duration
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	Status          control.Status
-	Written         bool // the attempt's last byte went out
+	Written         bool // the last byte of the request was sent
 	Reply           any
 	Load            []float64
-	TimeToFirstByte time.Duration // from the request's last byte to the answer's first; 0: not known
+	TimeToFirstByte time.Duration // from the last byte of the request to the first of the answer; 0: unknown
 }
 
-// Target is an entry of the route table with the address to send to, opaque to the core.
+// Target is an entry of the route table with the target's address, which is opaque to the core.
 type Target struct {
 	control.Member
 	Address string
 }
 
-// Table is a route table, or changes to it.
+// Table is a whole route table or a set of changes to it.
 type Table struct {
 	Kind    control.MembersKind
 	Version int64
 	Targets []Target
 }
 
-// Egress carries attempts out. The core calls it from its own goroutine only; no call may block.
+// Egress sends attempts to targets. The core calls it from its own goroutine only; no call may block.
 type Egress interface {
 	Update(Table)
-	Start(Attempt) bool // false: there was no room, nothing was or will be sent
-	// Probe asks a target how it is; within 0 leaves the time to egress.
+	Start(Attempt) bool // false: no capacity; nothing was or will be sent
+	// Probe checks the health of a target; if within is 0, egress sets the timeout.
 	Probe(target string, within time.Duration, report func(control.Status, []float64)) bool
 	CloseIdle(target string)
 }
 
-// Counter adds to named numbers. Add does not block; false says that nothing was added or will be.
-// The report comes from another goroutine, for one name in the order of the calls.
+// Counter adds to named totals. Add does not block; it returns false if nothing was added or will be.
+// report is called on another goroutine; for one name, reports come in the order of the calls.
 type Counter interface {
 	Add(name uint64, amount float64, ttl time.Duration, report func(control.Status, float64)) bool
 }
 
 const (
 	mailboxSize      = 4096
-	siteTickInterval = 50 * time.Millisecond  // between looks at what time alone tells of sites
-	gaugeInterval    = 250 * time.Millisecond // between looks at the servers for the figures: they may be 0.5 s late
-	shedRetryAfter   = 500 * time.Millisecond // told to a client where the core sheds by itself; at most what the settings allow
-	overdueGrace     = 15 * time.Millisecond  // past the deadline at which the core answers by itself
+	siteTickInterval = 50 * time.Millisecond  // between runs of the sites' timed actions
+	gaugeInterval    = 250 * time.Millisecond // between updates of the server gauges, which may be up to 0.5 s old
+	shedRetryAfter   = 500 * time.Millisecond // Retry-After of requests that the core itself sheds, limited by the settings
+	overdueGrace     = 15 * time.Millisecond  // from an exchange's deadline until the core itself answers it
 )
 
 type (
@@ -133,7 +133,7 @@
 		elapsed control.Seconds
 		Outcome
 	}
-	linkProbed struct { // over a link
+	linkProbed struct { // a probe of the link to a site
 		target  string
 		status  control.Status
 		elapsed control.Seconds
@@ -149,16 +149,16 @@
 	flushUnits struct{ done chan struct{} }
 )
 
-// heldExchange is an exchange in the table.
+// heldExchange is an exchange that lacks its final answer or still has attempts in flight.
 type heldExchange struct {
 	Exchange
 	id              uint64
 	answered        bool
-	answer          chan Answer   // of one place: a final answer never waits for its reader
-	done            chan struct{} // closed with the final answer
+	answer          chan Answer   // buffered, so that giving the final answer never blocks
+	done            chan struct{} // closed when the final answer is given
 	cancels         []context.CancelFunc
-	flights         []sites.Flight // one for each attempt, where there are sites
-	verdict         sites.Verdict  // the last
+	flights         []sites.Flight // one per attempt; none without sites
+	verdict         sites.Verdict  // the latest
 	receivedAt      time.Time
 	inFlight        int
 	mayHaveRun      bool
@@ -167,34 +167,34 @@
 	overdueTimer    *time.Timer
 }
 
-// Core is the actor. Run runs it; the other methods may be called from anywhere.
+// Core is the actor. Run handles its messages; the other methods may be called from any goroutine.
 type Core struct {
 	gateway      *control.Gateway
 	egress       Egress
 	counter      Counter
 	classes      []control.Class
-	secondCopies bool          // the settings allow two attempts of an exchange to be out at once
-	retryAfter   time.Duration // of what the core sheds by itself; 0: no advice
+	secondCopies bool          // the settings allow two attempts of an exchange in flight at once
+	retryAfter   time.Duration // of requests that the core itself sheds; 0: none
 	log          *slog.Logger
 	sites        *sites.Router // nil: all targets are at one site
 	siteActions  []sites.Action
 
 	mailbox      chan any
-	done         chan struct{} // closed when Run has ended
-	startTime    time.Time     // wall time and a monotonic reading: a clock that gateways share and never steps
+	done         chan struct{} // closed when Run returns
+	startTime    time.Time     // wall-clock and monotonic reading: together a clock that gateways share and that never steps
 	startSeconds float64
 
 	ctx          context.Context
 	held         map[uint64]*heldExchange
 	lastID       uint64
-	selfMessages []any // messages to itself, which must not wait on its own mailbox
+	selfMessages []any // messages to itself: posting them could block on its own mailbox
 	actions      []control.Action
-	metrics      *telemetry.Figures // nil: not counted
-	flushWaiters []chan struct{}    // closed once the counter holds every unit
-	shedding     bool               // all was shed, and what still comes is too
+	metrics      *telemetry.Figures // nil: nothing is counted
+	flushWaiters []chan struct{}    // closed once the counter holds all used units
+	shedding     bool               // every held exchange was shed, and every new one is shed on arrival
 }
 
-// New makes the actor of a gateway.
+// New returns the core of a gateway. It handles nothing until Run is called.
 func New(s control.Settings, seed uint64, egress Egress, counter Counter, log *slog.Logger) (*Core, error) {
 	g, err := control.New(s, seed)
 	if err != nil {
@@ -213,11 +213,11 @@
 	}, nil
 }
 
-// SetMetrics has the core count its answers and attempts, and the servers it knows, into f. It must be called before
+// SetMetrics makes the core count its answers, its attempts and the servers it knows in m. It must be called before
 // Run.
 func (c *Core) SetMetrics(m *telemetry.Figures) { c.metrics = m }
 
-// countAnswer counts a final answer by its kind. One that nobody reads counts as nothing.
+// countAnswer counts a final answer by its kind. Answers that nobody reads are not counted.
 func (c *Core) countAnswer(class int, kind Kind, late bool) {
 	counts := c.metrics.Class(class)
 	if counts == nil {
@@ -236,32 +236,32 @@
 	}
 }
 
-// Streamer is a reply that may have more to come.
+// Streamer is a reply whose body may still be streaming.
 type Streamer interface {
 	Streaming() bool
-	Close() error // nobody reads it
+	Close() error // discards the rest of the body
 }
 
-// CountStreamed counts a streamed answer at its end.
+// CountStreamed counts a streamed answer when its body has ended: served if complete, failed otherwise.
 func (c *Core) CountStreamed(class int, complete bool) {
 	kind := Served
 	if !complete {
 		kind = Failed
 	}
-	c.countAnswer(class, kind, false) // how long it took is for its reader to say
+	c.countAnswer(class, kind, false) // never late: its duration depends on the reader
 }
 
-// SetClassNames names the classes by their number, for the figures.
+// SetClassNames sets the names of the classes, indexed by class number, for the metrics.
 func (c *Core) SetClassNames(names []string) {
 	if c.metrics != nil {
 		c.metrics.Classes(names)
 	}
 }
 
-// SetSites tells the core of sites. It must be called before Run.
+// SetSites sets the router for targets at several sites. It must be called before Run.
 func (c *Core) SetSites(r *sites.Router) { c.sites = r }
 
-// Sites reports on the sites; false without any, or when the core has ended.
+// Sites returns the report on the sites, or false if there are none or Run has returned.
 func (c *Core) Sites() (sites.Report, bool) {
 	if c.sites == nil {
 		return sites.Report{}, false
@@ -276,7 +276,7 @@
 	}
 }
 
-// Reconfigure takes new classes and plans in, and returns once exchanges may name them. Numbers in use stay.
+// Reconfigure installs new classes and plans, and returns once exchanges may use them. Numbers in use stay valid.
 func (c *Core) Reconfigure(e control.Reconfigured) {
 	m := reconfigured{e, make(chan struct{})}
 	c.post(m)
@@ -286,7 +286,7 @@
 	}
 }
 
-// PlansInUse counts the customers that are known, by the number of their plan.
+// PlansInUse returns the number of known customers by plan number.
 func (c *Core) PlansInUse() map[int]int {
 	m := plansInUse{make(chan map[int]int, 1)}
 	c.post(m)
@@ -298,13 +298,13 @@
 	}
 }
 
-// Do has an exchange decided and carried out, and returns its one final answer. If ctx ends first the client
-// has left: whatever is out for it is called off.
+// Do has an exchange decided and carried out, and returns its one final answer. If ctx ends first, the client
+// has disconnected: all attempts in flight for the exchange are cancelled.
 func (c *Core) Do(ctx context.Context, x Exchange) Answer {
 	h := &heldExchange{Exchange: x, answer: make(chan Answer, 1), done: make(chan struct{})}
 	select {
 	case c.mailbox <- exchangeOpened{h}:
-	default: // more than the core can take in: shed here, without waiting
+	default: // the mailbox is full: shed here, without waiting
 		c.countAnswer(x.Class, Refused, false)
 		return Answer{Kind: Refused, RetryAfter: c.retryAfter}
 	}
@@ -314,7 +314,7 @@
 	case <-ctx.Done():
 		c.post(clientGone{h})
 		select {
-		case a := <-h.answer: // a final answer that crossed the client's leaving stands
+		case a := <-h.answer: // a final answer given before the disconnect was handled stands
 			return a
 		case <-c.done:
 			return Answer{Kind: ClientGone, MayHaveRun: true}
@@ -325,13 +325,13 @@
 	}
 }
 
-// RetryAfter is what the core advises clients to wait whose requests it sheds by itself; 0: no advice.
+// RetryAfter is the wait advised to clients whose requests the core itself sheds; 0: none.
 func (c *Core) RetryAfter() time.Duration { return c.retryAfter }
 
-// Routes takes a new route table in. It returns once the core has it in its mailbox.
+// Routes applies a new route table or changes to it. It returns once the table is in the core's mailbox.
 func (c *Core) Routes(t Table) { c.post(t) }
 
-// Settle returns once the core has handled all that was posted before.
+// Settle returns once the core has handled all messages posted before.
 func (c *Core) Settle() {
 	f := flush{make(chan struct{})}
 	c.post(f)
@@ -341,14 +341,14 @@
 	}
 }
 
-// Shed gives every held exchange its final answer now, and every later one as it comes: the program is about to end.
+// Shed gives every held exchange its final answer now and every later one on arrival: the process is about to exit.
 func (c *Core) Shed() {
 	c.post(shedAll{})
 	c.Settle()
 }
 
-// FlushUnits has what was used and not added to the counter yet added now, and waits for that until ctx ends: units that
-// nobody hears of could be spent a second time.
+// FlushUnits has all used units added to the counter that it does not hold yet, and waits for that until ctx ends:
+// units that the counter never receives could be spent a second time.
 func (c *Core) FlushUnits(ctx context.Context) error {
 	m := flushUnits{make(chan struct{})}
 	c.post(m)
@@ -356,13 +356,13 @@
 	case <-m.done:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("not all units were added to the counter: %w", ctx.Err())
+		return fmt.Errorf("not all used units were added to the counter: %w", ctx.Err())
 	case <-c.done:
 		return nil
 	}
 }
 
-// notifyFlushed answers those that wait in Finish.
+// notifyFlushed wakes the callers of FlushUnits once the counter holds all used units.
 func (c *Core) notifyFlushed() {
 	if len(c.flushWaiters) == 0 || c.gateway.Unadded() > 0 {
 		return
@@ -382,18 +382,18 @@
 	}
 }
 
-// answerLocally ends an exchange here, for a reason of the core's own.
+// answerLocally ends an exchange without a decision of control.
 func (c *Core) answerLocally(h *heldExchange) {
 	c.answer(h, c.localAnswer(h))
 	c.handleEvent(control.Gone{ID: h.id})
 	c.removeIfDone(h)
 }
 
-// localAnswer is the answer of an exchange that ends here for a reason of its own.
+// localAnswer returns the answer to an exchange that the core itself ends.
 func (c *Core) localAnswer(h *heldExchange) Answer {
 	class := c.classes[h.Class]
 	repeatable := class.Repeat == control.Safe || class.Repeat == control.Keyed && class.Group == control.GroupAll
-	if !repeatable && (h.mayHaveRun || h.inFlight > 0) { // a refusal would say that trying again is harmless
+	if !repeatable && (h.mayHaveRun || h.inFlight > 0) { // a refusal would tell the client that a retry is harmless
 		return Answer{Kind: Failed}
 	}
 	return Answer{Kind: Refused, RetryAfter: c.retryAfter}
@@ -461,8 +461,8 @@
 			c.handleEvent(control.Arrived{ID: h.id})
 		}
 	case deadlinePassed:
-		if !m.h.answered { // guards against an attempt that hangs: the client is never left without an answer
-			c.log.Warn("exchange overdue", "id", m.h.id)
+		if !m.h.answered { // guards against hanging attempts: the client always gets an answer
+			c.log.Warn("exchange unanswered after its deadline; the core answers it", "id", m.h.id)
 			c.answerLocally(m.h)
 		}
 	case attemptEnded:
@@ -479,7 +479,7 @@
 		c.handleEvent(members)
 	case linkProbed:
 		c.sites.Probed(c.now(), m.target, m.status, m.elapsed)
-		c.tickSites() // a link that is up again is used at once
+		c.tickSites() // a link that has recovered is used at once
 	case plansInUse:
 		m.reply <- c.gateway.InUse()
 	case reconfigured:
@@ -501,7 +501,7 @@
 	case control.Event:
 		c.handleEvent(m)
 	default:
-		panic(fmt.Sprintf("core: no such message: %T", m))
+		panic(fmt.Sprintf("core: unknown message type %T", m))
 	}
 }
 
@@ -527,14 +527,14 @@
 	c.removeIfDone(h)
 }
 
-// answer gives the final answer, unless there is one already.
+// answer gives the final answer, unless one was given already.
 func (c *Core) answer(h *heldExchange, a Answer) {
 	if h.answered {
 		return
 	}
 	h.answered = true
 	close(h.done)
-	if s, ok := a.Reply.(Streamer); !ok || !s.Streaming() { // else it is counted when it has ended: Streamed
+	if s, ok := a.Reply.(Streamer); !ok || !s.Streaming() { // a streaming answer is counted at its end, by CountStreamed
 		c.countAnswer(h.Class, a.Kind, time.Since(h.receivedAt).Seconds() > c.classes[h.Class].Aim)
 	}
 	a.MayHaveRun, a.RanAtSite, a.AttemptsOut = h.mayHaveRun || h.inFlight > 0, h.ranAtSite, h.inFlight
@@ -544,7 +544,7 @@
 	}
 }
 
-// removeIfDone drops an exchange that has its answer and nothing out.
+// removeIfDone drops an exchange that has its final answer and no attempt in flight.
 func (c *Core) removeIfDone(h *heldExchange) {
 	if h.answered && h.inFlight == 0 {
 		delete(c.held, h.id)
@@ -578,7 +578,7 @@
 	case streams:
 		s.Close()
 	}
-	if !e.h.answered && e.h.BodyConsumed != nil && e.h.BodyConsumed() { // there is nothing left to send to another
+	if !e.h.answered && e.h.BodyConsumed != nil && e.h.BodyConsumed() { // the body cannot be sent to another target
 		c.answer(e.h, c.localAnswer(e.h))
 	}
 	c.handleEvent(control.Outcome{
@@ -588,7 +588,7 @@
 	c.removeIfDone(e.h)
 }
 
-// handleEvent hands one event to the module and carries its actions out.
+// handleEvent passes an event to control and carries out the resulting actions.
 func (c *Core) handleEvent(ev control.Event) {
 	actions := c.gateway.Handle(c.now(), ev, c.actions[:0])
 	c.actions = actions
@@ -634,9 +634,9 @@
 	case control.Log:
 		c.log.Info(a.Text)
 	case control.Tell, control.Watch, control.Fetch:
-		// no peers on the wires that there are, and the route table follows discovery by itself
+		// no supported protocol reaches peers, and the route table follows discovery by itself
 	default:
-		panic(fmt.Sprintf("core: no such action: %T", a))
+		panic(fmt.Sprintf("core: unknown action type %T", a))
 	}
 }
 
@@ -646,7 +646,7 @@
 		return
 	}
 	deadline := h.Deadline
-	if a.Timeout > 0 && !h.Arriving { // the time of one that arrives begins with its last byte
+	if a.Timeout > 0 && !h.Arriving { // while the body arrives, the time has not begun: it runs from the last byte
 		if t := time.Now().Add(duration(a.Timeout)); t.Before(deadline) {
 			deadline = t
 		}
@@ -664,19 +664,20 @@
 		}
 	}
 	var sendBefore time.Time
-	if class := c.classes[h.Class]; h.mayHaveRun && class.Repeat == control.Keyed { // its key is known for so long
+	if class := c.classes[h.Class]; h.mayHaveRun && class.Repeat == control.Keyed { // targets know its key only until then
 		sendBefore = h.mayHaveRunSince.Add(duration(class.Window))
 	}
 	ended := func(o Outcome) attemptEnded {
 		return attemptEnded{h, attempt, a.Server, sentAt, time.Since(sentAt).Seconds(), o}
 	}
 	if !noneInFlight && !c.secondCopyAllowed(h) {
-		c.log.Error("a second copy that is not allowed was not sent", "id", h.id, "class", h.Class)
+		c.log.Error("second attempt suppressed: not allowed beside the first", "id", h.id, "class", h.Class)
 		c.selfMessages = append(c.selfMessages, ended(Outcome{Status: control.Moot}))
 		return
 	}
 	if !c.egress.Start(Attempt{
-		Ctx: ctx, Target: a.Server, Payload: h.Payload, Repeat: c.classes[h.Class].Repeat, SendBefore: sendBefore, ExchangeDone: h.done,
+		Ctx: ctx, Target: a.Server, Payload: h.Payload, Repeat: c.classes[h.Class].Repeat,
+		SendBefore: sendBefore, ExchangeDone: h.done,
 		Report:     func(o Outcome) { c.post(ended(o)) },
 		OnBodySent: func() { c.post(bodySent{h}) }, ResponseTimeout: h.ResponseTimeout,
 	}) {
@@ -684,8 +685,8 @@
 	}
 }
 
-// secondCopyAllowed tells whether a second attempt of an exchange may be out beside the first: the last guard of what must not
-// run twice, whatever was decided.
+// secondCopyAllowed reports whether a second attempt of an exchange may be in flight beside the first. It is the last
+// guard against running a request twice, independent of what control decided.
 func (c *Core) secondCopyAllowed(h *heldExchange) bool {
 	return c.secondCopies && c.classes[h.Class].Repeat == control.Safe && h.BodyConsumed == nil
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,7 +10,7 @@
 	"junctionring/control"
 )
 
-// manualEgress is an egress whose attempts a test ends by manualEgress.
+// manualEgress is an egress whose attempts are ended by the test.
 type manualEgress struct{ sent chan Attempt }
 
 func (h manualEgress) Update(Table)         {}
@@ -26,7 +26,7 @@
 	return false
 }
 
-// startCore is a core before two servers.
+// startCore runs a core with two servers.
 func startCore(t *testing.T, limits control.Limits) (*Core, manualEgress) {
 	t.Helper()
 	egress := manualEgress{make(chan Attempt, 16)}
@@ -54,8 +54,9 @@
 	return c, egress
 }
 
-// A repeat of what may have run carries the time after which its key is not known any more, counted from the first
-// attempt that may have run; one that never ran, and one that may be repeated at any time, carries none.
+// Guards against a retry that arrives when targets no longer know its key, and so runs a second time: it must carry the
+// end of the class's window, counted from the first attempt that may have run. A retry of attempts that never ran, or in
+// a class that may be repeated at any time, carries no limit.
 func TestRepeatIsBoundByItsWindow(t *testing.T) {
 	c, egress := startCore(t, control.Limits{MaxAttempts: 4, Cancel: true})
 	for class, limited := range []bool{false, true} {
@@ -68,16 +69,18 @@
 		failedAt := time.Now()
 		second := <-egress.sent
 		if !first.SendBefore.IsZero() || !second.SendBefore.IsZero() {
-			t.Errorf("class %d: bound before anything may have run: %v, %v", class, first.SendBefore, second.SendBefore)
+			t.Errorf("class %d: SendBefore is set to %v, %v before any attempt may have run",
+				class, first.SendBefore, second.SendBefore)
 		}
 		reported := time.Now()
 		second.Report(Outcome{Status: control.Reset, Written: true})
 		third := <-egress.sent
-		if early, late := failedAt.Add(3*time.Second-time.Second), reported.Add(3*time.Second); limited && (third.SendBefore.Before(early) || third.SendBefore.After(late)) {
-			t.Errorf("class %d: bound by %v, want up to %v", class, third.SendBefore, late)
+		if early, late := failedAt.Add(3*time.Second-time.Second), reported.Add(3*time.Second); limited &&
+			(third.SendBefore.Before(early) || third.SendBefore.After(late)) {
+			t.Errorf("class %d: SendBefore is %v, want at most %v", class, third.SendBefore, late)
 		}
 		if !limited && !third.SendBefore.IsZero() {
-			t.Errorf("class %d: bound by %v", class, third.SendBefore)
+			t.Errorf("class %d: SendBefore is %v, want none", class, third.SendBefore)
 		}
 		third.Report(Outcome{Status: control.OK, Written: true})
 		if a := <-done; a.Kind != Served {
@@ -86,8 +89,8 @@
 	}
 }
 
-// What the core sheds by itself advises no longer wait than the settings allow, and none where they allow none. Once
-// all is shed, later exchanges are too, at once, with nothing sent on.
+// Requests that the core itself sheds must advise no longer wait than the settings allow, and none where these allow
+// none. After Shed, later exchanges must be shed at once, without sending anything.
 func TestShedKeepsToTheSettings(t *testing.T) {
 	for _, s := range []struct {
 		limits control.Limits
@@ -109,29 +112,29 @@
 		failed := 0
 		for range 3 {
 			switch a := <-done; {
-			case a.Kind == Failed: // the unsafe one: it may have run
+			case a.Kind == Failed: // the unsafe exchange: it may have run
 				failed++
 			case a.Kind != Refused || a.RetryAfter != s.want:
 				t.Errorf("%+v: answered %+v", s.limits, a)
 			}
 		}
 		if failed != 1 {
-			t.Errorf("%d failed, want the unsafe one alone", failed)
+			t.Errorf("%d exchanges failed, want only the unsafe one", failed)
 		}
 		for class := range 3 {
 			a := c.Do(context.Background(), Exchange{Class: class, Units: 1, Spread: 1, Deadline: time.Now().Add(20 * time.Second)})
 			if a.Kind != Refused || a.RetryAfter != s.want || a.MayHaveRun {
-				t.Errorf("after the end: %+v", a)
+				t.Errorf("answered %+v after Shed", a)
 			}
 		}
 		if len(egress.sent) > 0 {
-			t.Error("something was sent on after the end")
+			t.Error("an attempt was sent after Shed")
 		}
 	}
 }
 
-// Whatever is decided, a second attempt goes out beside the first only where the settings allow it and the class is
-// safe to repeat; a message that was sent on as it came in can't be sent twice.
+// Guards against a request running twice: whatever control decides, a second attempt may be sent beside the first only
+// if the settings allow it, the class is safe to repeat and the body was not forwarded as it arrived.
 func TestSecondCopyIsGuarded(t *testing.T) {
 	allowed := control.Limits{MaxAttempts: 4, SecondCopies: true, Cancel: true}
 	forbidden := control.Limits{MaxAttempts: 4, Cancel: true}
@@ -169,16 +172,16 @@
 		c.send(control.Send{ID: 1, Server: "one"})
 		c.send(control.Send{ID: 1, Server: "two"})
 		if len(egress.sent) != s.sent {
-			t.Errorf("%s: %d attempts out at once, want %d", s.name, len(egress.sent), s.sent)
+			t.Errorf("%s: %d attempts in flight at once, want %d", s.name, len(egress.sent), s.sent)
 		}
 		if s.sent == 1 && (len(c.selfMessages) != 1 || c.selfMessages[0].(attemptEnded).Status != control.Moot) {
-			t.Errorf("%s: the attempt that was not sent ends as %+v, want moot", s.name, c.selfMessages)
+			t.Errorf("%s: the suppressed attempt ended as %+v, want Moot", s.name, c.selfMessages)
 		}
 	}
 }
 
-// Both copies of a request are answered, in either order or one after the other has failed: the client has one answer,
-// and the copy that is still out when it comes is called off.
+// Both copies of a request are answered, in either order or one after the other has failed: the client must get one
+// answer, and the copy still in flight at that time must be cancelled.
 func TestTwoCopiesGiveOneAnswer(t *testing.T) {
 	c, egress := startCore(t, control.Limits{MaxAttempts: 6, SecondCopies: true, Cancel: true})
 	ask := func() chan Answer {
@@ -188,7 +191,7 @@
 		}()
 		return done
 	}
-	for range 60 { // so that the gateway knows how long answers take
+	for range 60 { // so that control learns how long answers take
 		done := ask()
 		(<-egress.sent).Report(Outcome{Status: control.OK, Written: true})
 		<-done
@@ -205,7 +208,7 @@
 		}
 		loser := copies[1-winner]
 		<-loser.Ctx.Done()
-		loser.Report(Outcome{Status: control.OK, Written: true, Reply: "crossed"}) // it crossed the call-off
+		loser.Report(Outcome{Status: control.OK, Written: true, Reply: "crossed"}) // crosses the cancellation
 		c.Settle()
 	}
 	done := ask()
@@ -213,7 +216,7 @@
 	first.Report(Outcome{Status: control.Error, Written: true})
 	c.Settle()
 	if len(egress.sent) > 0 {
-		t.Error("a third attempt beside the copy")
+		t.Error("a third attempt was sent beside the copy")
 	}
 	second.Report(Outcome{Status: control.OK, Written: true, Reply: "copy"})
 	if a := <-done; a.Kind != Served || a.Reply != "copy" {
@@ -221,7 +224,7 @@
 	}
 }
 
-// Guards against "failed" for what may harmlessly be tried again, where the core answers before the module can.
+// Guards against Failed for a request that is harmless to retry, where the core answers before control can.
 func TestOverdueIsAnsweredByItsClass(t *testing.T) {
 	for class, want := range []Kind{control.Safe: Refused, control.Keyed: Refused, control.Unsafe: Failed} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -7,12 +7,13 @@
 	"junctionring/sites"
 )
 
-// route asks which sites an exchange may go to with its next attempt.
+// route returns the sites to which the next attempt of an exchange may go.
 func (c *Core) route(h *heldExchange, remaining time.Duration) control.Reach {
 	if c.sites == nil || h.DecisionOnly {
 		return control.Reach{}
 	}
-	try := sites.Try{Class: h.Class, Elapsed: time.Since(h.receivedAt).Seconds(), Left: remaining.Seconds(), Bound: h.Pinned, At: h.PinnedSite}
+	try := sites.Try{Class: h.Class, Elapsed: time.Since(h.receivedAt).Seconds(), Left: remaining.Seconds(),
+		Bound: h.Pinned, At: h.PinnedSite}
 	class := &c.classes[h.Class]
 	if h.mayHaveRun && class.Repeat == control.Keyed && class.Group != control.GroupAll {
 		try.Bound, try.At = true, h.ranAtSite
@@ -21,7 +22,7 @@
 	return h.verdict.Reach
 }
 
-// tickSites carries out what time alone calls for.
+// tickSites carries out the sites' timed actions.
 func (c *Core) tickSites() {
 	c.siteActions = c.sites.Tick(c.now(), c.siteActions[:0])
 	for _, a := range c.siteActions {
@@ -47,8 +48,8 @@
 	}
 }
 
-// cancelSite calls off what is out at a site whose link is down: a client is not to wait for what cannot come. Each
-// attempt reports its end as usual, and control then decides on what follows.
+// cancelSite cancels the attempts in flight at a site whose link is down: their answers cannot arrive, and clients
+// should not wait for them. Each attempt reports its end as usual, and control then decides what follows.
 func (c *Core) cancelSite(site int) {
 	for _, h := range c.held {
 		for i, f := range h.flights {
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -21,7 +21,7 @@
 	total  float64
 }
 
-// counterClient runs a counter and makes calls on it.
+// counterClient is a counter of either kind.
 type counterClient interface {
 	Add(uint64, float64, time.Duration, func(control.Status, float64)) bool
 	Run(context.Context)
@@ -36,27 +36,28 @@
 		t.Helper()
 		got := make(chan answer, 2)
 		if !c.Add(name, amount, 4*time.Second, func(s control.Status, total float64) { got <- answer{s, total} }) {
-			t.Fatal("the call was not taken")
+			t.Fatal("the counter did not accept the call")
 		}
 		return got
 	}
 }
 
-// fakeCounter accepts connections for a test to script; pings are answered by itself, each in its place among the calls.
+// fakeCounter accepts connections on which a test writes the answers to calls. It answers pings itself, each in its place
+// among the calls.
 type fakeCounter struct {
 	net.Listener
 	lines chan string
 	conns chan net.Conn
 }
 
-// fakeCounterConn is a connection of a store. A test writes the answers to calls on it.
+// fakeCounterConn is a connection of a fakeCounter. A test writes the answers to calls on it.
 type fakeCounterConn struct {
 	net.Conn
 
 	mu       sync.Mutex
-	calls    int   // that have come
-	answered int   // lines that the test has written
-	pings    []int // those without an answer yet: how many calls came before each
+	calls    int   // received
+	answered int   // lines written by the test
+	pings    []int // for each one without an answer yet, the number of calls before it
 }
 
 func (c *fakeCounterConn) received(line string) (isCall bool) {
@@ -71,7 +72,7 @@
 	return false
 }
 
-// answerPings answers the pings whose turn it is. c.mu is held.
+// answerPings answers the pings whose turn has come. The caller holds c.mu.
 func (c *fakeCounterConn) answerPings() {
 	for len(c.pings) > 0 && c.pings[0] <= c.answered {
 		c.pings = c.pings[1:]
@@ -79,7 +80,7 @@
 	}
 }
 
-// Write writes answers, with those to pings between them.
+// Write writes answers to calls and, in their places between these, answers to pings.
 func (c *fakeCounterConn) Write(b []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,14 +122,15 @@
 	return s
 }
 
-// A call given up keeps its place: its late answer is not taken for the next one's.
+// Guards against the late answer to a call that timed out being taken for the answer to the next call: the call must keep
+// its place in the pipeline.
 func TestLateAnswerIsReadOff(t *testing.T) {
 	s := newFakeCounter(t)
 	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 50*time.Millisecond))
 	c := <-s.conns
 	first := add(7, 2.5)
 	if line := <-s.lines; line != "bump 7 2.5 4000" {
-		t.Errorf("the counter was told %q", line)
+		t.Errorf("the counter received %q", line)
 	}
 	if a := <-first; a.status != control.Timeout { // it may have been added
 		t.Errorf("an unanswered call ended as %v", a)
@@ -144,15 +146,15 @@
 	<-s.lines
 	io.WriteString(c, "busy\r\nerror\r\n")
 	if a, b := <-busy, <-wrong; a.status != control.Full || b.status != control.Full {
-		t.Errorf("turned away: %v, %v", a, b)
+		t.Errorf("rejected calls ended as %v, %v", a, b)
 	}
 	if len(first) != 0 {
 		t.Error("one call was reported twice")
 	}
 }
 
-// A broken connection ends what is out on it as in doubt, and the next call goes out on a new one. A counter
-// that is not there adds nothing.
+// A broken connection leaves the calls in flight on it in doubt, and the next call is sent on a new connection. A call
+// on a counter that cannot be reached adds nothing.
 func TestCounterBreaksAndIsGone(t *testing.T) {
 	s := newFakeCounter(t)
 	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
@@ -168,7 +170,7 @@
 	<-s.lines
 	io.WriteString(c, "ok 1\r\n")
 	if a := <-again; a != (answer{control.OK, 1}) {
-		t.Errorf("after the break: %v", a)
+		t.Errorf("the call after the break was answered %v", a)
 	}
 	s.Close()
 	c.Close()
@@ -176,12 +178,12 @@
 		if a := <-add(7, 1); a.status == control.ConnectFailed {
 			break
 		} else if a.status != control.Timeout { // written just as the connection broke
-			t.Fatalf("with no counter there: %v", a)
+			t.Fatalf("a call on an unreachable counter ended as %v", a)
 		}
 	}
 }
 
-// Calls made in a row are written in a row, in order, over one connection.
+// Consecutive calls are written in order over one connection, without waiting for answers.
 func TestCallsArePipelined(t *testing.T) {
 	s := newFakeCounter(t)
 	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
@@ -190,9 +192,9 @@
 	for i := range 5 {
 		calls = append(calls, add(uint64(i), 1))
 	}
-	for i := range calls { // all are there before any is answered
+	for i := range calls { // all arrive before any is answered
 		if line := <-s.lines; !strings.HasPrefix(line, "bump "+string(rune('0'+i))+" ") {
-			t.Errorf("call %d came as %q", i, line)
+			t.Errorf("call %d arrived as %q", i, line)
 		}
 	}
 	io.WriteString(c, "ok 10\r\nok 11\r\nok 12\r\nok 13\r\nok 14\r\n")
@@ -203,40 +205,40 @@
 	}
 }
 
-// On Redis a name gets its life when it is new, and a lost answer is in doubt: it is not sent again.
+// On Redis a name gets its time to live when it is new. A call whose answer is lost is in doubt and not sent again.
 func TestRedis(t *testing.T) {
 	s := newRedis(t)
 	add := startCounter(t, counter.NewRedis(s.Addr(), 5*time.Second))
 	for i, want := range []float64{2.5, 5} {
 		if a := <-add(7, 2.5); a != (answer{control.OK, want}) {
-			t.Errorf("add %d: %v", i, a)
+			t.Errorf("add %d was answered %v", i, a)
 		}
 	}
 	if ttls := s.Life(); len(ttls) != 1 || ttls[0] > 4*time.Second || ttls[0] <= 0 {
-		t.Errorf("lives %v", ttls)
+		t.Errorf("times to live are %v, want one of at most 4 s", ttls)
 	}
 	s.Empty()
 	if a := <-add(7, 1); a != (answer{control.OK, 1}) {
-		t.Errorf("an emptied store: %v", a)
+		t.Errorf("a call on an emptied store was answered %v", a)
 	}
 	short := startCounter(t, counter.NewRedis(s.Addr(), 100*time.Millisecond))
-	<-short(8, 0) // it has its connection
+	<-short(8, 0) // it opens its connection
 	s.Silence()
 	if a := <-short(8, 1); a.status != control.Timeout {
-		t.Errorf("a silent store: %v", a)
+		t.Errorf("a call on a silent store ended as %v", a)
 	}
 	awaitSum(t, s, 7)
-	if sum := s.Sum(); sum != 7 { // 5, 1, and the one in doubt once
+	if sum := s.Sum(); sum != 7 { // 5, 1, and the call in doubt, added once
 		t.Errorf("%g units were added, want 7", sum)
 	}
 	absent := startCounter(t, counter.NewRedis("127.0.0.1:1", 5*time.Second))
 	if a := <-absent(8, 1); a.status != control.ConnectFailed {
-		t.Errorf("no store there: %v", a)
+		t.Errorf("a call on an unreachable store ended as %v", a)
 	}
 }
 
-// A counter that moves gets new calls at its new address at once; what is out at the old one still counts when
-// it is answered, and is in doubt when it is cut.
+// After a change of address new calls go to the new address at once. A call in flight at the old address still counts
+// when it is answered, and is in doubt when its connection is closed.
 func TestCounterMoves(t *testing.T) {
 	first, second := newFakeCounter(t), newFakeCounter(t)
 	line := counter.NewLineClient(first.Addr().String(), 5*time.Second)
@@ -251,23 +253,23 @@
 	<-second.lines
 	io.WriteString(c, "ok 3\r\n")
 	if a := <-late; a != (answer{control.OK, 3}) {
-		t.Errorf("at the new address: %v", a)
+		t.Errorf("the call at the new address was answered %v", a)
 	}
 	io.WriteString(old, "ok 2\r\n")
 	if a := <-answered; a != (answer{control.OK, 2}) {
-		t.Errorf("answered at the old address: %v", a)
+		t.Errorf("the call at the old address was answered %v", a)
 	}
 	old.Close()
 	if a := <-cut; a.status != control.Timeout {
-		t.Errorf("cut at the old address: %v", a)
+		t.Errorf("the call cut at the old address ended as %v", a)
 	}
 	if len(first.conns) != 0 {
 		t.Error("the old address was dialled again")
 	}
 }
 
-// What is not an answer to the letter leaves its call in doubt, and the ones behind it; the connection is given
-// up, and the next call goes out on another.
+// A line that is not exactly an answer leaves its call and the calls after it in doubt. The connection is closed, and the
+// next call is sent on another.
 func TestSpoiltAnswerIsInDoubt(t *testing.T) {
 	for name, malformed := range map[string]string{
 		"noise": "\x80\xff\x00\r\n", "no total": "ok\r\n", "a word": "ok many\r\n", "not a number": "ok nan\r\n",
--- a/internal/counter/crossed_line_test.go
+++ b/internal/counter/crossed_line_test.go
@@ -13,10 +13,11 @@
 	"junctionring/internal/counter"
 )
 
-// duplicatingCounter is a counter that answers some call of its first connection twice. It answers well on every other.
+// duplicatingCounter is a counter that answers some calls twice on its first connection. On every other connection it
+// answers correctly.
 type duplicatingCounter struct {
 	net.Listener
-	received chan struct{} // one for each call
+	received chan struct{} // one value for each call
 
 	mu     sync.Mutex
 	totals map[string]float64
@@ -74,7 +75,8 @@
 	}
 }
 
-// answerEachTwice answers each call twice: the second time when the next one has come, right before the answer to that.
+// answerEachTwice answers each call twice: the second time when the next call has arrived, right before the answer to
+// that call.
 func answerEachTwice(s *duplicatingCounter, c net.Conn) {
 	duplicate := ""
 	for in := bufio.NewScanner(c); in.Scan(); {
@@ -88,7 +90,7 @@
 	}
 }
 
-// answerFirstTwice answers the first call twice, and each when the next one has come.
+// answerFirstTwice answers the first call twice. It delays every answer until the next call has arrived.
 func answerFirstTwice(s *duplicatingCounter, c net.Conn) {
 	pending := ""
 	for in := bufio.NewScanner(c); in.Scan(); {
@@ -117,15 +119,15 @@
 	return fmt.Sprintf("ok %g\r\n", s.totals[name])
 }
 
-// Guards against the total of one name being taken for another's, where the counter answers a call twice and the second
-// time late.
+// Guards against the total of one name being taken for another's when the counter answers a call twice, the second time
+// late.
 func TestSecondLineIsNotTakenForAnotherName(t *testing.T) {
 	s := newDuplicatingCounter(t, answerEachTwice)
 	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
 	if a := <-add(1, 5); a != (answer{control.OK, 5}) {
 		t.Fatalf("the first call was answered %v", a)
 	}
-	if a := <-add(2, 1); a != (answer{status: control.Timeout}) { // it has been added, but nothing can be said of the total
+	if a := <-add(2, 1); a != (answer{status: control.Timeout}) { // its amount was added, but the total is unknown
 		t.Errorf("the call on name 2, whose total is 1, ended as %v", a)
 	}
 	for i := range 10 {
@@ -136,7 +138,8 @@
 	}
 }
 
-// Guards against every later total going to the wrong name, where a call is answered twice and another is always out.
+// Guards against every later total going to the wrong name when a call is answered twice and another call is always in
+// flight.
 func TestLineTooManyDoesNotShiftTheTotalsBehind(t *testing.T) {
 	s := newDuplicatingCounter(t, answerFirstTwice)
 	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
@@ -145,14 +148,14 @@
 		calls = append(calls, add(uint64(i), float64(i+1)))
 		<-s.received
 	}
-	for i, call := range calls[:len(calls)-1] { // the last may still be held
+	for i, call := range calls[:len(calls)-1] { // the answer to the last one may still be delayed
 		if a := <-call; a.status == control.OK && a.total != float64(i+1) {
 			t.Errorf("the call on name %d, whose total is %d, was answered %v", i, i+1, a)
 		}
 	}
 }
 
-// Guards against a line that nobody asked for being kept for the next call.
+// Guards against an unsolicited line being taken for the answer to the next call.
 func TestUnaskedLineEndsTheConnection(t *testing.T) {
 	s := newFakeCounter(t)
 	add := startCounter(t, counter.NewLineClient(s.Addr().String(), 5*time.Second))
--- a/internal/counter/crossed_redis_test.go
+++ b/internal/counter/crossed_redis_test.go
@@ -15,8 +15,8 @@
 	"junctionring/internal/counter"
 )
 
-// duplicatingRedis is a Redis store that answers each transaction of its first connection twice: the second time when the next
-// one has come whole, right before the answer to that one. It answers well on every other connection.
+// duplicatingRedis is a Redis store that answers each transaction on its first connection twice: the second time when the
+// next one has arrived completely, right before the answer to that one. On every other connection it answers correctly.
 type duplicatingRedis struct {
 	net.Listener
 
@@ -69,7 +69,7 @@
 		if err != nil {
 			return
 		}
-		if words[0] != "multi" { // of go-redis, as it sets a connection up
+		if words[0] != "multi" { // sent by go-redis when it opens a connection
 			io.WriteString(c, "-ERR unknown command\r\n")
 			continue
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-// transaction takes the rest of a transaction in, and returns the answer to all of it.
+// transaction reads the rest of a transaction and returns the answer to all of it.
 func (s *duplicatingRedis) transaction(in *bufio.Reader) (answer string, err error) {
 	answer = "+OK\r\n"
 	var results []string
@@ -134,7 +134,7 @@
 	}
 	var words []string
 	for range n {
-		if _, err := line(); err != nil { // the length: no word holds a line's end
+		if _, err := line(); err != nil { // the length, not needed: no word contains a line end
 			return nil, err
 		}
 		word, err := line()
@@ -147,14 +147,15 @@
 	return words, nil
 }
 
-// Guards against the total of one name being taken for another's, where a store answers twice and the second time late.
+// Guards against the total of one name being taken for another's when a store answers a call twice, the second time
+// late.
 func TestSecondRedisAnswerIsNotTakenForAnotherName(t *testing.T) {
 	s := newDuplicatingRedis(t)
 	add := startCounter(t, counter.NewRedis(s.Addr().String(), 5*time.Second))
 	if a := <-add(1, 5); a != (answer{control.OK, 5}) {
 		t.Fatalf("the first call was answered %v", a)
 	}
-	if a := <-add(2, 1); a != (answer{status: control.Timeout}) { // it has been added, but nothing can be said of the total
+	if a := <-add(2, 1); a != (answer{status: control.Timeout}) { // its amount was added, but the total is unknown
 		t.Errorf("the call on name 2, whose total is 1, ended as %v", a)
 	}
 	for i := range 10 {
--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -11,7 +11,8 @@
 	"junctionring/internal/counter"
 )
 
-// A counter that resets each connection as it comes, as one that holds too many does, is not dialled without a pause.
+// Guards against dialling in a tight loop a counter that resets each new connection, as one does that holds too many
+// connections.
 func TestCounterThatTurnsConnectionsAwayIsNotStormed(t *testing.T) {
 	const dials, pause = 6, 100 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,20 +44,20 @@
 	for {
 		select {
 		case took := <-reached:
-			if least := (dials - 2) * pause; took < least { // the first two may follow each other at once
-				t.Errorf("%d dials within %v, want %v at least", dials, took, least)
+			if least := (dials - 2) * pause; took < least { // the second may follow the first at once
+				t.Errorf("%d dials within %v, want at least %v", dials, took, least)
 			}
 			return
 		case a := <-add(7, 1):
 			if a.status == control.OK {
-				t.Fatal("a call that nobody answered was added")
+				t.Fatal("a call without an answer was reported as added")
 			}
 		}
 	}
 }
 
-// A counter that closes connections at rest, at once or with half a line on them, leaves no call in doubt that comes
-// after, and one connection at a time is all that the gateway has open.
+// A counter that closes idle connections, some after half a line, must leave no later call in doubt, and the gateway must
+// have no more than one connection open at a time.
 func TestCounterThatClosesAtRestLeavesNothingInDoubt(t *testing.T) {
 	const rounds = 40 // more than the 32 connections that a counter holds
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +81,7 @@
 					if _, err := c.Read(b); err != nil {
 						return
 					}
-					io.WriteString(c, "ok 1\r\npong\r\n") // a call comes in one piece with the ping behind it
+					io.WriteString(c, "ok 1\r\npong\r\n") // a call and its ping arrive in one piece
 					served <- c
 				}
 			}()
@@ -98,10 +99,10 @@
 			io.WriteString(c, "ok ")
 		}
 		c.(*net.TCPConn).CloseWrite()
-		<-ended // the gateway has seen the end, and closed too
+		<-ended // the gateway has seen the end of the stream and closed the connection too
 	}
 	if n := maxOpen.Load(); n > 2 {
 		t.Errorf("%d connections were open at once", n)
 	}
-	go func() { <-ended }() // the last one, when the actor ends
+	go func() { <-ended }() // the last connection ends with the actor
 }
--- a/internal/counter/line.go
+++ b/internal/counter/line.go
@@ -1,5 +1,6 @@
-// Package counter keeps the shared totals behind one port, with two stores: the platform's line
-// protocol and Redis. A silent store or an emptied one is normal; the module is told and goes on.
+// Package counter implements core.Counter, the interface to the shared totals, on two stores: the platform's line
+// protocol and Redis. It does not retry calls or treat a silent or an emptied store as a fault: both are normal, and
+// control is told and carries on.
 package counter
 
 import (
@@ -16,27 +17,27 @@
 
 const (
 	mailboxSize       = 1024
-	maxInFlight       = 512                    // calls on a connection not yet answered
-	silenceTimeout    = time.Second            // without the oldest answer: the connection is given up
+	maxInFlight       = 512                    // calls without an answer on a connection
+	silenceTimeout    = time.Second            // without the answer to the oldest call; then the connection is closed
 	keepAliveInterval = 2 * time.Second        // the counter closes idle connections after about 10 s
-	redialDelay       = 100 * time.Millisecond // so that a dead counter is not stormed with dials
+	redialDelay       = 100 * time.Millisecond // so that a failed counter is not dialled in a tight loop
 	dialTimeout       = 250 * time.Millisecond
-	maxAnswerLine     = 256                     // bytes of an answer
-	maxTotalLen       = 32                      // of a total
-	lineTimeout       = 100 * time.Millisecond  // for the rest of a line that has begun
-	oldAddressTimeout = 1500 * time.Millisecond // for answers from an address that the counter has left
+	maxAnswerLine     = 256                     // bytes
+	maxTotalLen       = 32                      // characters
+	lineTimeout       = 100 * time.Millisecond  // for the rest of a line that was received in part
+	oldAddressTimeout = 1500 * time.Millisecond // for answers from the previous address after a change
 	ping, pong        = "ping", "pong"
 	lineEnd           = "\r\n"
 )
 
 type reportFunc = func(control.Status, float64)
 
-// call is one add. Its timer and its answer race; both are handled by the actor, so one of them wins.
+// call is one addition to a total. Its timer and its answer race; the actor handles both, so only one of them reports.
 type call struct {
-	redisAdd // of the Redis store
+	redisAdd // used by the Redis store only
 
-	request     string // with a ping behind it
-	answerRead  bool   // its answer has come: the pong is next
+	request     string // followed by a ping
+	answerRead  bool   // its answer was read: the pong is next
 	status      control.Status
 	total       float64
 	report      reportFunc
@@ -71,35 +72,35 @@
 	}
 	connBroken     struct{ conn *lineConn }
 	addressChanged struct{ address string }
-	redial         struct{} // a pause is over
+	redial         struct{} // the redial delay has passed
 )
 
 // lineConn is a connection and the calls written to it that have no answer yet, in order.
 type lineConn struct {
 	net.Conn
 	unanswered  []*call
-	hasAnswered bool // it has brought an answer
+	hasAnswered bool // a call was answered on it
 }
 
-// LineClient is the counter on the line protocol: an actor that pipelines calls over one connection. A call given
-// up keeps its place in the line, since its answer must still be read off before the next one's. No answer names its call,
-// and one too many would be taken for that of another name, and each behind it too: so a ping follows each call, and an
-// answer counts once the pong has come behind it.
+// LineClient is the counter on the line protocol: an actor that pipelines calls over one connection. A call that timed
+// out keeps its place in the pipeline, since its answer must still be read before the next one. Answers do not name their
+// calls, so a surplus answer would be taken for the answer to another name's call, and so would each answer after it.
+// Therefore a ping follows each call, and an answer counts only once its pong has been read.
 type LineClient struct {
 	address string
 	timeout time.Duration
 	mailbox chan any
 	done    chan struct{}
 
-	conn            *lineConn // nil: none that takes calls
+	conn            *lineConn // nil: none that accepts calls
 	dialing         bool
 	retryAt         time.Time
-	queued          []*call // for a connection
-	unansweredConns int     // connections in a row that ended with no answer on them
+	queued          []*call // not written yet
+	unansweredConns int     // consecutive connections that ended without an answer
 	lastUse         time.Time
 }
 
-// NewLineClient makes the actor for the counter at an address; each call is given up after timeout.
+// NewLineClient returns the client of the counter at address. Each call times out after timeout.
 func NewLineClient(address string, timeout time.Duration) *LineClient {
 	return &LineClient{address: address, timeout: timeout,
 		mailbox: make(chan any, mailboxSize), done: make(chan struct{})}
@@ -124,10 +125,10 @@
 	}
 }
 
-// SetAddress goes over to the counter at another address. Calls that are out at the old one may still be answered.
+// SetAddress switches to the counter at another address. Calls in flight at the old one may still be answered.
 func (l *LineClient) SetAddress(address string) { l.post(addressChanged{address}) }
 
-// Run is the actor.
+// Run makes calls until ctx ends.
 func (l *LineClient) Run(ctx context.Context) {
 	defer close(l.done)
 	tick := time.NewTicker(keepAliveInterval / 2)
@@ -152,12 +153,12 @@
 		m.timer = time.AfterFunc(l.timeout-time.Since(m.requestedAt), func() { l.post(timedOut{m}) })
 		l.queued = append(l.queued, m)
 		if l.conn != nil && len(l.conn.unanswered) > 0 && time.Since(l.conn.unanswered[0].requestedAt) > silenceTimeout {
-			l.closeConn(l.conn) // what is gone silent may be a machine that vanished
+			l.closeConn(l.conn) // the machine at the other end may have vanished
 		}
 		l.connect(ctx)
 		l.writeQueued()
 	case timedOut:
-		for i, c := range l.queued { // not written: nothing was added
+		for i, c := range l.queued { // it was never written, so nothing was added
 			if c == m.c {
 				l.queued = append(l.queued[:i], l.queued[i+1:]...)
 				m.c.finish(control.ConnectFailed, 0)
@@ -167,7 +168,7 @@
 		m.c.finish(control.Timeout, 0)
 	case dialed:
 		l.dialing = false
-		if m.address != l.address { // it moved meanwhile: what waits has not been written anywhere
+		if m.address != l.address { // the address has changed since: the queued calls have not been written anywhere
 			if m.conn != nil {
 				m.conn.Close()
 			}
@@ -198,7 +199,7 @@
 	}
 }
 
-// changeAddress leaves the connection to the old address to its reader for as long as answers may still come.
+// changeAddress keeps the reader of the old connection running for as long as answers may still arrive on it.
 func (l *LineClient) changeAddress(ctx context.Context, address string) {
 	if address == l.address {
 		return
@@ -232,7 +233,7 @@
 	}()
 }
 
-// writeQueued sends all that waits in one piece.
+// writeQueued sends the queued calls in one write.
 func (l *LineClient) writeQueued() {
 	conn := l.conn
 	if conn == nil || len(l.queued) == 0 {
@@ -240,7 +241,7 @@
 	}
 	n := min(len(l.queued), maxInFlight-len(conn.unanswered))
 	if n <= 0 {
-		return // the rest times out in the line, with nothing added
+		return // the rest times out in the queue, with nothing added
 	}
 	var b strings.Builder
 	for _, c := range l.queued[:n] {
@@ -249,13 +250,13 @@
 	conn.unanswered = append(conn.unanswered, l.queued[:n]...)
 	l.queued = append([]*call(nil), l.queued[n:]...)
 	l.lastUse = time.Now()
-	conn.SetWriteDeadline(l.lastUse.Add(l.timeout)) // a peer that takes nothing in must not stop the actor
+	conn.SetWriteDeadline(l.lastUse.Add(l.timeout)) // a peer that does not read must not block the actor
 	if _, err := conn.Write([]byte(b.String())); err != nil {
-		l.closeConn(conn) // a part may have gone out
+		l.closeConn(conn) // a part may have been sent
 	}
 }
 
-// closeConn gives a connection up; what was written to it may have been added.
+// closeConn closes a connection. Calls written to it may have been added.
 func (l *LineClient) closeConn(conn *lineConn) {
 	if conn == nil {
 		return
@@ -271,19 +272,20 @@
 	conn.unanswered = nil
 }
 
-// delayRedial keeps a counter that turns connections away, say because it holds too many, from being dialled without end.
+// delayRedial keeps a counter that refuses connections, for example because it holds too many, from being dialled in a
+// tight loop.
 func (l *LineClient) delayRedial(conn *lineConn) {
 	l.unansweredConns++
 	if conn.hasAnswered {
 		l.unansweredConns = 0
 	}
-	if l.unansweredConns > 1 { // a single one may have been reset
+	if l.unansweredConns > 1 { // a single one may just have been reset
 		l.retryAt = time.Now().Add(redialDelay)
 		time.AfterFunc(redialDelay, func() { l.post(redial{}) })
 	}
 }
 
-// keepConnAlive pings an idle connection, lest the counter close it as a call is written.
+// keepConnAlive pings an idle connection, so that the counter does not close it while a call is written.
 func (l *LineClient) keepConnAlive(ctx context.Context, now time.Time) {
 	switch {
 	case l.conn == nil:
@@ -297,7 +299,7 @@
 func (l *LineClient) handleLine(a lineReceived) {
 	conn := a.conn
 	if len(conn.unanswered) == 0 {
-		l.closeConn(conn) // nobody asked
+		l.closeConn(conn) // no call is waiting for it
 		return
 	}
 	c := conn.unanswered[0]
@@ -305,41 +307,42 @@
 		c.status, c.total = decodeAnswer(a.line)
 		c.answerRead = true
 		if c.status == control.Timeout {
-			l.closeConn(conn) // not the answer to this call: nor can any behind it be told apart from noise
+			l.closeConn(conn) // no valid answer to this call, so no later line can be trusted either
 		}
 		return
 	}
 	if a.line != pong {
-		l.closeConn(conn) // one answer too many has come, and it may be that of this call or of one before
+		l.closeConn(conn) // there is a surplus answer, either to this call or to an earlier one
 		return
 	}
 	conn.unanswered, conn.hasAnswered = conn.unanswered[1:], true
 	c.finish(c.status, c.total)
 	if conn != l.conn && len(conn.unanswered) == 0 {
-		conn.Close() // the counter has moved, and this was the last answer
+		conn.Close() // the address has changed, and this was the last answer
 	}
 }
 
-// decodeAnswer reads the answer to a call. What is not in order, to the letter, is in doubt: it may have been added.
+// decodeAnswer parses the answer to a call. A line that is not exactly an answer leaves the call in doubt: its amount may
+// have been added.
 func decodeAnswer(line string) (control.Status, float64) {
 	word, rest, _ := strings.Cut(line, " ")
 	switch {
 	case line == "busy", line == "error":
 		return control.Full, 0
 	case word == "ok" && rest != "" && len(rest) <= maxTotalLen && strings.Trim(rest, "0123456789.+-eE") == "":
-		if total, err := strconv.ParseFloat(rest, 64); err == nil { // an infinite one is out of range: an error
+		if total, err := strconv.ParseFloat(rest, 64); err == nil { // a total out of range is an error, never infinite
 			return control.OK, total
 		}
 	}
 	return control.Timeout, 0
 }
 
-// readLines hands lines over. One that is too long, does not end as lines do, or does not come whole ends the
-// connection.
+// readLines passes lines to the actor. A line that is too long, does not end in CRLF or does not arrive completely ends
+// the connection.
 func (l *LineClient) readLines(conn *lineConn) {
 	in := bufio.NewReaderSize(conn, maxAnswerLine)
 	for {
-		in.Peek(1) // waits; an error shows below
+		in.Peek(1) // waits for data; ReadSlice returns the error
 		buffered, _ := in.Peek(in.Buffered())
 		partial := len(buffered) > 0 && bytes.IndexByte(buffered, '\n') < 0
 		if partial {
--- a/internal/counter/redis.go
+++ b/internal/counter/redis.go
@@ -19,13 +19,13 @@
 	redisPrefix  = "junctionring:"
 )
 
-// Redis is the counter on a Redis store that all gateways share: a few workers behind one mailbox.
+// Redis is the counter on a Redis store that all gateways share: a few workers that read one mailbox.
 type Redis struct {
 	address        string
-	client         atomic.Pointer[redis.Client] // replaced when an answer on one of its connections was another call's
+	client         atomic.Pointer[redis.Client] // replaced when a connection returned the answer to another call
 	timeout        time.Duration
 	mailbox        chan *call
-	lastCallNumber atomic.Uint64 // that were sent: their numbers
+	lastCallNumber atomic.Uint64 // counts the calls sent, to number them
 }
 
 type redisAdd struct {
@@ -34,7 +34,7 @@
 	ttl    time.Duration
 }
 
-// NewRedis makes the counter for the store at an address; each call is given up after timeout.
+// NewRedis returns the counter on the store at address. Each call times out after timeout.
 func NewRedis(address string, timeout time.Duration) *Redis {
 	r := &Redis{address: address, timeout: timeout, mailbox: make(chan *call, mailboxSize)}
 	r.client.Store(r.newClient())
@@ -44,18 +44,18 @@
 func (r *Redis) newClient() *redis.Client {
 	return redis.NewClient(&redis.Options{
 		Addr: r.address, Protocol: 2, DisableIdentity: true, PoolSize: redisWorkers,
-		// A lost answer may have been added: sent again it would count twice.
+		// No retries: a call whose answer was lost may have been added, and would then count twice.
 		MaxRetries: -1, DialerRetries: 1,
 		DialTimeout: r.timeout, ReadTimeout: r.timeout, WriteTimeout: r.timeout, ContextTimeoutEnabled: true,
 		MaintNotificationsConfig: &maintnotifications.Config{Mode: maintnotifications.ModeDisabled},
 	})
 }
 
-// replaceClient ends all connections of a client. Calls that are out on them may have been added.
+// replaceClient closes all connections of a client and installs a new one. Calls in flight on them may have been added.
 func (r *Redis) replaceClient(old *redis.Client) {
 	if replacement := r.newClient(); r.client.CompareAndSwap(old, replacement) {
 		old.Close()
-	} else { // another worker has replaced it
+	} else { // another worker has already replaced it
 		replacement.Close()
 	}
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// Run works calls off until ctx ends.
+// Run makes calls until ctx ends.
 func (r *Redis) Run(ctx context.Context) {
 	defer func() { r.client.Load().Close() }()
 	done := make(chan struct{})
@@ -94,13 +94,13 @@
 	}
 }
 
-// add makes one call. SET NX gives a new name its life; INCRBYFLOAT leaves that of an old one alone; as one
-// transaction no other gateway comes between the two, nor can a name be left without an end. ECHO returns the call's own
-// number, so that an answer to another call on the connection is not taken for its own.
+// add makes one call. SET NX gives a new name its time to live, and INCRBYFLOAT keeps that of an existing name. Both are
+// in one transaction, so that no other gateway acts between them and no name is left without an expiry. ECHO returns the
+// number of the call, so that the answer to another call on the connection is not taken for its own.
 func (r *Redis) add(ctx context.Context, c *call) (control.Status, float64) {
 	remaining := r.timeout - time.Since(c.requestedAt)
 	if remaining <= 0 {
-		return control.Full, 0 // it waited here for all its time: nothing was added
+		return control.Full, 0 // it timed out in the mailbox: nothing was added
 	}
 	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
@@ -119,7 +119,8 @@
 	return control.OK, total.Val()
 }
 
-// redisStatus tells what is known of an add that failed. What may have been added must not be added again.
+// redisStatus maps the error of a failed call to a status that tells whether its amount may have been added, and so must
+// not be added again.
 func redisStatus(err error) control.Status {
 	var op *net.OpError
 	switch {
@@ -130,7 +131,7 @@
 	}
 	var reply redis.Error
 	if errors.As(err, &reply) && !errors.Is(err, redis.Nil) {
-		return control.Full // the store's own word: a transaction that it turns away adds nothing
+		return control.Full // an error reply of the store: a rejected transaction adds nothing
 	}
 	return control.Timeout
 }
