--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core is the actor round the decision module. It deals in exchanges, attempts and outcomes and
-// knows no wire: fronts hand it exchanges, egress carries attempts out, and a counter keeps the totals.
-// It owns the table of held exchanges and the rule that each gets exactly one final answer.
+// Package core runs the decision module control as an actor: it holds the exchanges in flight, reports their events to
+// control, carries out the actions that control decides on, and gives each exchange exactly one final answer. It speaks
+// no protocol itself: front ends submit exchanges, egress sends the attempts, and a counter keeps the shared totals.
 package core
 
 import (
@@ -14,271 +14,271 @@
 	"junctionring/sites"
 )
 
-// Exchange is one client request, as the core sees it.
+// Exchange is one client request as submitted to the core.
 type Exchange struct {
 	Class, Plan   int
 	Customer      uint64
 	Units         float64
 	Spread, First int
 	Repeat        bool
-	Ask           bool      // only the verdict is wanted; nothing is sent to a target
-	Deadline      time.Time // the client has its answer by then or never
-	Bound         bool      // its key may have run at the site At, and is known nowhere else
-	At            int
-	Payload       any // what egress sends on; the core never looks inside
+	DecisionOnly  bool      // only the decision is wanted; nothing is sent to a target
+	Deadline      time.Time // the client waits for an answer until then
+	Pinned        bool      // a request with its key may have run at PinnedSite; no other site knows the key
+	PinnedSite    int
+	Payload       any // the request for egress to send; opaque to the core
 
-	// Arriving: its body is still coming in, and is sent on as it comes. Wait is how long the client waits from the
-	// last byte on; Deadline is when the body is given up. Spent tells that a part was sent on that cannot be
-	// sent again.
-	Arriving bool
-	Wait     time.Duration
-	Spent    func() bool
+	// Arriving: the body is still being received and is forwarded as it arrives. ResponseTimeout is how long the client
+	// waits for an answer after the last byte of the body, and Deadline is the time until which the body may arrive.
+	// BodyConsumed reports whether a part of the body was forwarded, which cannot be sent again.
+	Arriving        bool
+	ResponseTimeout time.Duration
+	BodyConsumed    func() bool
 }
 
-// Kind tells how an exchange ended.
+// Kind is the way in which an exchange ended.
 type Kind int
 
-// The ends of an exchange.
+// The kinds of final answers.
 const (
-	Failed  Kind = iota // promises nothing
-	Refused             // shed: trying again is harmless
+	Failed  Kind = iota // no statement on whether the request ran
+	Refused             // shed or over quota: a retry is harmless
 	Served
-	Allowed // the verdict for one that only asks
-	Left    // the client went away; nobody reads the answer
+	Allowed    // the decision to admit an exchange with DecisionOnly
+	ClientGone // the client disconnected; nobody reads the answer
 )
 
 // Answer is the one final answer of an exchange.
 type Answer struct {
 	Kind        Kind
-	RetryAfter  time.Duration // of Refused; 0: no advice
-	Over        bool          // of Refused: for want of quota
+	RetryAfter  time.Duration // of Refused: the wait advised to the client; 0: none
+	OverQuota   bool          // of Refused: the customer has no quota left
 	MayHaveRun  bool          // some attempt reached a target, or may have
-	AttemptsOut int           // as it was given
-	RanAt       int           // the site of the first of those
-	Reply       any           // of Served, as egress brought it
+	AttemptsOut int           // in flight when the answer was given
+	RanAtSite   int           // the site of the first attempt that may have run
+	Reply       any           // of Served: the reply from egress
 }
 
-// Attempt is one send of an exchange to an egress target. Its context ends when the attempt is not wanted
-// any more: by its deadline (a time-out) or earlier (called off).
+// Attempt is one send of an exchange to an egress target. Its context ends when the attempt is no longer
+// wanted: at its deadline (a timeout) or earlier (a cancellation).
 type Attempt struct {
-	Ctx     context.Context
-	Target  string
-	Payload any
-	Repeat  control.Repeat  // of the exchange's class
-	Before  time.Time       // not sent at all later than this, however late its connection comes up; zero: any time
-	Over    <-chan struct{} // closed once nobody wants its answer: what has not gone out yet does not
-	Report  func(Outcome)   // exactly once; may block, so never from the core's goroutine
+	Ctx          context.Context
+	Target       string
+	Payload      any
+	Repeat       control.Repeat  // the rule of the exchange's class
+	SendBefore   time.Time       // not sent after this time, even if its connection takes longer; zero: no limit
+	ExchangeDone <-chan struct{} // closed when the exchange has its final answer: an attempt not sent by then is dropped
+	Report       func(Outcome)   // called exactly once; may block, so never on the core's goroutine
 
-	// Of a message that is still coming in: Whole is called when its last byte went out, and its answer is waited
-	// for as long as Wait from then on. Whole may block as Report may.
-	Whole func()
-	Wait  time.Duration
+	// For a request whose body is still being received: OnBodySent is called when its last byte has been sent, and the
+	// answer may take ResponseTimeout from then on. OnBodySent may block, as Report may.
+	OnBodySent      func()
+	ResponseTimeout time.Duration
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome struct {
-	Status  control.Status
-	Written bool // the attempt's last byte went out
-	Reply   any
-	Load    []float64
-	Waited  time.Duration // from the request's last byte to the answer's first; 0: not known
+	Status          control.Status
+	Written         bool // the last byte of the request was sent
+	Reply           any
+	Load            []float64
+	TimeToFirstByte time.Duration // from the last byte of the request to the first of the answer; 0: unknown
 }
 
-// Target is an entry of the route table with the address to send to, opaque to the core.
+// Target is an entry of the route table with the target's address, which is opaque to the core.
 type Target struct {
 	control.Member
 	Address string
 }
 
-// Table is a route table, or changes to it.
+// Table is a whole route table or a set of changes to it.
 type Table struct {
 	Kind    control.MembersKind
 	Version int64
 	Targets []Target
 }
 
-// Egress carries attempts out. The core calls it from its own goroutine only; no call may block.
+// Egress sends attempts to targets. The core calls it from its own goroutine only; no call may block.
 type Egress interface {
 	Update(Table)
-	Start(Attempt) bool // false: there was no room, nothing was or will be sent
-	// Probe asks a target how it is; within 0 leaves the time to egress.
+	Start(Attempt) bool // false: no capacity; nothing was or will be sent
+	// Probe checks the health of a target; if within is 0, egress sets the timeout.
 	Probe(target string, within time.Duration, report func(control.Status, []float64)) bool
 	CloseIdle(target string)
 }
 
-// Counter adds to named numbers. Add does not block; false says that nothing was added or will be.
-// The report comes from another goroutine, for one name in the order of the calls.
+// Counter adds to named totals. Add does not block; it returns false if nothing was added or will be.
+// report is called on another goroutine; for one name, reports come in the order of the calls.
 type Counter interface {
 	Add(name uint64, amount float64, ttl time.Duration, report func(control.Status, float64)) bool
 }
 
 const (
-	mailboxSize = 4096
-	siteTick    = 50 * time.Millisecond  // between looks at what time alone tells of sites
-	figureTick  = 250 * time.Millisecond // between looks at the servers for the figures: they may be 0.5 s late
-	busyPause   = 500 * time.Millisecond // told to a client where the core sheds by itself; at most what the settings allow
-	overdue     = 15 * time.Millisecond  // past the deadline at which the core answers by itself
+	mailboxSize      = 4096
+	siteTickInterval = 50 * time.Millisecond  // between runs of the sites' timed actions
+	gaugeInterval    = 250 * time.Millisecond // between updates of the server gauges, which may be up to 0.5 s old
+	shedRetryAfter   = 500 * time.Millisecond // Retry-After of requests that the core itself sheds, limited by the settings
+	overdueGrace     = 15 * time.Millisecond  // from an exchange's deadline until the core itself answers it
 )
 
 type (
-	opened  struct{ h *held }
-	left    struct{ h *held }
-	whole   struct{ h *held }
-	expired struct{ h *held }
-	ended   struct {
-		h       *held
+	exchangeOpened struct{ h *heldExchange }
+	clientGone     struct{ h *heldExchange }
+	bodySent       struct{ h *heldExchange }
+	deadlinePassed struct{ h *heldExchange }
+	attemptEnded   struct {
+		h       *heldExchange
 		attempt int
 		target  string
-		sent    time.Time
-		took    control.Seconds
+		sentAt  time.Time
+		elapsed control.Seconds
 		Outcome
 	}
-	probed struct { // over a link
-		target string
-		status control.Status
-		took   control.Seconds
+	linkProbed struct { // a probe of the link to a site
+		target  string
+		status  control.Status
+		elapsed control.Seconds
 	}
-	report  struct{ got chan sites.Report }
-	inUse   struct{ got chan map[int]int }
-	changed struct {
+	sitesReport  struct{ reply chan sites.Report }
+	plansInUse   struct{ reply chan map[int]int }
+	reconfigured struct {
 		control.Reconfigured
 		done chan struct{}
 	}
-	flush   struct{ done chan struct{} }
-	shedAll struct{}
-	ending  struct{ added chan struct{} }
+	flush      struct{ done chan struct{} }
+	shedAll    struct{}
+	flushUnits struct{ done chan struct{} }
 )
 
-// held is an exchange in the table.
-type held struct {
+// heldExchange is an exchange that lacks its final answer or still has attempts in flight.
+type heldExchange struct {
 	Exchange
-	id      uint64
-	final   bool
-	answer  chan Answer   // of one place: a final answer never waits for its reader
-	over    chan struct{} // closed with the final answer
-	cancels []context.CancelFunc
-	flights []sites.Attempt // one for each attempt, where there are sites
-	verdict sites.Verdict   // the last
-	came    time.Time
-	out     int
-	mayRan  bool
-	ranAt   int
-	ran     time.Time // when the first attempt that may have run was sent
-	guard   *time.Timer
-}
-
-// Core is the actor. Run runs it; the other methods may be called from anywhere.
+	id              uint64
+	answered        bool
+	answer          chan Answer   // buffered, so that giving the final answer never blocks
+	done            chan struct{} // closed when the final answer is given
+	cancels         []context.CancelFunc
+	flights         []sites.Attempt // one per attempt; none without sites
+	verdict         sites.Verdict   // the latest
+	receivedAt      time.Time
+	inFlight        int
+	mayHaveRun      bool
+	ranAtSite       int
+	mayHaveRunSince time.Time // when the first attempt that may have run was sent
+	overdueTimer    *time.Timer
+}
+
+// Core is the actor. Run handles its messages; the other methods may be called from any goroutine.
 type Core struct {
-	gateway *control.Gateway
-	egress  Egress
-	counter Counter
-	classes []control.Class
-	copies  bool          // the settings allow two attempts of an exchange to be out at once
-	pause   time.Duration // of what the core sheds by itself; 0: no advice
-	log     *slog.Logger
-	sites   *sites.Router // nil: all targets are at one site
-	todo    []sites.Action
-
-	mailbox chan any
-	done    chan struct{} // closed when Run has ended
-	base    time.Time     // wall time and a monotonic reading: a clock that gateways share and never steps
-	baseSec float64
-
-	ctx     context.Context
-	held    map[uint64]*held
-	lastID  uint64
-	later   []any // messages to itself, which must not wait on its own mailbox
-	actions []control.Action
-	figures *telemetry.Figures // nil: not counted
-	adding  []chan struct{}    // closed once the counter holds every unit
-	ending  bool               // all was shed, and what still comes is too
-}
-
-// New makes the actor of a gateway.
+	gateway      *control.Gateway
+	egress       Egress
+	counter      Counter
+	classes      []control.Class
+	secondCopies bool          // the settings allow two attempts of an exchange in flight at once
+	retryAfter   time.Duration // of requests that the core itself sheds; 0: none
+	log          *slog.Logger
+	sites        *sites.Router // nil: all targets are at one site
+	siteActions  []sites.Action
+
+	mailbox      chan any
+	done         chan struct{} // closed when Run returns
+	startTime    time.Time     // wall-clock and monotonic reading: together a clock that gateways share and that never steps
+	startSeconds float64
+
+	ctx          context.Context
+	held         map[uint64]*heldExchange
+	lastID       uint64
+	selfMessages []any // messages to itself: posting them could block on its own mailbox
+	actions      []control.Action
+	metrics      *telemetry.Figures // nil: nothing is counted
+	flushWaiters []chan struct{}    // closed once the counter holds all used units
+	shedding     bool               // every held exchange was shed, and every new one is shed on arrival
+}
+
+// New returns the core of a gateway. It handles nothing until Run is called.
 func New(s control.Settings, seed uint64, egress Egress, counter Counter, log *slog.Logger) (*Core, error) {
 	g, err := control.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	pause := time.Duration(0)
+	retryAfter := time.Duration(0)
 	if s.Limits.RetryAfter {
-		pause = min(busyPause, duration(s.Limits.MaxRetryAfter))
+		retryAfter = min(shedRetryAfter, duration(s.Limits.MaxRetryAfter))
 	}
 	return &Core{
-		gateway: g, egress: egress, counter: counter, classes: s.Classes, pause: pause, log: log,
-		copies:  s.Limits.SecondCopies,
-		mailbox: make(chan any, mailboxSize), done: make(chan struct{}),
-		base: now, baseSec: float64(now.UnixMicro()) / 1e6, held: map[uint64]*held{},
+		gateway: g, egress: egress, counter: counter, classes: s.Classes, retryAfter: retryAfter, log: log,
+		secondCopies: s.Limits.SecondCopies,
+		mailbox:      make(chan any, mailboxSize), done: make(chan struct{}),
+		startTime: now, startSeconds: float64(now.UnixMicro()) / 1e6, held: map[uint64]*heldExchange{},
 	}, nil
 }
 
-// Count has the core count its answers and attempts, and the servers it knows, into f. It must be called before
+// SetMetrics makes the core count its answers, its attempts and the servers it knows in m. It must be called before
 // Run.
-func (c *Core) Count(f *telemetry.Figures) { c.figures = f }
+func (c *Core) SetMetrics(m *telemetry.Figures) { c.metrics = m }
 
-// tally counts a final answer by its kind. One that nobody reads counts as nothing.
-func (c *Core) tally(class int, k Kind, late bool) {
-	n := c.figures.Class(class)
-	if n == nil {
+// countAnswer counts a final answer by its kind. Answers that nobody reads are not counted.
+func (c *Core) countAnswer(class int, kind Kind, late bool) {
+	counts := c.metrics.Class(class)
+	if counts == nil {
 		return
 	}
-	switch k {
+	switch kind {
 	case Served:
-		n.Success.Add(1)
+		counts.Success.Add(1)
 		if late {
-			n.Late.Add(1)
+			counts.Late.Add(1)
 		}
 	case Refused:
-		n.Overload.Add(1)
+		counts.Overload.Add(1)
 	case Failed:
-		n.Error.Add(1)
+		counts.Error.Add(1)
 	}
 }
 
-// Streamer is a reply that may have more to come.
+// Streamer is a reply whose body may still be streaming.
 type Streamer interface {
 	Streaming() bool
-	Close() error // nobody reads it
+	Close() error // discards the rest of the body
 }
 
-// Streamed counts a streamed answer at its end.
-func (c *Core) Streamed(class int, whole bool) {
-	k := Served
-	if !whole {
-		k = Failed
+// CountStreamed counts a streamed answer when its body has ended: served if complete, failed otherwise.
+func (c *Core) CountStreamed(class int, complete bool) {
+	kind := Served
+	if !complete {
+		kind = Failed
 	}
-	c.tally(class, k, false) // how long it took is for its reader to say
+	c.countAnswer(class, kind, false) // never late: its duration depends on the reader
 }
 
-// Name names the classes by their number, for the figures.
-func (c *Core) Name(names []string) {
-	if c.figures != nil {
-		c.figures.Classes(names)
+// SetClassNames sets the names of the classes, indexed by class number, for the metrics.
+func (c *Core) SetClassNames(names []string) {
+	if c.metrics != nil {
+		c.metrics.Classes(names)
 	}
 }
 
-// At tells the core of sites. It must be called before Run.
-func (c *Core) At(r *sites.Router) { c.sites = r }
+// SetSites sets the router for targets at several sites. It must be called before Run.
+func (c *Core) SetSites(r *sites.Router) { c.sites = r }
 
-// Sites reports on the sites; false without any, or when the core has ended.
+// Sites returns the report on the sites, or false if there are none or Run has returned.
 func (c *Core) Sites() (sites.Report, bool) {
 	if c.sites == nil {
 		return sites.Report{}, false
 	}
-	m := report{make(chan sites.Report, 1)}
+	m := sitesReport{make(chan sites.Report, 1)}
 	c.post(m)
 	select {
-	case r := <-m.got:
+	case r := <-m.reply:
 		return r, true
 	case <-c.done:
 		return sites.Report{}, false
 	}
 }
 
-// Reconfigure takes new classes and plans in, and returns once exchanges may name them. Numbers in use stay.
+// Reconfigure installs new classes and plans, and returns once exchanges may use them. Numbers in use stay valid.
 func (c *Core) Reconfigure(e control.Reconfigured) {
-	m := changed{e, make(chan struct{})}
+	m := reconfigured{e, make(chan struct{})}
 	c.post(m)
 	select {
 	case <-m.done:
@@ -286,52 +286,52 @@
 	}
 }
 
-// PlansInUse counts the customers that are known, by the number of their plan.
+// PlansInUse returns the number of known customers by plan number.
 func (c *Core) PlansInUse() map[int]int {
-	m := inUse{make(chan map[int]int, 1)}
+	m := plansInUse{make(chan map[int]int, 1)}
 	c.post(m)
 	select {
-	case n := <-m.got:
+	case n := <-m.reply:
 		return n
 	case <-c.done:
 		return nil
 	}
 }
 
-// Do has an exchange decided and carried out, and returns its one final answer. If ctx ends first the client
-// has left: whatever is out for it is called off.
+// Do has an exchange decided and carried out, and returns its one final answer. If ctx ends first, the client
+// has disconnected: all attempts in flight for the exchange are cancelled.
 func (c *Core) Do(ctx context.Context, x Exchange) Answer {
-	h := &held{Exchange: x, answer: make(chan Answer, 1), over: make(chan struct{})}
+	h := &heldExchange{Exchange: x, answer: make(chan Answer, 1), done: make(chan struct{})}
 	select {
-	case c.mailbox <- opened{h}:
-	default: // more than the core can take in: shed here, without waiting
-		c.tally(x.Class, Refused, false)
-		return Answer{Kind: Refused, RetryAfter: c.pause}
+	case c.mailbox <- exchangeOpened{h}:
+	default: // the mailbox is full: shed here, without waiting
+		c.countAnswer(x.Class, Refused, false)
+		return Answer{Kind: Refused, RetryAfter: c.retryAfter}
 	}
 	select {
 	case a := <-h.answer:
 		return a
 	case <-ctx.Done():
-		c.post(left{h})
+		c.post(clientGone{h})
 		select {
-		case a := <-h.answer: // a final answer that crossed the client's leaving stands
+		case a := <-h.answer: // a final answer given before the disconnect was handled stands
 			return a
 		case <-c.done:
-			return Answer{Kind: Left, MayHaveRun: true}
+			return Answer{Kind: ClientGone, MayHaveRun: true}
 		}
 	case <-c.done:
-		c.tally(x.Class, Refused, false)
-		return Answer{Kind: Refused, RetryAfter: c.pause}
+		c.countAnswer(x.Class, Refused, false)
+		return Answer{Kind: Refused, RetryAfter: c.retryAfter}
 	}
 }
 
-// Pause is what the core advises clients to wait whose requests it sheds by itself; 0: no advice.
-func (c *Core) Pause() time.Duration { return c.pause }
+// RetryAfter is the wait advised to clients whose requests the core itself sheds; 0: none.
+func (c *Core) RetryAfter() time.Duration { return c.retryAfter }
 
-// Routes takes a new route table in. It returns once the core has it in its mailbox.
+// Routes applies a new route table or changes to it. It returns once the table is in the core's mailbox.
 func (c *Core) Routes(t Table) { c.post(t) }
 
-// Settle returns once the core has handled all that was posted before.
+// Settle returns once the core has handled all messages posted before.
 func (c *Core) Settle() {
 	f := flush{make(chan struct{})}
 	c.post(f)
@@ -341,62 +341,62 @@
 	}
 }
 
-// Shed gives every held exchange its final answer now, and every later one as it comes: the program is about to end.
+// Shed gives every held exchange its final answer now and every later one on arrival: the process is about to exit.
 func (c *Core) Shed() {
 	c.post(shedAll{})
 	c.Settle()
 }
 
-// Finish has what was used and not added to the counter yet added now, and waits for that until ctx ends: units that
-// nobody hears of could be spent a second time.
-func (c *Core) Finish(ctx context.Context) error {
-	m := ending{make(chan struct{})}
+// FlushUnits has all used units added to the counter that it does not hold yet, and waits for that until ctx ends:
+// units that the counter never receives could be spent a second time.
+func (c *Core) FlushUnits(ctx context.Context) error {
+	m := flushUnits{make(chan struct{})}
 	c.post(m)
 	select {
-	case <-m.added:
+	case <-m.done:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("not all units were added to the counter: %w", ctx.Err())
+		return fmt.Errorf("not all used units were added to the counter: %w", ctx.Err())
 	case <-c.done:
 		return nil
 	}
 }
 
-// added answers those that wait in Finish.
-func (c *Core) added() {
-	if len(c.adding) == 0 || c.gateway.UnflushedCustomers() > 0 {
+// notifyFlushed wakes the callers of FlushUnits once the counter holds all used units.
+func (c *Core) notifyFlushed() {
+	if len(c.flushWaiters) == 0 || c.gateway.UnflushedCustomers() > 0 {
 		return
 	}
-	for _, done := range c.adding {
+	for _, done := range c.flushWaiters {
 		close(done)
 	}
-	c.adding = nil
+	c.flushWaiters = nil
 }
 
-func (c *Core) shed() {
-	c.ending = true
+func (c *Core) shedHeld() {
+	c.shedding = true
 	for _, h := range c.held {
-		if !h.final {
-			c.abandon(h)
+		if !h.answered {
+			c.answerLocally(h)
 		}
 	}
 }
 
-// abandon ends an exchange here, for a reason of the core's own.
-func (c *Core) abandon(h *held) {
-	c.end(h, c.curtail(h))
-	c.feed(control.ClientGone{ID: h.id})
-	c.forget(h)
+// answerLocally ends an exchange without a decision of control.
+func (c *Core) answerLocally(h *heldExchange) {
+	c.answer(h, c.localAnswer(h))
+	c.handleEvent(control.ClientGone{ID: h.id})
+	c.removeIfDone(h)
 }
 
-// curtail is the answer of an exchange that ends here for a reason of its own.
-func (c *Core) curtail(h *held) Answer {
+// localAnswer returns the answer to an exchange that the core itself ends.
+func (c *Core) localAnswer(h *heldExchange) Answer {
 	class := c.classes[h.Class]
-	again := class.Repeat == control.Safe || class.Repeat == control.Keyed && class.Group == control.GroupAll
-	if !again && (h.mayRan || h.out > 0) { // a refusal would say that trying again is harmless
+	repeatable := class.Repeat == control.Safe || class.Repeat == control.Keyed && class.Group == control.GroupAll
+	if !repeatable && (h.mayHaveRun || h.inFlight > 0) { // a refusal would tell the client that a retry is harmless
 		return Answer{Kind: Failed}
 	}
-	return Answer{Kind: Refused, RetryAfter: c.pause}
+	return Answer{Kind: Refused, RetryAfter: c.retryAfter}
 }
 
 func (c *Core) post(m any) {
@@ -406,67 +406,67 @@
 	}
 }
 
-func (c *Core) now() control.Seconds { return c.baseSec + time.Since(c.base).Seconds() }
+func (c *Core) now() control.Seconds { return c.startSeconds + time.Since(c.startTime).Seconds() }
 
 // Run handles messages until ctx ends.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.done)
 	c.ctx = ctx
-	var tick, look <-chan time.Time
+	var siteTick, gaugeTick <-chan time.Time
 	if c.sites != nil {
-		t := time.NewTicker(siteTick)
+		t := time.NewTicker(siteTickInterval)
 		defer t.Stop()
-		tick = t.C
+		siteTick = t.C
 	}
-	if c.figures != nil {
-		t := time.NewTicker(figureTick)
+	if c.metrics != nil {
+		t := time.NewTicker(gaugeInterval)
 		defer t.Stop()
-		look = t.C
+		gaugeTick = t.C
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick:
-			c.tick()
-		case <-look:
+		case <-siteTick:
+			c.tickSites()
+		case <-gaugeTick:
 			listed, avoided := c.gateway.Listed()
-			c.figures.Targets.Store(int64(listed))
-			c.figures.Disabled.Store(int64(avoided))
-			c.figures.Draining.Store(c.gateway.Draining())
+			c.metrics.Targets.Store(int64(listed))
+			c.metrics.Disabled.Store(int64(avoided))
+			c.metrics.Draining.Store(c.gateway.Draining())
 		case m := <-c.mailbox:
 			c.handle(m)
 		}
-		for len(c.later) > 0 {
-			next := c.later[0]
-			c.later = c.later[1:]
+		for len(c.selfMessages) > 0 {
+			next := c.selfMessages[0]
+			c.selfMessages = c.selfMessages[1:]
 			c.handle(next)
 		}
-		c.added()
+		c.notifyFlushed()
 	}
 }
 
 func (c *Core) handle(m any) {
 	switch m := m.(type) {
-	case opened:
+	case exchangeOpened:
 		c.open(m.h)
-	case left:
-		c.end(m.h, Answer{Kind: Left})
-		c.feed(control.ClientGone{ID: m.h.id})
-		c.forget(m.h)
-	case whole:
-		if h := m.h; h.Arriving && !h.final {
-			h.Arriving, h.Deadline = false, time.Now().Add(h.Wait)
-			h.guard.Reset(h.Wait + overdue)
-			c.feed(control.BodyReceived{ID: h.id})
+	case clientGone:
+		c.answer(m.h, Answer{Kind: ClientGone})
+		c.handleEvent(control.ClientGone{ID: m.h.id})
+		c.removeIfDone(m.h)
+	case bodySent:
+		if h := m.h; h.Arriving && !h.answered {
+			h.Arriving, h.Deadline = false, time.Now().Add(h.ResponseTimeout)
+			h.overdueTimer.Reset(h.ResponseTimeout + overdueGrace)
+			c.handleEvent(control.BodyReceived{ID: h.id})
 		}
-	case expired:
-		if !m.h.final { // guards against an attempt that hangs: the client is never left without an answer
-			c.log.Warn("exchange overdue", "id", m.h.id)
-			c.abandon(m.h)
+	case deadlinePassed:
+		if !m.h.answered { // guards against hanging attempts: the client always gets an answer
+			c.log.Warn("exchange unanswered after its deadline; the core answers it", "id", m.h.id)
+			c.answerLocally(m.h)
 		}
-	case ended:
-		c.ended(m)
+	case attemptEnded:
+		c.endAttempt(m)
 	case Table:
 		c.egress.Update(m)
 		members := control.Members{Kind: m.Kind, Version: m.Version}
@@ -476,128 +476,128 @@
 		if c.sites != nil {
 			c.sites.Members(c.now(), members)
 		}
-		c.feed(members)
-	case probed:
-		c.sites.Probed(c.now(), m.target, m.status, m.took)
-		c.tick() // a link that is up again is used at once
-	case inUse:
-		m.got <- c.gateway.CustomersByPlan()
-	case changed:
+		c.handleEvent(members)
+	case linkProbed:
+		c.sites.Probed(c.now(), m.target, m.status, m.elapsed)
+		c.tickSites() // a link that has recovered is used at once
+	case plansInUse:
+		m.reply <- c.gateway.CustomersByPlan()
+	case reconfigured:
 		c.classes = m.Classes
 		if c.sites != nil {
 			c.sites.Reconfigure(c.now(), m.Classes, m.From)
 		}
-		c.feed(m.Reconfigured)
+		c.handleEvent(m.Reconfigured)
 		close(m.done)
-	case report:
-		m.got <- c.sites.Report()
+	case sitesReport:
+		m.reply <- c.sites.Report()
 	case flush:
 		close(m.done)
-	case ending:
-		c.adding = append(c.adding, m.added)
-		c.feed(control.ShuttingDown{})
+	case flushUnits:
+		c.flushWaiters = append(c.flushWaiters, m.done)
+		c.handleEvent(control.ShuttingDown{})
 	case shedAll:
-		c.shed()
+		c.shedHeld()
 	case control.Event:
-		c.feed(m)
+		c.handleEvent(m)
 	default:
-		panic(fmt.Sprintf("core: no such message: %T", m))
+		panic(fmt.Sprintf("core: unknown message type %T", m))
 	}
 }
 
-func (c *Core) open(h *held) {
+func (c *Core) open(h *heldExchange) {
 	c.lastID++
 	h.id = c.lastID
-	rest := time.Until(h.Deadline)
-	if rest <= 0 || c.ending {
-		c.end(h, Answer{Kind: Refused, RetryAfter: c.pause})
+	remaining := time.Until(h.Deadline)
+	if remaining <= 0 || c.shedding {
+		c.answer(h, Answer{Kind: Refused, RetryAfter: c.retryAfter})
 		return
 	}
 	c.held[h.id] = h
-	h.guard = time.AfterFunc(rest+overdue, func() { c.post(expired{h}) })
-	h.came = time.Now()
+	h.overdueTimer = time.AfterFunc(remaining+overdueGrace, func() { c.post(deadlinePassed{h}) })
+	h.receivedAt = time.Now()
 	if h.Arriving {
-		rest = h.Wait
+		remaining = h.ResponseTimeout
 	}
-	c.feed(control.Request{
-		BodyIncoming: h.Arriving, Reach: c.route(h, rest),
-		ID: h.id, Class: h.Class, Plan: h.Plan, Customer: h.Customer, TimeLeft: rest.Seconds(),
-		Units: h.Units, Spread: h.Spread, First: h.First, Repeat: h.Repeat, VerdictOnly: h.Ask,
+	c.handleEvent(control.Request{
+		BodyIncoming: h.Arriving, Reach: c.route(h, remaining),
+		ID: h.id, Class: h.Class, Plan: h.Plan, Customer: h.Customer, TimeLeft: remaining.Seconds(),
+		Units: h.Units, Spread: h.Spread, First: h.First, Repeat: h.Repeat, VerdictOnly: h.DecisionOnly,
 	})
-	c.forget(h)
+	c.removeIfDone(h)
 }
 
-// end gives the final answer, unless there is one already.
-func (c *Core) end(h *held, a Answer) {
-	if h.final {
+// answer gives the final answer, unless one was given already.
+func (c *Core) answer(h *heldExchange, a Answer) {
+	if h.answered {
 		return
 	}
-	h.final = true
-	close(h.over)
-	if s, ok := a.Reply.(Streamer); !ok || !s.Streaming() { // else it is counted when it has ended: Streamed
-		c.tally(h.Class, a.Kind, time.Since(h.came).Seconds() > c.classes[h.Class].Aim)
+	h.answered = true
+	close(h.done)
+	if s, ok := a.Reply.(Streamer); !ok || !s.Streaming() { // a streaming answer is counted at its end, by CountStreamed
+		c.countAnswer(h.Class, a.Kind, time.Since(h.receivedAt).Seconds() > c.classes[h.Class].Aim)
 	}
-	a.MayHaveRun, a.RanAt, a.AttemptsOut = h.mayRan || h.out > 0, h.ranAt, h.out
+	a.MayHaveRun, a.RanAtSite, a.AttemptsOut = h.mayHaveRun || h.inFlight > 0, h.ranAtSite, h.inFlight
 	h.answer <- a
-	if h.guard != nil {
-		h.guard.Stop()
+	if h.overdueTimer != nil {
+		h.overdueTimer.Stop()
 	}
 }
 
-// forget drops an exchange that has its answer and nothing out.
-func (c *Core) forget(h *held) {
-	if h.final && h.out == 0 {
+// removeIfDone drops an exchange that has its final answer and no attempt in flight.
+func (c *Core) removeIfDone(h *heldExchange) {
+	if h.answered && h.inFlight == 0 {
 		delete(c.held, h.id)
 	}
 }
 
-func (c *Core) ended(e ended) {
+func (c *Core) endAttempt(e attemptEnded) {
 	if e.Written {
-		if n := c.figures.Class(e.h.Class); n != nil {
+		if n := c.metrics.Class(e.h.Class); n != nil {
 			n.Dispatches.Add(1)
 		}
 	}
-	e.h.out--
+	e.h.inFlight--
 	e.h.cancels[e.attempt]()
 	if e.Status != control.Full && e.Status != control.ConnectFailed && e.Status != control.NotSent {
-		if !e.h.mayRan {
-			e.h.ran = e.sent
+		if !e.h.mayHaveRun {
+			e.h.mayHaveRunSince = e.sentAt
 		}
-		e.h.mayRan = true
+		e.h.mayHaveRun = true
 	}
 	var reach control.Reach
 	if c.sites != nil {
-		c.sites.Ended(c.now(), e.h.flights[e.attempt], e.Status, e.Waited.Seconds())
-		if e.Status != control.OK && !e.h.final {
+		c.sites.Ended(c.now(), e.h.flights[e.attempt], e.Status, e.TimeToFirstByte.Seconds())
+		if e.Status != control.OK && !e.h.answered {
 			reach = c.route(e.h, time.Until(e.h.Deadline))
 		}
 	}
 	switch s, streams := e.Reply.(Streamer); {
-	case e.Status == control.OK && !e.h.final:
-		c.end(e.h, Answer{Kind: Served, Reply: e.Reply})
+	case e.Status == control.OK && !e.h.answered:
+		c.answer(e.h, Answer{Kind: Served, Reply: e.Reply})
 	case streams:
 		s.Close()
 	}
-	if !e.h.final && e.h.Spent != nil && e.h.Spent() { // there is nothing left to send to another
-		c.end(e.h, c.curtail(e.h))
+	if !e.h.answered && e.h.BodyConsumed != nil && e.h.BodyConsumed() { // the body cannot be sent to another target
+		c.answer(e.h, c.localAnswer(e.h))
 	}
-	c.feed(control.Outcome{
+	c.handleEvent(control.Outcome{
 		ID: e.h.id, Server: e.target, Attempt: e.attempt, Status: e.Status,
-		Closed: e.h.final, Elapsed: e.took, Load: e.Load, Reach: reach,
+		Closed: e.h.answered, Elapsed: e.elapsed, Load: e.Load, Reach: reach,
 	})
-	c.forget(e.h)
+	c.removeIfDone(e.h)
 }
 
-// feed hands one event to the module and carries its actions out.
-func (c *Core) feed(ev control.Event) {
+// handleEvent passes an event to control and carries out the resulting actions.
+func (c *Core) handleEvent(ev control.Event) {
 	actions := c.gateway.Handle(c.now(), ev, c.actions[:0])
 	c.actions = actions
 	for _, a := range actions {
-		c.act(a)
+		c.perform(a)
 	}
 }
 
-func (c *Core) act(a control.Action) {
+func (c *Core) perform(a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
 		c.send(a)
@@ -607,106 +607,109 @@
 		}
 	case control.Refuse:
 		if h := c.held[a.ID]; h != nil {
-			if c.sites != nil && !a.Over && !h.Ask && !h.final {
+			if c.sites != nil && !a.Over && !h.DecisionOnly && !h.answered {
 				c.sites.Refused(h.Class, h.verdict)
 			}
-			c.end(h, Answer{Kind: Refused, RetryAfter: duration(a.RetryAfter), Over: a.Over})
-			c.forget(h)
+			c.answer(h, Answer{Kind: Refused, RetryAfter: duration(a.RetryAfter), OverQuota: a.Over})
+			c.removeIfDone(h)
 		}
 	case control.Admit:
 		if h := c.held[a.ID]; h != nil {
-			c.end(h, Answer{Kind: Allowed})
-			c.forget(h)
+			c.answer(h, Answer{Kind: Allowed})
+			c.removeIfDone(h)
 		}
 	case control.Fail:
 		if h := c.held[a.ID]; h != nil {
-			c.end(h, Answer{Kind: Failed})
-			c.forget(h)
+			c.answer(h, Answer{Kind: Failed})
+			c.removeIfDone(h)
 		}
 	case control.SetTimer:
 		time.AfterFunc(duration(a.Delay), func() { c.post(control.Timer{Token: a.Token}) })
 	case control.Count:
-		c.count(a)
+		c.addToCounter(a)
 	case control.Probe:
-		c.probe(a)
+		c.probeServer(a)
 	case control.CloseIdle:
 		c.egress.CloseIdle(a.Server)
 	case control.Log:
 		c.log.Info(a.Text)
 	case control.MessagePeer, control.Watch, control.Fetch:
-		// no peers on the wires that there are, and the route table follows discovery by itself
+		// no supported protocol reaches peers, and the route table follows discovery by itself
 	default:
-		panic(fmt.Sprintf("core: no such action: %T", a))
+		panic(fmt.Sprintf("core: unknown action type %T", a))
 	}
 }
 
 func (c *Core) send(a control.Send) {
 	h := c.held[a.ID]
-	if h == nil || h.final {
+	if h == nil || h.answered {
 		return
 	}
 	deadline := h.Deadline
-	if a.Timeout > 0 && !h.Arriving { // the time of one that arrives begins with its last byte
+	if a.Timeout > 0 && !h.Arriving { // while the body arrives, the time has not begun: it runs from the last byte
 		if t := time.Now().Add(duration(a.Timeout)); t.Before(deadline) {
 			deadline = t
 		}
 	}
 	ctx, cancel := context.WithDeadline(c.ctx, deadline)
-	n, sent := len(h.cancels), time.Now()
+	attempt, sentAt := len(h.cancels), time.Now()
 	h.cancels = append(h.cancels, cancel)
-	first := h.out == 0
-	h.out++
+	noneInFlight := h.inFlight == 0
+	h.inFlight++
 	if c.sites != nil {
 		f, _ := c.sites.Sent(c.now(), a.Server, h.Class, h.verdict)
 		h.flights = append(h.flights, f)
-		if !h.mayRan {
-			h.ranAt = max(0, f.Site)
+		if !h.mayHaveRun {
+			h.ranAtSite = max(0, f.Site)
 		}
 	}
-	var before time.Time
-	if class := c.classes[h.Class]; h.mayRan && class.Repeat == control.Keyed { // its key is known for so long
-		before = h.ran.Add(duration(class.Window))
+	var sendBefore time.Time
+	if class := c.classes[h.Class]; h.mayHaveRun && class.Repeat == control.Keyed { // targets know its key only until then
+		sendBefore = h.mayHaveRunSince.Add(duration(class.Window))
+	}
+	ended := func(o Outcome) attemptEnded {
+		return attemptEnded{h, attempt, a.Server, sentAt, time.Since(sentAt).Seconds(), o}
 	}
-	done := func(o Outcome) ended { return ended{h, n, a.Server, sent, time.Since(sent).Seconds(), o} }
-	if !first && !c.mayCopy(h) {
-		c.log.Error("a second copy that is not allowed was not sent", "id", h.id, "class", h.Class)
-		c.later = append(c.later, done(Outcome{Status: control.NotSent}))
+	if !noneInFlight && !c.secondCopyAllowed(h) {
+		c.log.Error("second attempt suppressed: not allowed beside the first", "id", h.id, "class", h.Class)
+		c.selfMessages = append(c.selfMessages, ended(Outcome{Status: control.NotSent}))
 		return
 	}
 	if !c.egress.Start(Attempt{
-		Ctx: ctx, Target: a.Server, Payload: h.Payload, Repeat: c.classes[h.Class].Repeat, Before: before, Over: h.over,
-		Report: func(o Outcome) { c.post(done(o)) },
-		Whole:  func() { c.post(whole{h}) }, Wait: h.Wait,
+		Ctx: ctx, Target: a.Server, Payload: h.Payload, Repeat: c.classes[h.Class].Repeat,
+		SendBefore: sendBefore, ExchangeDone: h.done,
+		Report:     func(o Outcome) { c.post(ended(o)) },
+		OnBodySent: func() { c.post(bodySent{h}) }, ResponseTimeout: h.ResponseTimeout,
 	}) {
-		c.later = append(c.later, done(Outcome{Status: control.Full}))
+		c.selfMessages = append(c.selfMessages, ended(Outcome{Status: control.Full}))
 	}
 }
 
-// mayCopy tells whether a second attempt of an exchange may be out beside the first: the last guard of what must not
-// run twice, whatever was decided.
-func (c *Core) mayCopy(h *held) bool {
-	return c.copies && c.classes[h.Class].Repeat == control.Safe && h.Spent == nil
+// secondCopyAllowed reports whether a second attempt of an exchange may be in flight beside the first. It is the last
+// guard against running a request twice, independent of what control decided.
+func (c *Core) secondCopyAllowed(h *heldExchange) bool {
+	return c.secondCopies && c.classes[h.Class].Repeat == control.Safe && h.BodyConsumed == nil
 }
 
-func (c *Core) count(a control.Count) {
-	asked := time.Now()
+func (c *Core) addToCounter(a control.Count) {
+	start := time.Now()
 	report := func(s control.Status, total float64) control.Counted {
-		return control.Counted{Name: a.Name, Status: s, Total: total, Elapsed: time.Since(asked).Seconds()}
+		return control.Counted{Name: a.Name, Status: s, Total: total, Elapsed: time.Since(start).Seconds()}
 	}
 	if !c.counter.Add(a.Name, a.Amount, duration(a.TTL), func(s control.Status, total float64) {
 		c.post(report(s, total))
 	}) {
-		c.later = append(c.later, report(control.Full, 0))
+		c.selfMessages = append(c.selfMessages, report(control.Full, 0))
 	}
 }
 
-func (c *Core) probe(a control.Probe) {
-	asked := time.Now()
+func (c *Core) probeServer(a control.Probe) {
+	start := time.Now()
 	report := func(s control.Status, load []float64) control.Probed {
-		return control.Probed{Server: a.Server, Status: s, Elapsed: time.Since(asked).Seconds(), Load: load}
+		return control.Probed{Server: a.Server, Status: s, Elapsed: time.Since(start).Seconds(), Load: load}
 	}
 	if !c.egress.Probe(a.Server, 0, func(s control.Status, load []float64) { c.post(report(s, load)) }) {
-		c.later = append(c.later, report(control.ConnectFailed, nil))
+		c.selfMessages = append(c.selfMessages, report(control.ConnectFailed, nil))
 	}
 }
 
--- a/internal/counter/limits_test.go
+++ b/internal/counter/limits_test.go
@@ -11,7 +11,8 @@
 	"junctionring/internal/counter"
 )
 
-// A counter that resets each connection as it comes, as one that holds too many does, is not dialled without a pause.
+// Guards against dialling in a tight loop a counter that resets each new connection, as one does that holds too many
+// connections.
 func TestCounterThatTurnsConnectionsAwayIsNotStormed(t *testing.T) {
 	const dials, pause = 6, 100 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,44 +20,44 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	came := make(chan time.Time, 1024)
+	accepted := make(chan time.Time, 1024)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			came <- time.Now()
+			accepted <- time.Now()
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
 	}()
-	add := run(t, counter.NewLine(l.Addr().String(), 30*time.Millisecond))
-	enough := make(chan time.Duration, 1)
+	add := startCounter(t, counter.NewLineClient(l.Addr().String(), 30*time.Millisecond))
+	reached := make(chan time.Duration, 1)
 	go func() {
-		first := <-came
+		first := <-accepted
 		for range dials - 1 {
-			<-came
+			<-accepted
 		}
-		enough <- time.Since(first)
+		reached <- time.Since(first)
 	}()
 	for {
 		select {
-		case took := <-enough:
-			if least := (dials - 2) * pause; took < least { // the first two may follow each other at once
-				t.Errorf("%d dials within %v, want %v at least", dials, took, least)
+		case took := <-reached:
+			if least := (dials - 2) * pause; took < least { // the second may follow the first at once
+				t.Errorf("%d dials within %v, want at least %v", dials, took, least)
 			}
 			return
 		case a := <-add(7, 1):
 			if a.status == control.OK {
-				t.Fatal("a call that nobody answered was added")
+				t.Fatal("a call without an answer was reported as added")
 			}
 		}
 	}
 }
 
-// A counter that closes connections at rest, at once or with half a line on them, leaves no call in doubt that comes
-// after, and one connection at a time is all that the gateway has open.
+// A counter that closes idle connections, some after half a line, must leave no later call in doubt, and the gateway must
+// have no more than one connection open at a time.
 func TestCounterThatClosesAtRestLeavesNothingInDoubt(t *testing.T) {
 	const rounds = 40 // more than the 32 connections that a counter holds
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,7 +65,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	var open, most atomic.Int64
+	var open, maxOpen atomic.Int64
 	served, ended := make(chan net.Conn), make(chan struct{})
 	go func() {
 		for {
@@ -72,7 +73,7 @@
 			if err != nil {
 				return
 			}
-			most.Store(max(most.Load(), open.Add(1)))
+			maxOpen.Store(max(maxOpen.Load(), open.Add(1)))
 			go func() {
 				defer func() { open.Add(-1); c.Close(); ended <- struct{}{} }()
 				b := make([]byte, 256)
@@ -80,14 +81,14 @@
 					if _, err := c.Read(b); err != nil {
 						return
 					}
-					io.WriteString(c, "ok 1\r\npong\r\n") // a call comes in one piece with the ping behind it
+					io.WriteString(c, "ok 1\r\npong\r\n") // a call and its ping arrive in one piece
 					served <- c
 				}
 			}()
 		}
 	}()
-	line := counter.NewLine(l.Addr().String(), 5*time.Second)
-	add := run(t, line)
+	line := counter.NewLineClient(l.Addr().String(), 5*time.Second)
+	add := startCounter(t, line)
 	for i := range rounds {
 		call := add(7, 1)
 		c := <-served
@@ -98,10 +99,10 @@
 			io.WriteString(c, "ok ")
 		}
 		c.(*net.TCPConn).CloseWrite()
-		<-ended // the gateway has seen the end, and closed too
+		<-ended // the gateway has seen the end of the stream and closed the connection too
 	}
-	if n := most.Load(); n > 2 {
+	if n := maxOpen.Load(); n > 2 {
 		t.Errorf("%d connections were open at once", n)
 	}
-	go func() { <-ended }() // the last one, when the actor ends
+	go func() { <-ended }() // the last connection ends with the actor
 }
--- a/internal/counter/line.go
+++ b/internal/counter/line.go
@@ -1,5 +1,6 @@
-// Package counter keeps the shared totals behind one port, with two stores: the platform's line
-// protocol and Redis. A silent store or an emptied one is normal; the module is told and goes on.
+// Package counter implements core.Counter, the interface to the shared totals, on two stores: the platform's line
+// protocol and Redis. It does not retry calls or treat a silent or an emptied store as a fault: both are normal, and
+// control is told and carries on.
 package counter
 
 import (
@@ -15,34 +16,34 @@
 )
 
 const (
-	mailboxSize = 1024
-	mostOut     = 512                    // calls on a connection not yet answered
-	silence     = time.Second            // without the oldest answer: the connection is given up
-	keepAlive   = 2 * time.Second        // the counter closes idle connections after about 10 s
-	redialPause = 100 * time.Millisecond // so that a dead counter is not stormed with dials
-	dialWait    = 250 * time.Millisecond
-	longestLine = 256                     // bytes of an answer
-	mostDigits  = 32                      // of a total
-	lineWait    = 100 * time.Millisecond  // for the rest of a line that has begun
-	moveWait    = 1500 * time.Millisecond // for answers from an address that the counter has left
-	ping, pong  = "ping", "pong"
-	lineEnd     = "\r\n"
+	mailboxSize       = 1024
+	maxInFlight       = 512                    // calls without an answer on a connection
+	silenceTimeout    = time.Second            // without the answer to the oldest call; then the connection is closed
+	keepAliveInterval = 2 * time.Second        // the counter closes idle connections after about 10 s
+	redialDelay       = 100 * time.Millisecond // so that a failed counter is not dialled in a tight loop
+	dialTimeout       = 250 * time.Millisecond
+	maxAnswerLine     = 256                     // bytes
+	maxTotalLen       = 32                      // characters
+	lineTimeout       = 100 * time.Millisecond  // for the rest of a line that was received in part
+	oldAddressTimeout = 1500 * time.Millisecond // for answers from the previous address after a change
+	ping, pong        = "ping", "pong"
+	lineEnd           = "\r\n"
 )
 
-type report = func(control.Status, float64)
+type reportFunc = func(control.Status, float64)
 
-// call is one add. Its timer and its answer race; both are handled by the actor, so one of them wins.
+// call is one addition to a total. Its timer and its answer race; the actor handles both, so only one of them reports.
 type call struct {
-	redisAdd // of the Redis store
+	redisAdd // used by the Redis store only
 
-	line   string // with a ping behind it
-	said   bool   // its answer has come: the pong is next
-	status control.Status
-	total  float64
-	report report
-	timer  *time.Timer
-	done   bool
-	asked  time.Time
+	request     string // followed by a ping
+	answerRead  bool   // its answer was read: the pong is next
+	status      control.Status
+	total       float64
+	report      reportFunc
+	timer       *time.Timer
+	done        bool
+	requestedAt time.Time
 }
 
 func (c *call) finish(s control.Status, total float64) {
@@ -65,101 +66,101 @@
 		address string
 		err     error
 	}
-	answered struct {
-		wire *wire
+	lineReceived struct {
+		conn *lineConn
 		line string
 	}
-	broken struct{ wire *wire }
-	moved  struct{ address string }
-	redial struct{} // a pause is over
+	connBroken     struct{ conn *lineConn }
+	addressChanged struct{ address string }
+	redial         struct{} // the redial delay has passed
 )
 
-// wire is a connection and the calls written to it that have no answer yet, in order.
-type wire struct {
+// lineConn is a connection and the calls written to it that have no answer yet, in order.
+type lineConn struct {
 	net.Conn
-	out      []*call
-	answered bool // it has brought an answer
+	unanswered  []*call
+	hasAnswered bool // a call was answered on it
 }
 
-// Line is the counter on the line protocol: an actor that pipelines calls over one connection. A call given
-// up keeps its place in the line, since its answer must still be read off before the next one's. No answer names its call,
-// and one too many would be taken for that of another name, and each behind it too: so a ping follows each call, and an
-// answer counts once the pong has come behind it.
-type Line struct {
+// LineClient is the counter on the line protocol: an actor that pipelines calls over one connection. A call that timed
+// out keeps its place in the pipeline, since its answer must still be read before the next one. Answers do not name their
+// calls, so a surplus answer would be taken for the answer to another name's call, and so would each answer after it.
+// Therefore a ping follows each call, and an answer counts only once its pong has been read.
+type LineClient struct {
 	address string
 	timeout time.Duration
 	mailbox chan any
 	done    chan struct{}
 
-	wire       *wire // nil: none that takes calls
-	dialing    bool
-	retryAt    time.Time
-	waiting    []*call // for a connection
-	unanswered int     // connections in a row that ended with no answer on them
-	lastUse    time.Time
+	conn            *lineConn // nil: none that accepts calls
+	dialing         bool
+	retryAt         time.Time
+	queued          []*call // not written yet
+	unansweredConns int     // consecutive connections that ended without an answer
+	lastUse         time.Time
 }
 
-// NewLine makes the actor for the counter at an address; each call is given up after timeout.
-func NewLine(address string, timeout time.Duration) *Line {
-	return &Line{address: address, timeout: timeout,
+// NewLineClient returns the client of the counter at address. Each call times out after timeout.
+func NewLineClient(address string, timeout time.Duration) *LineClient {
+	return &LineClient{address: address, timeout: timeout,
 		mailbox: make(chan any, mailboxSize), done: make(chan struct{})}
 }
 
 // Add implements core.Counter.
-func (l *Line) Add(name uint64, amount float64, ttl time.Duration, report func(control.Status, float64)) bool {
-	line := "bump " + strconv.FormatUint(name, 10) + " " + strconv.FormatFloat(amount, 'f', -1, 64) +
+func (l *LineClient) Add(name uint64, amount float64, ttl time.Duration, report func(control.Status, float64)) bool {
+	request := "bump " + strconv.FormatUint(name, 10) + " " + strconv.FormatFloat(amount, 'f', -1, 64) +
 		" " + strconv.FormatInt(max(1, ttl.Milliseconds()), 10) + lineEnd + ping + lineEnd
 	select {
-	case l.mailbox <- &call{line: line, report: report, asked: time.Now()}:
+	case l.mailbox <- &call{request: request, report: report, requestedAt: time.Now()}:
 		return true
 	default:
 		return false
 	}
 }
 
-func (l *Line) post(m any) {
+func (l *LineClient) post(m any) {
 	select {
 	case l.mailbox <- m:
 	case <-l.done:
 	}
 }
 
-// Move goes over to the counter at another address. Calls that are out at the old one may still be answered.
-func (l *Line) Move(address string) { l.post(moved{address}) }
+// SetAddress switches to the counter at another address. Calls in flight at the old one may still be answered.
+func (l *LineClient) SetAddress(address string) { l.post(addressChanged{address}) }
 
-// Run is the actor.
-func (l *Line) Run(ctx context.Context) {
+// Run makes calls until ctx ends.
+func (l *LineClient) Run(ctx context.Context) {
 	defer close(l.done)
-	tick := time.NewTicker(keepAlive / 2)
+	tick := time.NewTicker(keepAliveInterval / 2)
 	defer tick.Stop()
 	l.connect(ctx)
 	for {
 		select {
 		case <-ctx.Done():
-			l.drop(l.wire)
+			l.closeConn(l.conn)
 			return
 		case m := <-l.mailbox:
 			l.handle(ctx, m)
 		case now := <-tick.C:
-			l.tend(ctx, now)
+			l.keepConnAlive(ctx, now)
 		}
 	}
 }
 
-func (l *Line) handle(ctx context.Context, m any) {
+func (l *LineClient) handle(ctx context.Context, m any) {
 	switch m := m.(type) {
 	case *call:
-		m.timer = time.AfterFunc(l.timeout-time.Since(m.asked), func() { l.post(timedOut{m}) })
-		l.waiting = append(l.waiting, m)
-		if l.wire != nil && len(l.wire.out) > 0 && time.Since(l.wire.out[0].asked) > silence {
-			l.drop(l.wire) // what is gone silent may be a machine that vanished
+		m.timer = time.AfterFunc(l.timeout-time.Since(m.requestedAt), func() { l.post(timedOut{m}) })
+		l.queued = append(l.queued, m)
+		if l.conn != nil && len(l.conn.unanswered) > 0 && time.Since(l.conn.unanswered[0].requestedAt) > silenceTimeout {
+			l.closeConn(l.conn) // the machine at the other end may have vanished
 		}
 		l.connect(ctx)
-		l.write()
+		l.writeQueued()
 	case timedOut:
-		for i, c := range l.waiting { // not written: nothing was added
+		for i, c := range l.queued { // it was never written, so nothing was added
 			if c == m.c {
-				l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+				l.queued = append(l.queued[:i], l.queued[i+1:]...)
 				m.c.finish(control.ConnectFailed, 0)
 				return
 			}
@@ -167,7 +168,7 @@
 		m.c.finish(control.Timeout, 0)
 	case dialed:
 		l.dialing = false
-		if m.address != l.address { // it moved meanwhile: what waits has not been written anywhere
+		if m.address != l.address { // the address has changed since: the queued calls have not been written anywhere
 			if m.conn != nil {
 				m.conn.Close()
 			}
@@ -175,53 +176,53 @@
 			return
 		}
 		if m.err != nil {
-			l.retryAt = time.Now().Add(redialPause)
-			for _, c := range l.waiting {
+			l.retryAt = time.Now().Add(redialDelay)
+			for _, c := range l.queued {
 				c.finish(control.ConnectFailed, 0)
 			}
-			l.waiting = nil
+			l.queued = nil
 			return
 		}
-		l.wire, l.lastUse = &wire{Conn: m.conn}, time.Now()
-		go l.read(l.wire)
-		l.write()
-	case answered:
-		l.answer(m)
+		l.conn, l.lastUse = &lineConn{Conn: m.conn}, time.Now()
+		go l.readLines(l.conn)
+		l.writeQueued()
+	case lineReceived:
+		l.handleLine(m)
 		l.connect(ctx)
-	case broken:
-		l.drop(m.wire)
+	case connBroken:
+		l.closeConn(m.conn)
 		l.connect(ctx)
 	case redial:
 		l.connect(ctx)
-	case moved:
-		l.move(ctx, m.address)
+	case addressChanged:
+		l.changeAddress(ctx, m.address)
 	}
 }
 
-// move leaves the connection to the old address to its reader for as long as answers may still come.
-func (l *Line) move(ctx context.Context, address string) {
+// changeAddress keeps the reader of the old connection running for as long as answers may still arrive on it.
+func (l *LineClient) changeAddress(ctx context.Context, address string) {
 	if address == l.address {
 		return
 	}
 	l.address, l.retryAt = address, time.Time{}
-	if old := l.wire; old != nil {
-		l.wire = nil
-		if len(old.out) == 0 {
+	if old := l.conn; old != nil {
+		l.conn = nil
+		if len(old.unanswered) == 0 {
 			old.Close()
 		}
-		old.SetReadDeadline(time.Now().Add(moveWait))
+		old.SetReadDeadline(time.Now().Add(oldAddressTimeout))
 	}
 	l.connect(ctx)
 }
 
-func (l *Line) connect(ctx context.Context) {
-	if l.wire != nil || l.dialing || time.Now().Before(l.retryAt) {
+func (l *LineClient) connect(ctx context.Context) {
+	if l.conn != nil || l.dialing || time.Now().Before(l.retryAt) {
 		return
 	}
 	l.dialing = true
 	address := l.address
 	go func() {
-		conn, err := (&net.Dialer{Timeout: dialWait}).DialContext(ctx, "tcp", address)
+		conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 		select {
 		case l.mailbox <- dialed{conn, address, err}:
 		case <-l.done:
@@ -232,128 +233,130 @@
 	}()
 }
 
-// write sends all that waits in one piece.
-func (l *Line) write() {
-	w := l.wire
-	if w == nil || len(l.waiting) == 0 {
+// writeQueued sends the queued calls in one write.
+func (l *LineClient) writeQueued() {
+	conn := l.conn
+	if conn == nil || len(l.queued) == 0 {
 		return
 	}
-	n := min(len(l.waiting), mostOut-len(w.out))
+	n := min(len(l.queued), maxInFlight-len(conn.unanswered))
 	if n <= 0 {
-		return // the rest times out in the line, with nothing added
+		return // the rest times out in the queue, with nothing added
 	}
 	var b strings.Builder
-	for _, c := range l.waiting[:n] {
-		b.WriteString(c.line)
+	for _, c := range l.queued[:n] {
+		b.WriteString(c.request)
 	}
-	w.out = append(w.out, l.waiting[:n]...)
-	l.waiting = append([]*call(nil), l.waiting[n:]...)
+	conn.unanswered = append(conn.unanswered, l.queued[:n]...)
+	l.queued = append([]*call(nil), l.queued[n:]...)
 	l.lastUse = time.Now()
-	w.SetWriteDeadline(l.lastUse.Add(l.timeout)) // a peer that takes nothing in must not stop the actor
-	if _, err := w.Write([]byte(b.String())); err != nil {
-		l.drop(w) // a part may have gone out
+	conn.SetWriteDeadline(l.lastUse.Add(l.timeout)) // a peer that does not read must not block the actor
+	if _, err := conn.Write([]byte(b.String())); err != nil {
+		l.closeConn(conn) // a part may have been sent
 	}
 }
 
-// drop gives a connection up; what was written to it may have been added.
-func (l *Line) drop(w *wire) {
-	if w == nil {
+// closeConn closes a connection. Calls written to it may have been added.
+func (l *LineClient) closeConn(conn *lineConn) {
+	if conn == nil {
 		return
 	}
-	w.Close()
-	if w == l.wire {
-		l.wire = nil
-		l.pauseDials(w)
+	conn.Close()
+	if conn == l.conn {
+		l.conn = nil
+		l.delayRedial(conn)
 	}
-	for _, c := range w.out {
+	for _, c := range conn.unanswered {
 		c.finish(control.Timeout, 0)
 	}
-	w.out = nil
+	conn.unanswered = nil
 }
 
-// pauseDials keeps a counter that turns connections away, say because it holds too many, from being dialled without end.
-func (l *Line) pauseDials(ended *wire) {
-	l.unanswered++
-	if ended.answered {
-		l.unanswered = 0
+// delayRedial keeps a counter that refuses connections, for example because it holds too many, from being dialled in a
+// tight loop.
+func (l *LineClient) delayRedial(conn *lineConn) {
+	l.unansweredConns++
+	if conn.hasAnswered {
+		l.unansweredConns = 0
 	}
-	if l.unanswered > 1 { // a single one may have been reset
-		l.retryAt = time.Now().Add(redialPause)
-		time.AfterFunc(redialPause, func() { l.post(redial{}) })
+	if l.unansweredConns > 1 { // a single one may just have been reset
+		l.retryAt = time.Now().Add(redialDelay)
+		time.AfterFunc(redialDelay, func() { l.post(redial{}) })
 	}
 }
 
-// tend pings an idle connection, lest the counter close it as a call is written.
-func (l *Line) tend(ctx context.Context, now time.Time) {
+// keepConnAlive pings an idle connection, so that the counter does not close it while a call is written.
+func (l *LineClient) keepConnAlive(ctx context.Context, now time.Time) {
 	switch {
-	case l.wire == nil:
+	case l.conn == nil:
 		l.connect(ctx)
-	case len(l.wire.out) == 0 && now.Sub(l.lastUse) >= keepAlive/2:
-		l.waiting = append(l.waiting, &call{line: ping + lineEnd, said: true, asked: now})
-		l.write()
+	case len(l.conn.unanswered) == 0 && now.Sub(l.lastUse) >= keepAliveInterval/2:
+		l.queued = append(l.queued, &call{request: ping + lineEnd, answerRead: true, requestedAt: now})
+		l.writeQueued()
 	}
 }
 
-func (l *Line) answer(a answered) {
-	w := a.wire
-	if len(w.out) == 0 {
-		l.drop(w) // nobody asked
+func (l *LineClient) handleLine(a lineReceived) {
+	conn := a.conn
+	if len(conn.unanswered) == 0 {
+		l.closeConn(conn) // no call is waiting for it
 		return
 	}
-	c := w.out[0]
-	if !c.said {
+	c := conn.unanswered[0]
+	if !c.answerRead {
 		c.status, c.total = decodeAnswer(a.line)
-		c.said = true
+		c.answerRead = true
 		if c.status == control.Timeout {
-			l.drop(w) // not the answer to this call: nor can any behind it be told apart from noise
+			l.closeConn(conn) // no valid answer to this call, so no later line can be trusted either
 		}
 		return
 	}
 	if a.line != pong {
-		l.drop(w) // one answer too many has come, and it may be that of this call or of one before
+		l.closeConn(conn) // there is a surplus answer, either to this call or to an earlier one
 		return
 	}
-	w.out, w.answered = w.out[1:], true
+	conn.unanswered, conn.hasAnswered = conn.unanswered[1:], true
 	c.finish(c.status, c.total)
-	if w != l.wire && len(w.out) == 0 {
-		w.Close() // the counter has moved, and this was the last answer
+	if conn != l.conn && len(conn.unanswered) == 0 {
+		conn.Close() // the address has changed, and this was the last answer
 	}
 }
 
-// decodeAnswer reads the answer to a call. What is not in order, to the letter, is in doubt: it may have been added.
+// decodeAnswer parses the answer to a call. A line that is not exactly an answer leaves the call in doubt: its amount may
+// have been added.
 func decodeAnswer(line string) (control.Status, float64) {
 	word, rest, _ := strings.Cut(line, " ")
 	switch {
 	case line == "busy", line == "error":
 		return control.Full, 0
-	case word == "ok" && rest != "" && len(rest) <= mostDigits && strings.Trim(rest, "0123456789.+-eE") == "":
-		if total, err := strconv.ParseFloat(rest, 64); err == nil { // an infinite one is out of range: an error
+	case word == "ok" && rest != "" && len(rest) <= maxTotalLen && strings.Trim(rest, "0123456789.+-eE") == "":
+		if total, err := strconv.ParseFloat(rest, 64); err == nil { // a total out of range is an error, never infinite
 			return control.OK, total
 		}
 	}
 	return control.Timeout, 0
 }
 
-// read hands lines over. One that is too long, does not end as lines do, or does not come whole ends the
-// connection.
-func (l *Line) read(w *wire) {
-	in := bufio.NewReaderSize(w, longestLine)
+// readLines passes lines to the actor. A line that is too long, does not end in CRLF or does not arrive completely ends
+// the connection.
+func (l *LineClient) readLines(conn *lineConn) {
+	in := bufio.NewReaderSize(conn, maxAnswerLine)
 	for {
-		in.Peek(1) // waits; an error shows below
-		part, _ := in.Peek(in.Buffered())
-		cut := len(part) > 0 && bytes.IndexByte(part, '\n') < 0
-		if cut {
-			w.SetReadDeadline(time.Now().Add(lineWait))
+		in.Peek(1) // waits for data; ReadSlice returns the error
+		buffered, _ := in.Peek(in.Buffered())
+		partial := len(buffered) > 0 && bytes.IndexByte(buffered, '\n') < 0
+		if partial {
+			conn.SetReadDeadline(time.Now().Add(lineTimeout))
 		}
 		line, err := in.ReadSlice('\n')
-		text, whole := strings.CutSuffix(string(line), lineEnd)
-		if err != nil || !whole {
-			l.post(broken{w})
+		text, terminated := strings.CutSuffix(string(line), lineEnd)
+		if err != nil || !terminated {
+			l.post(connBroken{conn})
 			return
 		}
-		if cut {
-			w.SetReadDeadline(time.Time{})
+		if partial {
+			conn.SetReadDeadline(time.Time{})
 		}
-		l.post(answered{w, text})
+		l.post(lineReceived{conn, text})
 	}
 }
--- a/internal/counter/redis.go
+++ b/internal/counter/redis.go
@@ -19,13 +19,13 @@
 	redisPrefix  = "junctionring:"
 )
 
-// Redis is the counter on a Redis store that all gateways share: a few workers behind one mailbox.
+// Redis is the counter on a Redis store that all gateways share: a few workers that read one mailbox.
 type Redis struct {
-	address string
-	client  atomic.Pointer[redis.Client] // replaced when an answer on one of its connections was another call's
-	timeout time.Duration
-	mailbox chan *call
-	calls   atomic.Uint64 // that were sent: their numbers
+	address        string
+	client         atomic.Pointer[redis.Client] // replaced when a connection returned the answer to another call
+	timeout        time.Duration
+	mailbox        chan *call
+	lastCallNumber atomic.Uint64 // counts the calls sent, to number them
 }
 
 type redisAdd struct {
@@ -34,7 +34,7 @@
 	ttl    time.Duration
 }
 
-// NewRedis makes the counter for the store at an address; each call is given up after timeout.
+// NewRedis returns the counter on the store at address. Each call times out after timeout.
 func NewRedis(address string, timeout time.Duration) *Redis {
 	r := &Redis{address: address, timeout: timeout, mailbox: make(chan *call, mailboxSize)}
 	r.client.Store(r.newClient())
@@ -44,25 +44,25 @@
 func (r *Redis) newClient() *redis.Client {
 	return redis.NewClient(&redis.Options{
 		Addr: r.address, Protocol: 2, DisableIdentity: true, PoolSize: redisWorkers,
-		// A lost answer may have been added: sent again it would count twice.
+		// No retries: a call whose answer was lost may have been added, and would then count twice.
 		MaxRetries: -1, DialerRetries: 1,
 		DialTimeout: r.timeout, ReadTimeout: r.timeout, WriteTimeout: r.timeout, ContextTimeoutEnabled: true,
 		MaintNotificationsConfig: &maintnotifications.Config{Mode: maintnotifications.ModeDisabled},
 	})
 }
 
-// replace ends all connections of a client. Calls that are out on them may have been added.
-func (r *Redis) replace(spoilt *redis.Client) {
-	if fresh := r.newClient(); r.client.CompareAndSwap(spoilt, fresh) {
-		spoilt.Close()
-	} else { // another worker has replaced it
-		fresh.Close()
+// replaceClient closes all connections of a client and installs a new one. Calls in flight on them may have been added.
+func (r *Redis) replaceClient(old *redis.Client) {
+	if replacement := r.newClient(); r.client.CompareAndSwap(old, replacement) {
+		old.Close()
+	} else { // another worker has already replaced it
+		replacement.Close()
 	}
 }
 
 // Add implements core.Counter.
 func (r *Redis) Add(name uint64, amount float64, ttl time.Duration, report func(control.Status, float64)) bool {
-	c := &call{report: report, asked: time.Now(),
+	c := &call{report: report, requestedAt: time.Now(),
 		redisAdd: redisAdd{redisPrefix + strconv.FormatUint(name, 10), amount, max(ttl, time.Millisecond)}}
 	select {
 	case r.mailbox <- c:
@@ -72,7 +72,7 @@
 	}
 }
 
-// Run works calls off until ctx ends.
+// Run makes calls until ctx ends.
 func (r *Redis) Run(ctx context.Context) {
 	defer func() { r.client.Load().Close() }()
 	done := make(chan struct{})
@@ -94,17 +94,17 @@
 	}
 }
 
-// add makes one call. SET NX gives a new name its life; INCRBYFLOAT leaves that of an old one alone; as one
-// transaction no other gateway comes between the two, nor can a name be left without an end. ECHO returns the call's own
-// number, so that an answer to another call on the connection is not taken for its own.
+// add makes one call. SET NX gives a new name its time to live, and INCRBYFLOAT keeps that of an existing name. Both are
+// in one transaction, so that no other gateway acts between them and no name is left without an expiry. ECHO returns the
+// number of the call, so that the answer to another call on the connection is not taken for its own.
 func (r *Redis) add(ctx context.Context, c *call) (control.Status, float64) {
-	rest := r.timeout - time.Since(c.asked)
-	if rest <= 0 {
-		return control.Full, 0 // it waited here for all its time: nothing was added
+	remaining := r.timeout - time.Since(c.requestedAt)
+	if remaining <= 0 {
+		return control.Full, 0 // it timed out in the mailbox: nothing was added
 	}
-	ctx, cancel := context.WithTimeout(ctx, rest)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
-	client, number := r.client.Load(), strconv.FormatUint(r.calls.Add(1), 10)
+	client, number := r.client.Load(), strconv.FormatUint(r.lastCallNumber.Add(1), 10)
 	tx := client.TxPipeline()
 	tx.SetNX(ctx, c.name, 0, c.ttl)
 	total := tx.IncrByFloat(ctx, c.name, c.amount)
@@ -113,13 +113,14 @@
 		return redisStatus(err), 0
 	}
 	if echo.Val() != number {
-		r.replace(client)
+		r.replaceClient(client)
 		return control.Timeout, 0
 	}
 	return control.OK, total.Val()
 }
 
-// redisStatus tells what is known of an add that failed. What may have been added must not be added again.
+// redisStatus maps the error of a failed call to a status that tells whether its amount may have been added, and so must
+// not be added again.
 func redisStatus(err error) control.Status {
 	var op *net.OpError
 	switch {
@@ -128,9 +129,9 @@
 	case errors.Is(err, redis.ErrPoolTimeout):
 		return control.Full
 	}
-	var answer redis.Error
-	if errors.As(err, &answer) && !errors.Is(err, redis.Nil) {
-		return control.Full // the store's own word: a transaction that it turns away adds nothing
+	var reply redis.Error
+	if errors.As(err, &reply) && !errors.Is(err, redis.Nil) {
+		return control.Full // an error reply of the store: a rejected transaction adds nothing
 	}
 	return control.Timeout
 }
