--- a/internal/egress/answers.go
+++ b/internal/egress/answers.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	answersKept = 1024             // of a site's answers, and of what is known to be common, and of resources
-	commonFor   = 10 * time.Minute // that an answer counts as common, from when it was last given
-	learnedFrom = 8                // different requests, after whose answers connections are used for others
-	mostDoubled = 7                // times that learnedFrom is doubled where answers were dropped
+	maxTrackedEntries  = 1024             // of a site's answers, and of what is known to be common, and of resources
+	commonTTL          = 10 * time.Minute // that an answer counts as common, from when it was last given
+	baseSamples        = 8                // different requests, after whose answers connections are used for others
+	maxSampleDoublings = 7                // times that learnedFrom is doubled where answers were dropped
 )
 
 // fingerprint tells requests, or answers, apart. The zero value is that of none, and equals no other.
@@ -36,29 +36,29 @@
 }
 
 // is tells whether two fingerprints are those of equal things.
-func (f fingerprint) is(other fingerprint) bool { return f != 0 && f == other }
+func (f fingerprint) matches(other fingerprint) bool { return f != 0 && f == other }
 
 // answerMemory tells which answers the targets of a site give to different requests. It is safe for use by several
 // goroutines; a nil one knows and learns nothing.
-type answerMemory struct {
-	ready   atomic.Bool   // it has learned enough for connections to be used for different requests
+type answerTracker struct {
+	sampled atomic.Bool   // it has learned enough for connections to be used for different requests
 	changes atomic.Uint64 // how many times an answer became common, or a resource contested
 
-	mu        sync.Mutex
-	once      *simplelru.LRU[fingerprint, fingerprint] // the request that an answer was given to, alone as far as is known
-	commons   *simplelru.LRU[fingerprint, time.Time]   // when an answer was last given that is given to different requests
-	contested *simplelru.LRU[fingerprint, struct{}]    // resources of answers that were dropped
-	requests  []fingerprint                            // the first that were learned from
-	missing   int                                      // answers to be learned before it is ready
-	drops     int                                      // answers that were dropped with no other behind them
+	mu              sync.Mutex
+	unique          *simplelru.LRU[fingerprint, fingerprint] // the request that an answer was given to, alone as far as is known
+	commonSeen      *simplelru.LRU[fingerprint, time.Time]   // when an answer was last given that is given to different requests
+	sharedResources *simplelru.LRU[fingerprint, struct{}]    // resources of answers that were dropped
+	sampledRequests []fingerprint                            // the first that were learned from
+	samplesLeft     int                                      // answers to be learned before it is ready
+	drops           int                                      // answers that were dropped with no other behind them
 }
 
-func newAnswerMemory() *answerMemory {
-	return &answerMemory{
-		once:      newLRU[fingerprint](answersKept),
-		commons:   newLRU[time.Time](answersKept),
-		contested: newLRU[struct{}](answersKept),
-		missing:   learnedFrom,
+func newAnswerTracker() *answerTracker {
+	return &answerTracker{
+		unique:          newLRU[fingerprint](maxTrackedEntries),
+		commonSeen:      newLRU[time.Time](maxTrackedEntries),
+		sharedResources: newLRU[struct{}](maxTrackedEntries),
+		samplesLeft:     baseSamples,
 	}
 }
 
@@ -68,88 +68,88 @@
 }
 
 // learned tells whether enough is known of the answers for a connection to be used for different requests.
-func (m *answerMemory) learned() bool { return m == nil || m.ready.Load() }
+func (m *answerTracker) hasEnoughSamples() bool { return m == nil || m.sampled.Load() }
 
 // learn takes in an answer that came for the first time on its connection, and tells whether it is common.
-func (m *answerMemory) learn(answer, request fingerprint, now time.Time) (common bool) {
+func (m *answerTracker) record(answer, request fingerprint, now time.Time) (common bool) {
 	if m == nil {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.count(request)
+	m.countSample(request)
 	if m.isCommon(answer, now) {
-		m.commons.Add(answer, now)
+		m.commonSeen.Add(answer, now)
 		return true
 	}
-	first, known := m.once.Get(answer)
+	first, known := m.unique.Get(answer)
 	switch {
 	case !known:
-		m.once.Add(answer, request)
+		m.unique.Add(answer, request)
 		return false
-	case first.is(request):
+	case first.matches(request):
 		return false
 	}
-	m.makeCommon(answer, now)
+	m.markCommon(answer, now)
 	return true
 }
 
 // makeCommon moves an answer to those that are common. m.mu is held.
-func (m *answerMemory) makeCommon(answer fingerprint, now time.Time) {
-	m.once.Remove(answer)
-	m.commons.Add(answer, now)
+func (m *answerTracker) markCommon(answer fingerprint, now time.Time) {
+	m.unique.Remove(answer)
+	m.commonSeen.Add(answer, now)
 	m.changes.Add(1)
 }
 
 // isCommon tells whether an answer is given to different requests. m.mu is held.
-func (m *answerMemory) isCommon(answer fingerprint, now time.Time) bool {
-	given, ok := m.commons.Peek(answer)
-	return ok && now.Sub(given) <= commonFor
+func (m *answerTracker) isCommon(answer fingerprint, now time.Time) bool {
+	lastSeen, ok := m.commonSeen.Peek(answer)
+	return ok && now.Sub(lastSeen) <= commonTTL
 }
 
 // count counts the answers learned from, the first ones by their requests, until there are enough. m.mu is held.
-func (m *answerMemory) count(request fingerprint) {
-	if m.ready.Load() || request != 0 && slices.Contains(m.requests, request) {
+func (m *answerTracker) countSample(request fingerprint) {
+	if m.sampled.Load() || request != 0 && slices.Contains(m.sampledRequests, request) {
 		return
 	}
-	if len(m.requests) < learnedFrom {
-		m.requests = append(m.requests, request)
+	if len(m.sampledRequests) < baseSamples {
+		m.sampledRequests = append(m.sampledRequests, request)
 	}
-	if m.missing--; m.missing <= 0 {
-		m.ready.Store(true)
+	if m.samplesLeft--; m.samplesLeft <= 0 {
+		m.sampled.Store(true)
 	}
 }
 
 // drop notes an answer that was taken for another request's, with no other behind it. Unless the target answered twice it
 // gives different requests the same answer, on that resource at least. Where this happens again and again, more and more is
 // learned before connections are used for different requests.
-func (m *answerMemory) drop(answer, resource fingerprint, now time.Time) {
+func (m *answerTracker) recordDrop(answer, resource fingerprint, now time.Time) {
 	if m == nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.contested.Add(resource, struct{}{})
-	m.makeCommon(answer, now)
+	m.sharedResources.Add(resource, struct{}{})
+	m.markCommon(answer, now)
 	if m.drops++; m.drops > 1 {
-		m.missing = learnedFrom << min(m.drops, mostDoubled)
-		m.ready.Store(false)
+		m.samplesLeft = baseSamples << min(m.drops, maxSampleDoublings)
+		m.sampled.Store(false)
 	}
 }
 
 // anyCommon tells whether one of these answers is common.
-func (m *answerMemory) anyCommon(given []givenAnswer, now time.Time) bool {
+func (m *answerTracker) anyCommon(answers []pastAnswer, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.ContainsFunc(given, func(g givenAnswer) bool { return m.isCommon(g.answer, now) })
+	return slices.ContainsFunc(answers, func(a pastAnswer) bool { return m.isCommon(a.answer, now) })
 }
 
 // isContested tells whether different requests of a resource may have the same answer.
-func (m *answerMemory) isContested(resource fingerprint) bool {
+func (m *answerTracker) mayShareAnswers(resource fingerprint) bool {
 	if m == nil || m.changes.Load() == 0 {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.contested.Contains(resource)
+	return m.sharedResources.Contains(resource)
 }
--- a/internal/egress/attempt.go
+++ b/internal/egress/attempt.go
@@ -15,7 +15,7 @@
 
 // tooLate tells whether an attempt is over as its connection comes: nothing goes out that nobody wants, or that might
 // run a second time.
-func tooLate(a core.Attempt) (control.Status, bool) {
+func overBeforeSend(a core.Attempt) (control.Status, bool) {
 	select {
 	case <-a.Over:
 		return control.Cancelled, true
@@ -34,24 +34,24 @@
 
 // newLease asks for a connection for a request. One that can't be sent again goes out on an unused connection: its answer
 // would be lost on one that gave the same before, where it could not be told from a second one to that request.
-func newLease(q question) *lease {
-	return &lease{got: make(chan *conn, 1), question: q, newOnly: !q.canRepeat()}
+func newConnRequest(id identity) *connRequest {
+	return &connRequest{result: make(chan *conn, 1), identity: id, unusedOnly: !id.repeatable()}
 }
 
 // awaitConn waits for a connection for an attempt. Without one nothing was sent, and status is how the attempt ended.
-func (t *target) awaitConn(a core.Attempt, l *lease) (c *conn, status control.Status) {
-	if !t.post(l) {
+func (t *target) awaitConn(a core.Attempt, req *connRequest) (c *conn, status control.Status) {
+	if !t.post(req) {
 		return nil, control.ConnectFailed
 	}
 	select {
-	case c = <-l.got:
+	case c = <-req.result:
 	case <-t.ctx.Done(): // it has left the list
 		return nil, control.ConnectFailed
 	case <-a.Over: // also where an attempt that is out may not be called off
-		t.post(unlease{l})
+		t.post(cancelConnRequest{req})
 		return nil, control.Cancelled
 	case <-a.Ctx.Done():
-		t.post(unlease{l})
+		t.post(cancelConnRequest{req})
 		if a.Ctx.Err() == context.DeadlineExceeded {
 			return nil, control.ConnectFailed
 		}
@@ -60,8 +60,8 @@
 	if c == nil {
 		return nil, control.ConnectFailed
 	}
-	if status, late := tooLate(a); late {
-		t.post(unused{c})
+	if status, over := overBeforeSend(a); over {
+		t.post(connUnused{c})
 		return nil, status
 	}
 	return c, 0
@@ -70,40 +70,40 @@
 // exchange carries an attempt out but for its report; its payload is a *Request.
 func (t *target) exchange(a core.Attempt) core.Outcome {
 	r := a.Payload.(*Request)
-	l := newLease(r.question(a.Repeat))
-	c, status := t.awaitConn(a, l)
+	req := newConnRequest(r.identity(a.Repeat))
+	c, status := t.awaitConn(a, req)
 	if c == nil {
 		return core.Outcome{Status: status}
 	}
 	sent := time.Now()
-	c.asked = l.question
+	c.inFlight = req.identity
 	o, reuse := c.roundTrip(a.Ctx, r, t.site.LoadFields, a.Whole, a.Wait)
-	c.waited = o.Waited
+	c.answerTime = o.Waited
 	if reply, ok := o.Reply.(*Reply); ok && reply.Long != nil {
-		reply.Long.finish = func(reuse bool) { t.giveBack(c, reuse) } // the connection is in use until then
+		reply.Long.finish = func(reuse bool) { t.releaseConn(c, reuse) } // the connection is in use until then
 		return o
 	}
 	if reuse {
-		t.giveBack(c, true)
+		t.releaseConn(c, true)
 		return o
 	}
 	c.Close()
-	e := ended{heard: c.heard || o.Reply != nil, replace: c.replace, unasked: c.unasked}
-	if o.Status == control.Timeout && !c.heard {
-		e.silent = sent
+	closed := connClosed{answered: c.gotAnswer || o.Reply != nil, replace: c.replace, unsolicited: c.unsolicited}
+	if o.Status == control.Timeout && !c.gotAnswer {
+		closed.unansweredSince = sent
 	}
-	t.post(e)
+	t.post(closed)
 	return o
 }
 
 // giveBack returns a connection to the target after an attempt, or closes it where it is of no more use. reuse: its answer came
 // whole, and bars no further use of it.
-func (t *target) giveBack(c *conn, reuse bool) {
-	if reuse && !c.unasked && !c.spent() {
-		c.used, c.answered = time.Now(), true
-		t.post(back{c})
+func (t *target) releaseConn(c *conn, reuse bool) {
+	if reuse && !c.unsolicited && !c.unusable() {
+		c.lastUsed, c.answered = time.Now(), true
+		t.post(connReleased{c})
 		return
 	}
 	c.Close()
-	t.post(ended{heard: reuse, replace: reuse && !c.unasked, unasked: c.unasked})
+	t.post(connClosed{answered: reuse, replace: reuse && !c.unsolicited, unsolicited: c.unsolicited})
 }
--- a/internal/egress/conn.go
+++ b/internal/egress/conn.go
@@ -22,7 +22,7 @@
 // MaxBody is the most that a body may hold that is taken in whole, either way.
 const MaxBody = 64 << 10
 
-const mostHead = 16 << 10 // bytes of an answer's head, with all 1xx answers in front
+const maxHeadBytes = 16 << 10 // bytes of an answer's head, with all 1xx answers in front
 
 // Request is an exchange's message to its egress target, encoded once; only the time that is left is
 // written anew for each attempt.
@@ -50,30 +50,30 @@
 // could put two attempts out.
 type conn struct {
 	net.Conn
-	address  string
-	abort    bool             // giving up resets it
-	budget   io.LimitedReader // what may still be read of the present answer: some never end
-	in       *bufio.Reader
-	used     time.Time
-	answered bool          // it has been used
-	waited   time.Duration // for the last answer
+	address        string
+	resetOnAbandon bool             // giving up resets it
+	readLimit      io.LimitedReader // what may still be read of the present answer: some never end
+	in             *bufio.Reader
+	lastUsed       time.Time
+	answered       bool          // it has been used
+	answerTime     time.Duration // for the last answer
 
-	asked   question // by the request that is under way
-	unasked bool     // something came on it that nobody had asked for
-	replace bool     // it could be used again but for what its last answer was: another is to be opened
-	heard   bool     // an answer came while this request was under way
+	inFlight    identity // by the request that is under way
+	unsolicited bool     // something came on it that nobody had asked for
+	replace     bool     // it could be used again but for what its last answer was: another is to be opened
+	gotAnswer   bool     // an answer came while this request was under way
 
-	history     *history      // shared with the target's other connections
-	given       []givenAnswer // the different answers that came on it
-	sole        fingerprint   // of all requests that were answered on it, if they are equal
-	bound       bool          // only such requests may have what comes on it
-	changesSeen uint64        // history.memory.changes as gaveCommon was found
-	gaveCommon  bool          // one of given is common
+	stats       *answerStats // shared with the target's other connections
+	pastAnswers []pastAnswer // the different answers that came on it
+	onlyRequest fingerprint  // of all requests that were answered on it, if they are equal
+	equalOnly   bool         // only such requests may have what comes on it
+	changesSeen uint64       // history.memory.changes as gaveCommon was found
+	gaveCommon  bool         // one of given is common
 }
 
-func newConn(nc net.Conn, address string, h *history) *conn {
-	c := &conn{Conn: nc, address: address, budget: io.LimitedReader{R: nc}, used: time.Now(), history: h}
-	c.in = bufio.NewReaderSize(&c.budget, 4096)
+func newConn(nc net.Conn, address string, h *answerStats) *conn {
+	c := &conn{Conn: nc, address: address, readLimit: io.LimitedReader{R: nc}, lastUsed: time.Now(), stats: h}
+	c.in = bufio.NewReaderSize(&c.readLimit, 4096)
 	return c
 }
 
@@ -82,8 +82,8 @@
 func (c *conn) alive() bool { return socket.Quiet(c.Conn) }
 
 // giveUp ends the wait for an answer: giving up is closing.
-func (c *conn) giveUp() {
-	if tcp, ok := c.Conn.(*net.TCPConn); ok && c.abort {
+func (c *conn) abandon() {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok && c.resetOnAbandon {
 		tcp.SetLinger(0)
 	}
 	c.Close()
@@ -94,24 +94,24 @@
 //
 // Of a message that is still coming in, whole is called when it has gone out, and the answer is waited for as long
 // as wait from then on.
-func (c *conn) roundTrip(ctx context.Context, r *Request, fields []string, whole func(), wait time.Duration) (o core.Outcome, reuse bool) {
-	c.heard = false
-	stop := context.AfterFunc(ctx, c.giveUp)
+func (c *conn) roundTrip(ctx context.Context, r *Request, fields []string, onWritten func(), wait time.Duration) (o core.Outcome, reuse bool) {
+	c.gotAnswer = false
+	stop := context.AfterFunc(ctx, c.abandon)
 	defer func() { stop() }()
 	b := make([]byte, 0, len(r.Head)+len(r.Body)+64)
 	b = append(b, r.Head...)
-	left := wait
+	timeLeft := wait
 	if deadline, ok := ctx.Deadline(); ok && (r.Rest == nil || time.Until(deadline) < wait) {
-		left = time.Until(deadline)
+		timeLeft = time.Until(deadline)
 	}
-	if left > 0 {
+	if timeLeft > 0 {
 		b = append(b, "X-Timeout: "...)
-		b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
+		b = strconv.AppendInt(b, max(1, timeLeft.Milliseconds()), 10)
 		b = append(b, "m\r\n"...)
 	}
 	b = append(b, "\r\n"...)
 	if r.Rest != nil {
-		status, ok := c.writeLong(ctx, b, r)
+		status, ok := c.writeStreamed(ctx, b, r)
 		if !ok {
 			return core.Outcome{Status: status}, false
 		}
@@ -121,15 +121,15 @@
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, wait)
 		defer cancel()
-		stop = context.AfterFunc(ctx, c.giveUp)
-		whole()
+		stop = context.AfterFunc(ctx, c.abandon)
+		onWritten()
 	} else if n, err := c.Write(append(b, r.Body...)); err != nil && n < len(b)+len(r.Body) {
 		if ctx.Err() == context.Canceled {
 			return core.Outcome{Status: control.Cancelled}, false
 		}
 		return core.Outcome{Status: control.ConnectFailed}, false // the last byte never went out
 	}
-	o, reuse = c.readOwn(ctx, r, fields)
+	o, reuse = c.readOwnAnswer(ctx, r, fields)
 	o.Written = true
 	if reply, ok := o.Reply.(*Reply); ok && reply.Long != nil && !stop() { // given up as it began
 		return core.Outcome{Status: control.Reset, Written: true}, false
@@ -144,32 +144,32 @@
 }
 
 // readOwn reads answers up to the request's own. Those of other requests are dropped.
-func (c *conn) readOwn(ctx context.Context, r *Request, fields []string) (o core.Outcome, reuse bool) {
+func (c *conn) readOwnAnswer(ctx context.Context, r *Request, fields []string) (o core.Outcome, reuse bool) {
 	for written := time.Now(); ; {
 		var waited time.Duration
-		c.budget.N = mostHead
+		c.readLimit.N = maxHeadBytes
 		if _, err := c.in.Peek(1); err == nil {
 			waited = time.Since(written)
 		}
-		o, reuse = c.read(r.Method, fields)
+		o, reuse = c.readAnswer(r.Method, fields)
 		o.Waited = waited
 		reply, ok := o.Reply.(*Reply)
 		if !ok {
 			return o, false
 		}
 		if reply.Long != nil {
-			c.bound = true // nothing of it is kept to compare
-			c.noteAnswered()
+			c.equalOnly = true // nothing of it is kept to compare
+			c.markAnswered()
 			return o, reuse
 		}
-		c.heard = true
-		c.unasked = c.unasked || c.in.Buffered() > 0
-		if o.Status != control.OK || c.ownAnswer(reply.Body) {
-			c.noteAnswered()
-			return o, reuse && !c.unasked
+		c.gotAnswer = true
+		c.unsolicited = c.unsolicited || c.in.Buffered() > 0
+		if o.Status != control.OK || c.isOwnAnswer(reply.Body) {
+			c.markAnswered()
+			return o, reuse && !c.unsolicited
 		}
-		if !c.awaitAnother(ctx) {
-			c.history.memory.drop(fingerprintOf(reply.Body), c.asked.resource, time.Now())
+		if !c.awaitNextAnswer(ctx) {
+			c.stats.tracker.recordDrop(fingerprintOf(reply.Body), c.inFlight.resource, time.Now())
 			return core.Outcome{Status: control.Reset}, false
 		}
 	}
@@ -178,13 +178,13 @@
 // read takes the whole answer in, if it is not a long one, before anything of it is passed on: a cut or spoilt one
 // is a reset, and may be repeated where the class permits it, instead of reaching the client as half an answer.
 // Where something lies behind the answer the connection is not used again.
-func (c *conn) read(method string, fields []string) (o core.Outcome, reuse bool) {
+func (c *conn) readAnswer(method string, fields []string) (o core.Outcome, reuse bool) {
 	reset := core.Outcome{Status: control.Reset}
-	c.budget.N = mostHead
-	closes := c.saysClose()
+	c.readLimit.N = maxHeadBytes
+	closes := c.announcesClose()
 	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
 	for err == nil && resp.StatusCode < http.StatusOK && resp.StatusCode != http.StatusSwitchingProtocols {
-		closes = c.saysClose()
+		closes = c.announcesClose()
 		resp, err = http.ReadResponse(c.in, &http.Request{Method: method}) // 1xx: the answer is still to come
 	}
 	if err != nil {
@@ -207,14 +207,14 @@
 	}
 	// A target may answer twice. A second refusal has no body to know it by, and taken for the next request's answer it
 	// would say that this one never ran. Of a long answer its stream tells.
-	keeps := reply.Long == nil && !resp.Close && c.in.Buffered() == 0
-	c.replace = keeps && o.Status != control.OK
-	return o, keeps && !c.replace
+	keepAlive := reply.Long == nil && !resp.Close && c.in.Buffered() == 0
+	c.replace = keepAlive && o.Status != control.OK
+	return o, keepAlive && !c.replace
 }
 
 // saysClose tells whether the next answer's head says that its connection closes. http.ReadResponse takes that word
 // out, and says the same of an answer that nothing ends.
-func (c *conn) saysClose() bool {
+func (c *conn) announcesClose() bool {
 	for n := 1; n <= c.in.Size(); {
 		if _, err := c.in.Peek(n); err != nil {
 			return false
@@ -239,38 +239,38 @@
 	case n > MaxLong, n > MaxBody && !long:
 		return nil, errTooLong
 	case n > MaxBody:
-		c.budget.N += n
-		r.Long = c.long(resp, resp.Body, n)
+		c.readLimit.N += n
+		r.Long = c.newStream(resp, resp.Body, n)
 		return r, nil
 	case n >= 0:
-		c.budget.N += n
+		c.readLimit.N += n
 		r.Body = make([]byte, n)
 		_, err := io.ReadFull(resp.Body, r.Body)
 		return r, err
 	}
-	c.budget.N += mostFrames * MaxLong
+	c.readLimit.N += chunkedSizeFactor * MaxLong
 	body := io.Reader(resp.Body)
 	if len(resp.TransferEncoding) > 0 {
-		body = paced{c.in, body}
+		body = availableReader{c.in, body}
 	}
-	g := gather(body)
+	g := readPrefix(body)
 	// Danger: a spoilt head. One that nothing ends may never end.
-	whole, ended, err := g.wait(long && (closes || len(resp.TransferEncoding) > 0), c.mayBeAnothers)
+	whole, complete, err := g.wait(long && (closes || len(resp.TransferEncoding) > 0), c.mayBeDuplicate)
 	switch {
 	case err != nil:
 		return nil, err
-	case ended:
+	case complete:
 		r.Body = whole
 	case !long:
 		return nil, errTooLong
 	default:
-		r.Long = c.long(resp, g, MaxLong)
+		r.Long = c.newStream(resp, g, MaxLong)
 	}
 	return r, nil
 }
 
 // loadNames tells how the settings' names of a load report's fields stand in the report itself.
-var loadNames = map[string]string{
+var loadReportKeys = map[string]string{
 	"rif": "inflight", "q": "queue", "busy": "util", "lat_ms": "latency_ms", "rate": "qps", "fail_rate": "eps",
 }
 
@@ -284,7 +284,7 @@
 	for i, f := range fields {
 		v := report.Get(f)
 		if !v.Exists() {
-			v = report.Get(loadNames[f])
+			v = report.Get(loadReportKeys[f])
 		}
 		if load[i] = v.Float(); v.Type != gjson.Number || !(load[i] >= 0 && load[i] <= math.MaxFloat64) {
 			return nil
--- a/internal/egress/crossed_answer_test.go
+++ b/internal/egress/crossed_answer_test.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	r := &Request{Method: "GET", Head: []byte("GET " + path + " HTTP/1.1\r\nHost: t\r\n")}
-	c.asked = r.question(control.Safe)
+	c.inFlight = r.identity(control.Safe)
 	o, reuse := c.roundTrip(ctx, r, nil, nil, 0)
 	if reply, ok := o.Reply.(*Reply); ok {
 		body = string(reply.Body)
@@ -56,7 +56,7 @@
 func TestSecondAnswerIsNotGivenToTheNextRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := newConn(near, "pipe", &history{})
+	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
 	go crossedPeer(far, "of one", "of two")
 	if body, status, reuse := ask(t, c, "/one"); body != "of one" || status != control.OK || !reuse {
@@ -74,7 +74,7 @@
 // Where the target closes the connection behind the second answer, the next request has no answer of its own.
 func TestSecondAnswerBeforeTheEndIsAReset(t *testing.T) {
 	near, far := net.Pipe()
-	c := newConn(near, "pipe", &history{})
+	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
 	go func() {
 		defer far.Close()
@@ -95,7 +95,7 @@
 // Guards against an answer that is known to be given to different requests being held back, or lost.
 func TestAnswerGivenToDifferentRequestsIsNotHeldBack(t *testing.T) {
 	target := startTarget(t, 2, answersOnce(func(*http.Request) string { return "done" }))
-	for i := range 4 * learnedFrom {
+	for i := range 4 * baseSamples {
 		path := fmt.Sprintf("/%d", i)
 		target.wantOK(path, get(path), "done")
 		path += "/move"
@@ -107,7 +107,7 @@
 func TestSameRequestMayHaveTheSameAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := newConn(near, "pipe", &history{memory: newAnswerMemory()})
+	c := newConn(near, "pipe", &answerStats{tracker: newAnswerTracker()})
 	defer c.Close()
 	go func() {
 		in := bufio.NewReader(far)
@@ -123,7 +123,7 @@
 			t.Errorf("got %q, %v, to be used again: %t", body, status, reuse)
 		}
 	}
-	if c.gaveCommon || c.history.memory.changes.Load() > 0 {
+	if c.gaveCommon || c.stats.tracker.changes.Load() > 0 {
 		t.Error("it is taken for a target that answers all alike")
 	}
 }
@@ -132,19 +132,19 @@
 // the connections that it may have.
 func TestWaryTargetGetsOneRequestAConnection(t *testing.T) {
 	a, c, _ := reused(t) // its one permit is taken
-	a.unasked, c.used = time.Now(), time.Now().Add(-time.Minute/2)
-	next := &lease{got: make(chan *conn, 1)}
+	a.lastUnsolicited, c.lastUsed = time.Now(), time.Now().Add(-time.Minute/2)
+	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
-	if len(next.got) > 0 {
+	if len(next.result) > 0 {
 		t.Fatal("the used connection is used again")
 	}
 	if _, err := c.Write(nil); err == nil {
 		t.Error("the used connection is still open, and holds the permit")
 	}
-	for len(next.got) == 0 {
+	for len(next.result) == 0 {
 		a.handle(<-a.mailbox) // dialed; before or after it, rested
 	}
-	if got := <-next.got; got == nil || got.answered {
+	if got := <-next.result; got == nil || got.answered {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -153,7 +153,7 @@
 func TestSecondRefusalIsNotGivenToTheNextRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := newConn(near, "pipe", &history{})
+	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
 	go func() {
 		const refusal = "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -245,7 +245,7 @@
 func TestSecondEmptyAnswerIsNotGivenToTheNextRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := newConn(near, "pipe", &history{})
+	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
 	go crossedPeer(far, "", "of two")
 	if _, status, reuse := ask(t, c, "/one"); status != control.OK || !reuse {
--- a/internal/egress/dial_test.go
+++ b/internal/egress/dial_test.go
@@ -14,7 +14,7 @@
 
 // hangingDials is a Dial whose first connections never come up; it tells of each that is begun.
 func hangingDials(hanging int) (dial func(context.Context, string, string) (net.Conn, error), begun chan struct{}) {
-	begun = make(chan struct{}, mostConns)
+	begun = make(chan struct{}, maxConns)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		begun <- struct{}{}
 		if len(begun) <= hanging {
@@ -28,7 +28,7 @@
 // startHangingTarget is a target whose first connections never come up, and are given up after the time-out.
 func startHangingTarget(t *testing.T, hanging int, timeout time.Duration) (target *scriptedTarget, begun chan struct{}) {
 	t.Helper()
-	target = startTarget(t, mostConns, answersOnce(ownBody))
+	target = startTarget(t, maxConns, answersOnce(ownBody))
 	target.site.ConnectTimeout = timeout
 	target.site.Dial, begun = hangingDials(hanging)
 	return target, begun
@@ -47,13 +47,13 @@
 // Guards against dials without bound, and a longer wait, at a server to which no connection comes up.
 func TestOverdueDialsAreBounded(t *testing.T) {
 	const timeout = time.Second
-	target, begun := startHangingTarget(t, mostConns, timeout)
+	target, begun := startHangingTarget(t, maxConns, timeout)
 	began := time.Now()
 	_, status := target.send(get("/one"), 5*time.Second)
 	if took := time.Since(began); status != control.ConnectFailed || took >= 2*timeout {
 		t.Errorf("ended with %v after %v", status, took)
 	}
-	if n := len(begun); n > dialsEach {
+	if n := len(begun); n > maxDialsPerConn {
 		t.Errorf("%d dials for one request", n)
 	}
 }
@@ -61,7 +61,7 @@
 // Guards against a request being told that it could not connect before its own dial is over, as an earlier one's are.
 func TestFailedDialsBesideEndNoOtherRequest(t *testing.T) {
 	const timeout = time.Second
-	target, begun := startHangingTarget(t, mostConns, timeout)
+	target, begun := startHangingTarget(t, maxConns, timeout)
 	first := make(chan control.Status)
 	go func() {
 		_, status := target.send(get("/one"), 5*time.Second)
@@ -90,7 +90,7 @@
 	for name, c := range map[string]struct {
 		resets int
 		want   control.Status
-	}{"once": {1, control.OK}, "always": {mostConns, control.ConnectFailed}} {
+	}{"once": {1, control.OK}, "always": {maxConns, control.ConnectFailed}} {
 		t.Run(name, func(t *testing.T) {
 			target := startTarget(t, 4, answersOnce(ownBody))
 			dials := 0
@@ -122,7 +122,7 @@
 		defer cancel()
 		a := &target{
 			site:    &site{Options: Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Dial: pipe}, permits: make(chan struct{}, 1)},
-			mailbox: make(chan any, mailboxSize), ctx: ctx, end: cancel, ready: true,
+			mailbox: make(chan any, mailboxSize), ctx: ctx, stop: cancel, ready: true,
 		}
 		a.dialOne() // takes the site's one permit
 		a.handle(<-a.mailbox)
@@ -134,15 +134,15 @@
 			}
 		}()
 		synctest.Wait() // until it waits for that
-		next := &lease{got: make(chan *conn, 1), newOnly: true}
+		next := &connRequest{result: make(chan *conn, 1), unusedOnly: true}
 		a.handle(next)
-		for a.dialing > 0 && len(next.got) == 0 {
+		for a.dialing > 0 && len(next.result) == 0 {
 			a.handle(<-a.mailbox) // dialed; before or after it, rested
 		}
-		if len(next.got) == 0 {
+		if len(next.result) == 0 {
 			t.Fatal("it waits, and no connection is being opened")
 		}
-		if got := <-next.got; got == nil || got.answered {
+		if got := <-next.result; got == nil || got.answered {
 			t.Errorf("got %+v", got)
 		}
 	})
--- a/internal/egress/egress.go
+++ b/internal/egress/egress.go
@@ -26,7 +26,7 @@
 type site struct {
 	Options
 	permits chan struct{}
-	answers *answerMemory
+	tracker *answerTracker
 }
 
 func (s *site) connect(ctx context.Context, network, address string) (net.Conn, error) {
@@ -46,16 +46,16 @@
 func NewFleet(bySite ...Options) *Fleet {
 	f := &Fleet{targets: map[string]*entry{}}
 	for _, o := range bySite {
-		f.sites = append(f.sites, &site{o, make(chan struct{}, o.Conns), newAnswerMemory()})
+		f.sites = append(f.sites, &site{o, make(chan struct{}, o.Conns), newAnswerTracker()})
 	}
 	return f
 }
 
 // Update implements core.Egress.
 func (f *Fleet) Update(table core.Table) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, m := range table.Targets {
-		named[m.Server] = true
+		listed[m.Server] = true
 		if m.State == control.Removed {
 			f.remove(m.Server)
 			continue
@@ -71,19 +71,19 @@
 		}
 		if e == nil {
 			ctx, cancel := context.WithCancel(context.Background())
-			e = &entry{target: &target{site: s, mailbox: make(chan any, mailboxSize), ctx: ctx, end: cancel}}
-			e.history.memory = s.answers
+			e = &entry{target: &target{site: s, mailbox: make(chan any, mailboxSize), ctx: ctx, stop: cancel}}
+			e.stats.tracker = s.tracker
 			f.targets[m.Server] = e
 			go e.run()
 		}
 		if r := (route{m.Address, m.State == control.Ready}); r != e.route {
 			e.route = r
-			e.tell(r)
+			e.send(r)
 		}
 	}
 	if table.Kind != control.Delta { // a whole list: what it does not name is gone
 		for id := range f.targets {
-			if !named[id] {
+			if !listed[id] {
 				f.remove(id)
 			}
 		}
@@ -92,13 +92,13 @@
 
 func (f *Fleet) remove(id string) {
 	if e := f.targets[id]; e != nil {
-		e.tell(retire{})
+		e.send(targetRemoved{})
 		delete(f.targets, id)
 	}
 }
 
 // tell hands a message to the actor without waiting for it.
-func (e *entry) tell(m any) {
+func (e *entry) send(m any) {
 	select {
 	case e.mailbox <- m:
 	default:
@@ -146,28 +146,28 @@
 // CloseIdle implements core.Egress.
 func (f *Fleet) CloseIdle(id string) {
 	if e := f.targets[id]; e != nil {
-		e.tell(dropIdle{})
+		e.send(closeAllIdle{})
 	}
 }
 
 type exchangeKey struct{}
 
 // carried is what rides through httputil.ReverseProxy in a request's context.
-type carried struct {
+type carriedExchange struct {
 	target   string // of the request, as it came: httputil.ReverseProxy writes some queries anew
 	exchange *core.Exchange
 	body     []byte
-	rest     *Upload
-	ended    func(core.Answer)
+	upload   *Upload
+	onAnswer func(core.Answer)
 }
 
 // WithExchange returns a request that carries its exchange through httputil.ReverseProxy to the RoundTripper.
 // rest is what of its body follows; ended is told the final answer before the client is; both may be nil.
-func WithExchange(r *http.Request, x *core.Exchange, body []byte, rest *Upload, ended func(core.Answer)) *http.Request {
+func WithExchange(r *http.Request, x *core.Exchange, body []byte, rest *Upload, onAnswer func(core.Answer)) *http.Request {
 	if rest != nil {
 		x.Arriving, x.Spent = true, rest.Spent
 	}
-	return r.WithContext(context.WithValue(r.Context(), exchangeKey{}, &carried{r.RequestURI, x, body, rest, ended}))
+	return r.WithContext(context.WithValue(r.Context(), exchangeKey{}, &carriedExchange{r.RequestURI, x, body, rest, onAnswer}))
 }
 
 // RoundTripper has the core decide and carry out the exchange that a request holds.
@@ -178,13 +178,13 @@
 
 // RoundTrip implements http.RoundTripper.
 func (t *RoundTripper) RoundTrip(r *http.Request) (*http.Response, error) {
-	c := r.Context().Value(exchangeKey{}).(*carried)
-	message := Encode(r.Method, c.target, r.Host, r.Header, c.body, c.rest)
+	c := r.Context().Value(exchangeKey{}).(*carriedExchange)
+	message := Encode(r.Method, c.target, r.Host, r.Header, c.body, c.upload)
 	message.Customer = c.exchange.Customer
 	c.exchange.Payload = message
 	a := t.Core.Do(r.Context(), *c.exchange)
-	if c.ended != nil {
-		c.ended(a)
+	if c.onAnswer != nil {
+		c.onAnswer(a)
 	}
 	resp := &http.Response{ProtoMajor: 1, ProtoMinor: 1, Request: r, Header: http.Header{}, Body: http.NoBody}
 	switch a.Kind {
@@ -195,7 +195,7 @@
 			if resp.ContentLength = reply.Length; reply.Length >= 0 {
 				resp.Header.Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 			}
-			resp.Body = pass(r.Context(), reply.Long, t.Core, c.exchange.Class)
+			resp.Body = newClientBody(r.Context(), reply.Long, t.Core, c.exchange.Class)
 			return resp, nil
 		}
 		resp.ContentLength = int64(len(reply.Body))
--- a/internal/egress/fuzz_test.go
+++ b/internal/egress/fuzz_test.go
@@ -27,8 +27,8 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := newConn(script{Reader: bytes.NewReader(text)}, "", &history{})
-		o, reuse := c.read("GET", []string{"q", "rif"})
+		c := newConn(script{Reader: bytes.NewReader(text)}, "", &answerStats{})
+		o, reuse := c.readAnswer("GET", []string{"q", "rif"})
 		if reply, ok := o.Reply.(*Reply); o.Status == control.OK && (!ok || reply.Status != 200 || len(reply.Body) > MaxBody) {
 			t.Errorf("served %+v", o)
 		}
--- a/internal/egress/long.go
+++ b/internal/egress/long.go
@@ -16,44 +16,44 @@
 const MaxLong = 32 << 20
 
 const (
-	pieceSize  = 32 << 10
-	pieceWait  = 10 * time.Second // a target that neither takes nor gives anything
-	mostFrames = 8                // a chunked body may take so many times its size
-	gatherFor  = 250 * time.Millisecond
-	pacedLeast = 64 // bytes buffered, in which a chunk's frame may be all there is
+	bufferSize          = 32 << 10
+	streamIOTimeout     = 10 * time.Second // a target that neither takes nor gives anything
+	chunkedSizeFactor   = 8                // a chunked body may take so many times its size
+	streamAfter         = 250 * time.Millisecond
+	minChunkFrameBuffer = 64 // bytes buffered, in which a chunk's frame may be all there is
 )
 
-// Pieces are the buffers through which bodies pass, both ways (httputil.BufferPool).
-type Pieces struct{}
+// BufferPool are the buffers through which bodies pass, both ways (httputil.BufferPool).
+type BufferPool struct{}
 
-var pieces = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
 // Get implements httputil.BufferPool.
-func (Pieces) Get() []byte { return pieces.Get().(*[pieceSize]byte)[:] }
+func (BufferPool) Get() []byte { return buffers.Get().(*[bufferSize]byte)[:] }
 
 // Put implements httputil.BufferPool.
-func (Pieces) Put(b []byte) { pieces.Put((*[pieceSize]byte)(b)) }
+func (BufferPool) Put(b []byte) { buffers.Put((*[bufferSize]byte)(b)) }
 
 // Stream is the body of a long answer, passed on as it comes. Reading it to its end, or Close, ends the attempt's
 // connection with the target, or frees it.
 type Stream struct {
-	c      *conn
-	body   io.Reader
-	left   int64 // that may still come
-	reuse  func() bool
-	finish func(reuse bool) // set by the target; once
+	c         *conn
+	body      io.Reader
+	remaining int64 // that may still come
+	reuse     func() bool
+	finish    func(reuse bool) // set by the target; once
 
-	mu   sync.Mutex
-	over bool
+	mu     sync.Mutex
+	closed bool
 }
 
 var errTooLong = errors.New("the answer is too long")
 
 // Read implements io.Reader. What is cut by the target ends in an error, so that the client can tell.
 func (s *Stream) Read(b []byte) (int, error) {
-	s.c.SetReadDeadline(time.Now().Add(pieceWait))
+	s.c.SetReadDeadline(time.Now().Add(streamIOTimeout))
 	n, err := s.body.Read(b)
-	if s.left -= int64(n); s.left < 0 {
+	if s.remaining -= int64(n); s.remaining < 0 {
 		n, err = 0, errTooLong
 	}
 	switch {
@@ -75,51 +75,51 @@
 func (s *Stream) end(reuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.over {
-		s.over = true
+	if !s.closed {
+		s.closed = true
 		s.finish(reuse)
 	}
 }
 
 // gathered is the beginning of a body whose length is not said, up to MaxBody, read in while it is not known yet
 // whether it is taken whole or passed on; then it is the whole body's reader.
-type gathered struct {
-	rest  io.Reader
-	first chan struct{} // something of it is
-	done  chan struct{} // the beginning is in
+type bodyPrefix struct {
+	body    io.Reader
+	started chan struct{} // something of it is
+	done    chan struct{} // the beginning is in
 
-	mu   sync.Mutex
-	more *sync.Cond
-	buf  []byte
-	full bool // it is in, and buf has got all there was, up to err
-	err  error
+	mu       sync.Mutex
+	changed  *sync.Cond
+	buf      []byte
+	complete bool // it is in, and buf has got all there was, up to err
+	err      error
 }
 
-func gather(body io.Reader) *gathered {
-	g := &gathered{rest: body, first: make(chan struct{}), done: make(chan struct{})}
-	g.more = sync.NewCond(&g.mu)
+func readPrefix(body io.Reader) *bodyPrefix {
+	g := &bodyPrefix{body: body, started: make(chan struct{}), done: make(chan struct{})}
+	g.changed = sync.NewCond(&g.mu)
 	go g.run()
 	return g
 }
 
-func (g *gathered) run() {
+func (g *bodyPrefix) run() {
 	defer close(g.done)
-	piece := Pieces{}.Get()
-	defer Pieces{}.Put(piece)
-	for n, all := 0, 0; ; {
+	buffer := BufferPool{}.Get()
+	defer BufferPool{}.Put(buffer)
+	for n, total := 0, 0; ; {
 		var err error
-		n, err = g.rest.Read(piece[:min(pieceSize, MaxBody+1-all)])
-		all += n
-		if n > 0 && all == n {
-			close(g.first)
+		n, err = g.body.Read(buffer[:min(bufferSize, MaxBody+1-total)])
+		total += n
+		if n > 0 && total == n {
+			close(g.started)
 		}
 		g.mu.Lock()
-		g.buf = append(g.buf, piece[:n]...)
-		g.full, g.err = err != nil || all > MaxBody, err
-		full := g.full
-		g.more.Broadcast()
+		g.buf = append(g.buf, buffer[:n]...)
+		g.complete, g.err = err != nil || total > MaxBody, err
+		complete := g.complete
+		g.changed.Broadcast()
 		g.mu.Unlock()
-		if full {
+		if complete {
 			return
 		}
 	}
@@ -127,11 +127,11 @@
 
 // wait returns the body if it ends within MaxBody. One that has not ended is to be read: in a hurry also soon after its
 // first bytes, unless these are to be held.
-func (g *gathered) wait(hurry bool, hold func(first []byte) bool) (body []byte, ended bool, err error) {
+func (g *bodyPrefix) wait(streamEarly bool, hold func(first []byte) bool) (body []byte, complete bool, err error) {
 	select {
 	case <-g.done:
-	case <-g.first:
-		if hurry && !g.endsBeforeItIsDue(hold) {
+	case <-g.started:
+		if streamEarly && !g.endsBeforeStreaming(hold) {
 			return nil, false, nil
 		}
 		<-g.done
@@ -147,15 +147,15 @@
 
 // endsBeforeItIsDue tells whether the beginning is in before it is to be passed on: at the first moment, gatherFor from
 // now and then again and again, at which it is not to be held.
-func (g *gathered) endsBeforeItIsDue(hold func(first []byte) bool) bool {
-	due := time.NewTicker(gatherFor)
-	defer due.Stop()
+func (g *bodyPrefix) endsBeforeStreaming(hold func(first []byte) bool) bool {
+	ticker := time.NewTicker(streamAfter)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-g.done:
 			return true
-		case <-due.C:
-			if !hold(g.soFar()) {
+		case <-ticker.C:
+			if !hold(g.received()) {
 				return false
 			}
 		}
@@ -163,17 +163,17 @@
 }
 
 // soFar is what has come in.
-func (g *gathered) soFar() []byte {
+func (g *bodyPrefix) received() []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.buf
 }
 
 // Read implements io.Reader.
-func (g *gathered) Read(b []byte) (int, error) {
+func (g *bodyPrefix) Read(b []byte) (int, error) {
 	g.mu.Lock()
-	for len(g.buf) == 0 && !g.full {
-		g.more.Wait()
+	for len(g.buf) == 0 && !g.complete {
+		g.changed.Wait()
 	}
 	if len(g.buf) > 0 {
 		n := copy(b, g.buf)
@@ -188,18 +188,18 @@
 	if err != nil {
 		return 0, err
 	}
-	return g.rest.Read(b)
+	return g.body.Read(b)
 }
 
 // paced reads a chunked body without waiting for more than has come. net/http's reader of chunks waits until what it
 // is to fill is full, or the chunk at its end: a slow one would be held back.
-type paced struct {
+type availableReader struct {
 	in   *bufio.Reader // below body
 	body io.Reader
 }
 
 // Read implements io.Reader. Of what is buffered an eighth is surely body, however small the chunks are.
-func (p paced) Read(b []byte) (n int, err error) {
+func (p availableReader) Read(b []byte) (n int, err error) {
 	for n < len(b) && err == nil {
 		if p.in.Buffered() == 0 {
 			if n > 0 {
@@ -209,7 +209,7 @@
 		}
 		var k int
 		k, err = p.body.Read(b[n:min(len(b), n+max(1, p.in.Buffered()/8))])
-		if n += k; p.in.Buffered() < pacedLeast {
+		if n += k; p.in.Buffered() < minChunkFrameBuffer {
 			break
 		}
 	}
@@ -228,34 +228,34 @@
 }
 
 // passed is a streamed body on its way to the client: its end is counted, and a client that leaves ends it.
-type passed struct {
+type clientBody struct {
 	*Stream
 	stop  func() bool
-	ended func(whole bool)
+	onEnd func(whole bool)
 	once  sync.Once
 }
 
-func pass(ctx context.Context, s *Stream, c *core.Core, class int) *passed {
-	p := &passed{Stream: s, ended: func(whole bool) { c.Streamed(class, whole) }}
+func newClientBody(ctx context.Context, s *Stream, c *core.Core, class int) *clientBody {
+	p := &clientBody{Stream: s, onEnd: func(whole bool) { c.Streamed(class, whole) }}
 	p.stop = context.AfterFunc(ctx, func() { s.Close() })
 	return p
 }
 
-func (p *passed) Read(b []byte) (int, error) {
+func (p *clientBody) Read(b []byte) (int, error) {
 	n, err := p.Stream.Read(b)
 	if err != nil {
-		p.once.Do(func() { p.ended(err == io.EOF) })
+		p.once.Do(func() { p.onEnd(err == io.EOF) })
 	}
 	return n, err
 }
 
-func (p *passed) Close() error {
+func (p *clientBody) Close() error {
 	p.stop()
-	p.once.Do(func() { p.ended(false) })
+	p.once.Do(func() { p.onEnd(false) })
 	return p.Stream.Close()
 }
 
 // long makes a stream of an answer that is too long to be taken in whole, or nil: it cannot be one.
-func (c *conn) long(resp *http.Response, body io.Reader, left int64) *Stream {
-	return &Stream{c: c, body: body, left: left, reuse: func() bool { return !resp.Close && c.in.Buffered() == 0 }}
+func (c *conn) newStream(resp *http.Response, body io.Reader, limit int64) *Stream {
+	return &Stream{c: c, body: body, remaining: limit, reuse: func() bool { return !resp.Close && c.in.Buffered() == 0 }}
 }
--- a/internal/egress/reuse_test.go
+++ b/internal/egress/reuse_test.go
@@ -158,7 +158,7 @@
 }
 
 // healthyConn is a connection to a peer that answers each request once.
-func healthyConn(t *testing.T, h *history, body func(*http.Request) string) *conn {
+func healthyConn(t *testing.T, h *answerStats, body func(*http.Request) string) *conn {
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
@@ -181,7 +181,7 @@
 func TestStreamThatBeginsAsAnEarlierAnswerIsPassedOn(t *testing.T) {
 	for _, h := range []struct {
 		name    string
-		history *history
+		history *answerStats
 	}{{"learned", knowing()}} {
 		t.Run(h.name, func(t *testing.T) {
 			const short, long = "event: connected\n\n", "event: connected\ndata: 1\n\nevent: tick\ndata: 2\n\n"
@@ -214,7 +214,7 @@
 	c := newConn(near, "pipe", knowing())
 	asked(t, c, by(1, "/one"), faultyWait)
 	o, _ := asked(t, c, by(2, "/two"), faultyWait)
-	if c.unasked {
+	if c.unsolicited {
 		t.Errorf("/two ended with %v, and the target counts as one that answers twice", o.Status)
 	}
 }
@@ -226,40 +226,40 @@
 	a.site.permits = make(chan struct{}, 4)
 	a.site.permits <- struct{}{}
 	a.site.Dial = refusesDials
-	a.unasked = time.Now()
-	next := &lease{got: make(chan *conn, 1)}
+	a.lastUnsolicited = time.Now()
+	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	dials := 0
-	for len(next.got) == 0 && a.dialing > 0 && dials < 100 {
+	for len(next.result) == 0 && a.dialing > 0 && dials < 100 {
 		dials += a.dialing
 		a.handle(<-a.mailbox) // dialed, in vain
 	}
-	if len(next.got) == 0 || dials > 1 {
-		t.Errorf("%d dials failed for one request, and it was told: %t", dials, len(next.got) > 0)
+	if len(next.result) == 0 || dials > 1 {
+		t.Errorf("%d dials failed for one request, and it was told: %t", dials, len(next.result) > 0)
 	}
 }
 
 // Guards against a request being passed over for ever by later ones, which the connection in use fits and it does not.
 func TestRequestIsNotPassedOverForEver(t *testing.T) {
 	a, c, _ := reused(t) // the only connection that it may have
-	a.history.memory = newAnswerMemory()
-	c.bound, c.sole = true, 1
+	a.stats.tracker = newAnswerTracker()
+	c.equalOnly, c.onlyRequest = true, 1
 	a.idle = nil // its attempt is out
-	first := &lease{got: make(chan *conn, 1), question: question{request: 2}}
+	first := &connRequest{result: make(chan *conn, 1), identity: identity{request: 2}}
 	a.handle(first)
-	hot := func() *lease { return &lease{got: make(chan *conn, 1), question: question{request: 1}} }
+	hot := func() *connRequest { return &connRequest{result: make(chan *conn, 1), identity: identity{request: 1}} }
 	waits := hot()
 	a.handle(waits)
 	for passed := range 20 {
 		later := hot()
 		a.handle(later) // there is always one more of those
-		c.used = time.Now().Add(-restMost)
-		a.handle(back{c})
-		if len(first.got) > 0 || a.dialing > 0 {
+		c.lastUsed = time.Now().Add(-maxReuseDelay)
+		a.handle(connReleased{c})
+		if len(first.result) > 0 || a.dialing > 0 {
 			t.Logf("after %d others", passed)
 			return
 		}
-		if len(waits.got) == 0 {
+		if len(waits.result) == 0 {
 			t.Fatal("nobody has the connection")
 		}
 		waits = later
@@ -271,23 +271,23 @@
 func TestConnectionsOfNoUseDoNotKeepOthersOut(t *testing.T) {
 	a, c, _ := reused(t)
 	h := knowing()
-	a.history.memory = h.memory
+	a.stats.tracker = h.tracker
 	a.idle = nil // its attempt is out
-	a.site.permits, a.open = make(chan struct{}, mostConns), 1
+	a.site.permits, a.open = make(chan struct{}, maxConns), 1
 	a.site.permits <- struct{}{}
-	for range mostIdle {
+	for range maxIdle {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
-		other := newConn(near, a.address, &a.history)
-		other.answered, other.used, other.given = true, time.Now(), []givenAnswer{newGivenAnswer([]byte("ok"), question{})}
+		other := newConn(near, a.address, &a.stats)
+		other.answered, other.lastUsed, other.pastAnswers = true, time.Now(), []pastAnswer{newPastAnswer([]byte("ok"), identity{})}
 		a.idle = append(a.idle, other)
 		a.site.permits <- struct{}{}
 		a.open++
 	}
 	for i := range 2 { // it becomes common
-		h.memory.learn(fingerprintOf([]byte("ok")), fingerprint(5000+i), time.Now())
+		h.tracker.record(fingerprintOf([]byte("ok")), fingerprint(5000+i), time.Now())
 	}
-	a.handle(back{c})
+	a.handle(connReleased{c})
 	if _, err := c.Write(nil); err != nil {
 		t.Errorf("the one connection of use is closed; %d are idle", len(a.idle))
 	}
@@ -299,7 +299,7 @@
 	c := scriptedConn(t, knowing(), of("of one"))
 	asked(t, c, by(1, "/one"), faultyWait)
 	c.Conn.Close()
-	if o, _ := asked(t, c, by(1, "/two"), faultyWait); o.Status != control.ConnectFailed || c.heard {
-		t.Errorf("ended with %v, heard of: %t", o.Status, c.heard)
+	if o, _ := asked(t, c, by(1, "/two"), faultyWait); o.Status != control.ConnectFailed || c.gotAnswer {
+		t.Errorf("ended with %v, heard of: %t", o.Status, c.gotAnswer)
 	}
 }
--- a/internal/egress/target_test.go
+++ b/internal/egress/target_test.go
@@ -86,12 +86,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	a = &target{
 		site:    &site{Options: Options{ConnectTimeout: 5 * time.Second, ConnIdle: time.Minute, Conns: 1}, permits: make(chan struct{}, 1)},
-		mailbox: make(chan any, mailboxSize), ctx: ctx, end: cancel, ready: true, address: l.Addr().String(),
+		mailbox: make(chan any, mailboxSize), ctx: ctx, stop: cancel, ready: true, address: l.Addr().String(),
 	}
-	lease := &lease{got: make(chan *conn, 1)}
+	lease := &connRequest{result: make(chan *conn, 1)}
 	a.handle(lease)
 	a.handle(<-a.mailbox) // dialed
-	if c = <-lease.got; c == nil {
+	if c = <-lease.result; c == nil {
 		t.Fatal("no connection")
 	}
 	t.Cleanup(func() { c.Close() })
@@ -99,8 +99,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { far.Close() })
-	c.used, c.answered, c.waited = time.Now().Add(time.Hour), true, time.Second // however slow this machine is, it has not rested yet
-	a.handle(back{c})
+	c.lastUsed, c.answered, c.answerTime = time.Now().Add(time.Hour), true, time.Second // however slow this machine is, it has not rested yet
+	a.handle(connReleased{c})
 	return a, c, far
 }
 
@@ -108,21 +108,21 @@
 // connection rests first, and the answer shows meanwhile.
 func TestSecondAnswerIsNotTheNextOnes(t *testing.T) {
 	a, c, far := reused(t)
-	next := &lease{got: make(chan *conn, 1)}
+	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	select {
-	case <-next.got:
+	case <-next.result:
 		t.Fatal("the connection is used again before a second answer could show")
 	default:
 	}
 	far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore")) // on loopback it lies there at once
-	c.used = time.Now().Add(-restMost)
-	a.handle(rested{})
+	c.lastUsed = time.Now().Add(-maxReuseDelay)
+	a.handle(reuseDue{})
 	if _, err := c.Write(nil); err == nil {
 		t.Error("the connection with an answer on it is still open")
 	}
 	a.handle(<-a.mailbox) // dialed
-	if got := <-next.got; got == nil || got == c {
+	if got := <-next.result; got == nil || got == c {
 		t.Errorf("got %v instead of a fresh connection", got)
 	}
 }
@@ -130,16 +130,16 @@
 // A connection that has rested with nothing on it is used again, with no other one opened for whoever waits for it.
 func TestRestedConnectionIsUsedAgain(t *testing.T) {
 	a, c, _ := reused(t)
-	c.used = time.Now()
-	next := &lease{got: make(chan *conn, 1)}
+	c.lastUsed = time.Now()
+	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
-	if len(next.got) == 0 { // else this machine has held the test up for so long
+	if len(next.result) == 0 { // else this machine has held the test up for so long
 		a.handle(<-a.mailbox)
 	}
-	if got := <-next.got; got != c {
+	if got := <-next.result; got != c {
 		t.Errorf("got %v", got)
 	}
-	if rest := time.Since(c.used); rest < restMost {
+	if rest := time.Since(c.lastUsed); rest < maxReuseDelay {
 		t.Errorf("it rested for %v", rest)
 	}
 	if a.open != 1 || a.dialing != 0 {
@@ -151,29 +151,29 @@
 func TestQuickTargetsRestLess(t *testing.T) {
 	a, c, _ := reused(t)
 	for range 100 {
-		c.waited = time.Millisecond
-		a.handle(back{<-leased(a, c)})
+		c.answerTime = time.Millisecond
+		a.handle(connReleased{<-leased(a, c)})
 	}
-	if rest := a.rest(); rest > time.Millisecond/restShare*11/10 {
+	if rest := a.reuseDelay(); rest > time.Millisecond/reuseDelayDivisor*11/10 {
 		t.Errorf("it rests for %v", rest)
 	}
 }
 
 // leased hands a rested connection out.
 func leased(a *target, c *conn) chan *conn {
-	c.used = time.Now().Add(-restMost)
-	l := &lease{got: make(chan *conn, 1)}
+	c.lastUsed = time.Now().Add(-maxReuseDelay)
+	l := &connRequest{result: make(chan *conn, 1)}
 	a.handle(l)
-	return l.got
+	return l.result
 }
 
 // Many connections are a load that rests would hold up: there each is used again at once.
 func TestManyConnectionsDoNotRest(t *testing.T) {
 	a, c, _ := reused(t)
-	a.open += restFew
-	next := &lease{got: make(chan *conn, 1)}
+	a.open += maxDelayedConns
+	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
-	if len(next.got) == 0 || <-next.got != c {
+	if len(next.result) == 0 || <-next.result != c {
 		t.Error("it is held back")
 	}
 }
@@ -184,12 +184,12 @@
 	a, first, far = reused(t)
 	near, other := net.Pipe()
 	t.Cleanup(func() { near.Close(); other.Close() })
-	a.site.permits, a.open = make(chan struct{}, 2*restFew), restFew+1
+	a.site.permits, a.open = make(chan struct{}, 2*maxDelayedConns), maxDelayedConns+1
 	for range a.open {
 		a.site.permits <- struct{}{}
 	}
-	second = newConn(near, a.address, &a.history)
-	second.answered, second.used = true, first.used.Add(time.Millisecond)
+	second = newConn(near, a.address, &a.stats)
+	second.answered, second.lastUsed = true, first.lastUsed.Add(time.Millisecond)
 	a.idle = append(a.idle, second)
 	return a, first, second, far
 }
@@ -197,12 +197,12 @@
 // Where there are many connections that have not rested, the one that has rested longest is used, and none is waited for.
 func TestManyConnectionsUseTheOneThatRestedLongest(t *testing.T) {
 	a, first, _, _ := two(t)
-	next := &lease{got: make(chan *conn, 1)}
+	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
-	if len(next.got) == 0 {
+	if len(next.result) == 0 {
 		t.Fatal("it is held back")
 	}
-	if got := <-next.got; got != first {
+	if got := <-next.result; got != first {
 		t.Error("the connection that was used last is used again")
 	}
 }
@@ -212,9 +212,9 @@
 func TestSecondAnswerMakesAllConnectionsRest(t *testing.T) {
 	a, first, second, far := two(t)
 	far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore")) // on loopback it lies there at once
-	next := &lease{got: make(chan *conn, 1)}
+	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
-	if len(next.got) > 0 {
+	if len(next.result) > 0 {
 		t.Fatal("a connection is used again that has not rested")
 	}
 	if _, err := first.Write(nil); err == nil {
@@ -223,13 +223,13 @@
 	if a.dialing != 1 {
 		t.Errorf("%d connections are being opened for the one that waits", a.dialing)
 	}
-	a.unasked = time.Now().Add(-waryFor)
-	a.handle(rested{})
-	if len(next.got) == 0 || <-next.got != second {
+	a.lastUnsolicited = time.Now().Add(-unsolicitedWindow)
+	a.handle(reuseDue{})
+	if len(next.result) == 0 || <-next.result != second {
 		t.Error("it is still held back")
 	}
-	if a.rest() > restMost {
-		t.Errorf("it rests for %v", a.rest())
+	if a.reuseDelay() > maxReuseDelay {
+		t.Errorf("it rests for %v", a.reuseDelay())
 	}
 }
 
@@ -238,7 +238,7 @@
 	a, c, _ := reused(t)
 	a.idle = nil // its attempt is out
 	c.Close()
-	a.handle(ended{heard: true, replace: true})
+	a.handle(connClosed{answered: true, replace: true})
 	if a.open != 1 || a.dialing != 1 {
 		t.Fatalf("%d open, %d dialling", a.open, a.dialing)
 	}
@@ -252,10 +252,10 @@
 // Guards against connections of use for one request alone taking the place of those that any request may use.
 func TestOneStreamedConnectionRests(t *testing.T) {
 	a, first, second, _ := two(t)
-	first.bound, first.sole = true, 1
+	first.equalOnly, first.onlyRequest = true, 1
 	a.idle = a.idle[:1] // second's attempt is out
-	second.bound, second.sole = true, 2
-	a.handle(back{second})
+	second.equalOnly, second.onlyRequest = true, 2
+	a.handle(connReleased{second})
 	if len(a.idle) != 1 || a.idle[0] != second {
 		t.Errorf("idle: %+v", a.idle)
 	}
--- a/internal/egress/unsafe_test.go
+++ b/internal/egress/unsafe_test.go
@@ -93,7 +93,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			target := startTarget(t, mostConns, answersOnce(ownBody))
+			target := startTarget(t, maxConns, answersOnce(ownBody))
 			mostOpen := target.watchOpen()
 			target.warmUp(warmUps)
 			first := target.accepted()
@@ -107,7 +107,7 @@
 			if opened := target.accepted() - first; opened > writes+few {
 				t.Errorf("%d connections were opened for %d writes", opened, writes)
 			}
-			if most := mostOpen.Load(); most > usedKept+few {
+			if most := mostOpen.Load(); most > usedIdleKept+few {
 				t.Errorf("%d connections were open at once, for one request at a time", most)
 			}
 		})
@@ -134,7 +134,7 @@
 // Guards against more open connections than a server may hold where many requests that can't be sent again are out at once.
 func TestConnectionsOpenAtOnceKeepToWhatIsNeeded(t *testing.T) {
 	const atATime = 8
-	target := startTarget(t, mostConns, answersOnce(ownBody))
+	target := startTarget(t, maxConns, answersOnce(ownBody))
 	mostOpen := target.watchOpen()
 	target.warmUp(warmUps)
 	target.wantAll(numberedRequests(256, ownBody), atATime)
--- a/internal/egress/upload.go
+++ b/internal/egress/upload.go
@@ -33,12 +33,12 @@
 // writeLong writes a message whose body is still coming in. A client that stops, or sends less or more than it said,
 // and a target that ends the connection, end the attempt before its last byte: the target has got nothing that it
 // would run.
-func (c *conn) writeLong(ctx context.Context, head []byte, r *Request) (control.Status, bool) {
-	targetEnded, stopWatching := c.watchEnd()
+func (c *conn) writeStreamed(ctx context.Context, head []byte, r *Request) (control.Status, bool) {
+	targetClosed, stopWatching := c.watchClose()
 	defer stopWatching()
 	body := readPieces(r.Rest.Next)
 	defer body.close()
-	status, ok := c.writeMessage(head, r, body, targetEnded)
+	status, ok := c.writeMessage(head, r, body, targetClosed)
 	if !ok && ctx.Err() == context.Canceled {
 		return control.Cancelled, false
 	}
@@ -46,18 +46,18 @@
 }
 
 // writeMessage writes head and body, piece by piece as it comes in.
-func (c *conn) writeMessage(head []byte, r *Request, body *pieceReader, targetEnded <-chan struct{}) (control.Status, bool) {
-	if c.writeWithin(head) != nil || c.writePiece(r.Body, r.Rest.Length) != nil {
+func (c *conn) writeMessage(head []byte, r *Request, body *pieceReader, targetClosed <-chan struct{}) (control.Status, bool) {
+	if c.writeWithTimeout(head) != nil || c.writePiece(r.Body, r.Rest.Length) != nil {
 		return control.ConnectFailed, false
 	}
 	for sent := int64(len(r.Body)); !r.Rest.Done(); {
-		next, ok := body.read(targetEnded)
+		next, ok := body.read(targetClosed)
 		if !ok {
 			r.Rest.spent.Store(true) // what is being read is lost
 			return control.ConnectFailed, false
 		}
 		sent += int64(len(next.data))
-		err := r.Rest.take(next, sent)
+		err := r.Rest.countPiece(next, sent)
 		if err != nil {
 			return control.Cancelled, false
 		}
@@ -65,7 +65,7 @@
 			return control.ConnectFailed, false
 		}
 	}
-	if r.Rest.Length < 0 && c.writeWithin([]byte("0\r\n\r\n")) != nil {
+	if r.Rest.Length < 0 && c.writeWithTimeout([]byte("0\r\n\r\n")) != nil {
 		return control.ConnectFailed, false
 	}
 	c.SetWriteDeadline(time.Time{})
@@ -73,7 +73,7 @@
 }
 
 // take counts a piece in, with which sent bytes of the body have come.
-func (u *Upload) take(next piece, sent int64) error {
+func (u *Upload) countPiece(next piece, sent int64) error {
 	if len(next.data) > 0 || next.err != nil {
 		u.spent.Store(true)
 	}
@@ -90,37 +90,37 @@
 // writePiece writes a piece of a body: as a chunk where the body's length is not known.
 func (c *conn) writePiece(data []byte, length int64) error {
 	if length >= 0 {
-		return c.writeWithin(data)
+		return c.writeWithTimeout(data)
 	}
-	const mostFraming = 24 // bytes: a length in hexadecimal digits and two line ends
-	framed := strconv.AppendInt(make([]byte, 0, len(data)+mostFraming), int64(len(data)), 16)
+	const maxFraming = 24 // bytes: a length in hexadecimal digits and two line ends
+	framed := strconv.AppendInt(make([]byte, 0, len(data)+maxFraming), int64(len(data)), 16)
 	framed = append(framed, "\r\n"...)
 	framed = append(framed, data...)
-	return c.writeWithin(append(framed, "\r\n"...))
+	return c.writeWithTimeout(append(framed, "\r\n"...))
 }
 
 // writeWithin writes to a target that has pieceWait to take it.
-func (c *conn) writeWithin(data []byte) error {
-	c.SetWriteDeadline(time.Now().Add(pieceWait))
+func (c *conn) writeWithTimeout(data []byte) error {
+	c.SetWriteDeadline(time.Now().Add(streamIOTimeout))
 	_, err := c.Write(data)
 	return err
 }
 
 // watchEnd tells when the target, or this side, ends the connection. It takes nothing off it. stop ends the watch, and
 // is to be called before anything is read.
-func (c *conn) watchEnd() (ended <-chan struct{}, stop func()) {
-	connection, ok := c.Conn.(syscall.Conn)
+func (c *conn) watchClose() (closed <-chan struct{}, stop func()) {
+	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, func() {}
 	}
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
-		socket.Ended(connection)
+		defer close(done)
+		socket.Ended(raw)
 	}()
-	return over, func() {
+	return done, func() {
 		c.SetReadDeadline(time.Unix(1, 0)) // in the past
-		<-over
+		<-done
 		c.SetReadDeadline(time.Time{})
 	}
 }
@@ -134,16 +134,16 @@
 // pieceReader reads a client's body in a goroutine of its own, so that a client that pauses need not be waited for. The
 // goroutine ends with the read that is pending as the pieceReader is closed.
 type pieceReader struct {
-	wanted chan struct{}
-	pieces chan piece
+	requests chan struct{}
+	pieces   chan piece
 }
 
 func readPieces(next func([]byte) (int, error)) *pieceReader {
-	r := &pieceReader{wanted: make(chan struct{}, 1), pieces: make(chan piece, 1)}
+	r := &pieceReader{requests: make(chan struct{}, 1), pieces: make(chan piece, 1)}
 	go func() {
-		buffer := Pieces{}.Get()
-		defer Pieces{}.Put(buffer)
-		for range r.wanted {
+		buffer := BufferPool{}.Get()
+		defer BufferPool{}.Put(buffer)
+		for range r.requests {
 			n, err := next(buffer)
 			r.pieces <- piece{buffer[:n], err}
 		}
@@ -152,18 +152,18 @@
 }
 
 // read returns the next piece, or false once the target has ended the connection.
-func (r *pieceReader) read(targetEnded <-chan struct{}) (next piece, ok bool) {
-	r.wanted <- struct{}{}
+func (r *pieceReader) read(targetClosed <-chan struct{}) (next piece, ok bool) {
+	r.requests <- struct{}{}
 	select {
 	case next = <-r.pieces:
-	case <-targetEnded:
+	case <-targetClosed:
 	}
 	select {
-	case <-targetEnded: // also where a piece came as well: nobody takes it
+	case <-targetClosed: // also where a piece came as well: nobody takes it
 		return piece{}, false
 	default:
 		return next, true
 	}
 }
 
-func (r *pieceReader) close() { close(r.wanted) }
+func (r *pieceReader) close() { close(r.requests) }
--- a/internal/egress/used_connection_test.go
+++ b/internal/egress/used_connection_test.go
@@ -29,13 +29,13 @@
 type step string
 
 // scriptedConn is a connection to a peer that writes one step for each request, in order, and then nothing more.
-func scriptedConn(t *testing.T, h *history, steps ...step) *conn {
+func scriptedConn(t *testing.T, h *answerStats, steps ...step) *conn {
 	t.Helper()
 	return scriptedConnThen(t, h, staysSilent, steps...)
 }
 
 // scriptedConnThen is scriptedConn whose peer may close the connection behind the last step.
-func scriptedConnThen(t *testing.T, h *history, then ending, steps ...step) *conn {
+func scriptedConnThen(t *testing.T, h *answerStats, then ending, steps ...step) *conn {
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
@@ -71,10 +71,10 @@
 	t.Helper()
 	ctx, cancel := contextFor(t, deadline)
 	defer cancel()
-	c.asked = r.question(repeatOf(r))
+	c.inFlight = r.identity(repeatOf(r))
 	o, reuse = c.roundTrip(ctx, r, nil, func() {}, deadline)
 	if reuse {
-		c.used, c.answered = time.Now(), true
+		c.lastUsed, c.answered = time.Now(), true
 	}
 	return o, reuse
 }
@@ -99,27 +99,27 @@
 
 // knowing is a history that has learned enough for connections to be used for different requests, and that these
 // answers are common.
-func knowing(commons ...string) *history {
-	h := &history{memory: newAnswerMemory()}
-	for i := range learnedFrom {
-		h.memory.learn(fingerprint(1000+i), fingerprint(2000+i), time.Now())
+func knowing(commons ...string) *answerStats {
+	h := &answerStats{tracker: newAnswerTracker()}
+	for i := range baseSamples {
+		h.tracker.record(fingerprint(1000+i), fingerprint(2000+i), time.Now())
 	}
 	for _, body := range commons {
 		for i := range 2 {
-			h.memory.learn(fingerprintOf([]byte(body)), fingerprint(3000+i), time.Now())
+			h.tracker.record(fingerprintOf([]byte(body)), fingerprint(3000+i), time.Now())
 		}
 	}
 	return h
 }
 
 // isCommon tells whether a body is known to be given to different requests.
-func isCommon(h *history, body string) bool {
-	return h.memory.anyCommon([]givenAnswer{{answer: fingerprintOf([]byte(body))}}, time.Now())
+func isCommon(h *answerStats, body string) bool {
+	return h.tracker.anyCommon([]pastAnswer{{answer: fingerprintOf([]byte(body))}}, time.Now())
 }
 
 // goesOn tells whether the target would use the connection for the request, once it has rested.
 func goesOn(c *conn, r *Request) bool {
-	return !c.spent() && newLease(r.question(repeatOf(r))).fits(c)
+	return !c.unusable() && newConnRequest(r.identity(repeatOf(r))).canUse(c)
 }
 
 // wantNoneOf sends the last request on the connection where the target would, and wants none of these answers for it.
@@ -170,7 +170,7 @@
 	})
 	target.warmUp(warmUps)
 	for i := range 2 { // each is the first with its body on its connection
-		target.post(dropIdle{})
+		target.post(closeAllIdle{})
 		target.wantOK("/common", get("/common?"+strconv.Itoa(i)), "ok")
 	}
 	target.wantOK("/one", get("/one"), "ok")
@@ -215,7 +215,7 @@
 
 // Guards against a second answer that comes behind many others being given to the next request.
 func TestSecondAnswerBehindManyIsNotGivenToTheNextRequest(t *testing.T) {
-	for _, behind := range []int{answersGiven, answersGiven + 1} {
+	for _, behind := range []int{maxPastAnswers, maxPastAnswers + 1} {
 		t.Run(strconv.Itoa(behind), func(t *testing.T) {
 			steps := []step{of("of one")}
 			for i := range behind - 1 {
@@ -285,18 +285,18 @@
 // Guards against a failed dial leaving those waiting for whom no idle connection is.
 func TestFailedDialIsToldWhereIdleConnectionsDoNotFit(t *testing.T) {
 	a, c, _ := reused(t)
-	c.used = time.Now().Add(-restMost)
-	a.history.memory = newAnswerMemory() // knows nothing: no connection is used for different requests
+	c.lastUsed = time.Now().Add(-maxReuseDelay)
+	a.stats.tracker = newAnswerTracker() // knows nothing: no connection is used for different requests
 	a.site.permits = make(chan struct{}, 4)
 	a.site.permits <- struct{}{}
 	a.site.Dial = refusesDials
-	next := &lease{got: make(chan *conn, 1), question: question{request: 7}}
+	next := &connRequest{result: make(chan *conn, 1), identity: identity{request: 7}}
 	a.handle(next)
 	if a.dialing != 1 {
 		t.Fatalf("%d dialling", a.dialing)
 	}
 	a.handle(<-a.mailbox) // dialed, in vain
-	if len(next.got) == 0 && a.dialing == 0 && !a.looking {
+	if len(next.result) == 0 && a.dialing == 0 && !a.reuseScheduled {
 		t.Errorf("%d wait, with %d idle that they may not use, and nothing that could end that", len(a.waiting), len(a.idle))
 	}
 }
@@ -306,18 +306,18 @@
 	a, c, _ := reused(t)
 	a.idle = nil // its attempt is out
 	c.Close()
-	a.handle(ended{})
-	a.site.permits = make(chan struct{}, 2*mostDials)
+	a.handle(connClosed{})
+	a.site.permits = make(chan struct{}, 2*maxDials)
 	a.site.Dial = refusesDials
-	var all []*lease
-	for range mostDials + 4 {
-		all = append(all, &lease{got: make(chan *conn, 1)})
+	var all []*connRequest
+	for range maxDials + 4 {
+		all = append(all, &connRequest{result: make(chan *conn, 1)})
 		a.handle(all[len(all)-1])
 	}
 	for a.dialing > 0 {
 		a.handle(<-a.mailbox)
 	}
-	if len(a.waiting) > 0 && !a.looking {
+	if len(a.waiting) > 0 && !a.reuseScheduled {
 		t.Errorf("%d of %d wait, with nothing that could end that but the next sweep", len(a.waiting), len(all))
 	}
 }
@@ -337,11 +337,11 @@
 // Guards against common answers being forgotten behind those that are given once.
 func TestCommonAnswerOutlivesAnswersGivenOnce(t *testing.T) {
 	h := knowing("ok")
-	for i := range answersKept {
-		h.memory.learn(fingerprint(10_000+i), fingerprint(20_000+i), time.Now())
+	for i := range maxTrackedEntries {
+		h.tracker.record(fingerprint(10_000+i), fingerprint(20_000+i), time.Now())
 	}
 	if !isCommon(h, "ok") {
-		t.Errorf("forgotten behind %d answers that were each given once", answersKept)
+		t.Errorf("forgotten behind %d answers that were each given once", maxTrackedEntries)
 	}
 }
 
@@ -350,7 +350,7 @@
 	with := func(user string) *Request {
 		return Encode(http.MethodPost, "/pay", "t", http.Header{"Idempotency-Key": {"1"}, "Authorization": {user}}, []byte("5"), nil)
 	}
-	if with("a").question(control.Keyed).request.is(with("b").question(control.Keyed).request) {
+	if with("a").identity(control.Keyed).request.matches(with("b").identity(control.Keyed).request) {
 		t.Error("they count as one request")
 	}
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -201,7 +201,7 @@
 	return &httputil.ReverseProxy{
 		Rewrite:       func(*httputil.ProxyRequest) {},
 		FlushInterval: -1, // what comes of a long answer goes on at once
-		BufferPool:    egress.Pieces{},
+		BufferPool:    egress.BufferPool{},
 		Transport:     t,
 		ErrorLog:      slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ErrorHandler: func(w http.ResponseWriter, r *http.Request, err error) {
