--- a/internal/egress/answers.go
+++ b/internal/egress/answers.go
@@ -68,88 +68,88 @@
 }
 
 // learned tells whether enough is known of the answers for a connection to be used for different requests.
-func (m *answerTracker) hasEnoughSamples() bool { return m == nil || m.sampled.Load() }
+func (t *answerTracker) hasEnoughSamples() bool { return t == nil || t.sampled.Load() }
 
 // learn takes in an answer that came for the first time on its connection, and tells whether it is common.
-func (m *answerTracker) record(answer, request fingerprint, now time.Time) (common bool) {
-	if m == nil {
+func (t *answerTracker) record(answer, request fingerprint, now time.Time) (common bool) {
+	if t == nil {
 		return false
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.countSample(request)
-	if m.isCommon(answer, now) {
-		m.commonSeen.Add(answer, now)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.countSample(request)
+	if t.isCommon(answer, now) {
+		t.commonSeen.Add(answer, now)
 		return true
 	}
-	first, known := m.unique.Get(answer)
+	first, known := t.unique.Get(answer)
 	switch {
 	case !known:
-		m.unique.Add(answer, request)
+		t.unique.Add(answer, request)
 		return false
 	case first.matches(request):
 		return false
 	}
-	m.markCommon(answer, now)
+	t.markCommon(answer, now)
 	return true
 }
 
 // makeCommon moves an answer to those that are common. m.mu is held.
-func (m *answerTracker) markCommon(answer fingerprint, now time.Time) {
-	m.unique.Remove(answer)
-	m.commonSeen.Add(answer, now)
-	m.changes.Add(1)
+func (t *answerTracker) markCommon(answer fingerprint, now time.Time) {
+	t.unique.Remove(answer)
+	t.commonSeen.Add(answer, now)
+	t.changes.Add(1)
 }
 
 // isCommon tells whether an answer is given to different requests. m.mu is held.
-func (m *answerTracker) isCommon(answer fingerprint, now time.Time) bool {
-	lastSeen, ok := m.commonSeen.Peek(answer)
+func (t *answerTracker) isCommon(answer fingerprint, now time.Time) bool {
+	lastSeen, ok := t.commonSeen.Peek(answer)
 	return ok && now.Sub(lastSeen) <= commonTTL
 }
 
 // count counts the answers learned from, the first ones by their requests, until there are enough. m.mu is held.
-func (m *answerTracker) countSample(request fingerprint) {
-	if m.sampled.Load() || request != 0 && slices.Contains(m.sampledRequests, request) {
+func (t *answerTracker) countSample(request fingerprint) {
+	if t.sampled.Load() || request != 0 && slices.Contains(t.sampledRequests, request) {
 		return
 	}
-	if len(m.sampledRequests) < baseSamples {
-		m.sampledRequests = append(m.sampledRequests, request)
+	if len(t.sampledRequests) < baseSamples {
+		t.sampledRequests = append(t.sampledRequests, request)
 	}
-	if m.samplesLeft--; m.samplesLeft <= 0 {
-		m.sampled.Store(true)
+	if t.samplesLeft--; t.samplesLeft <= 0 {
+		t.sampled.Store(true)
 	}
 }
 
 // drop notes an answer that was taken for another request's, with no other behind it. Unless the target answered twice it
 // gives different requests the same answer, on that resource at least. Where this happens again and again, more and more is
 // learned before connections are used for different requests.
-func (m *answerTracker) recordDrop(answer, resource fingerprint, now time.Time) {
-	if m == nil {
+func (t *answerTracker) recordDrop(answer, resource fingerprint, now time.Time) {
+	if t == nil {
 		return
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.sharedResources.Add(resource, struct{}{})
-	m.markCommon(answer, now)
-	if m.drops++; m.drops > 1 {
-		m.samplesLeft = baseSamples << min(m.drops, maxSampleDoublings)
-		m.sampled.Store(false)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sharedResources.Add(resource, struct{}{})
+	t.markCommon(answer, now)
+	if t.drops++; t.drops > 1 {
+		t.samplesLeft = baseSamples << min(t.drops, maxSampleDoublings)
+		t.sampled.Store(false)
 	}
 }
 
 // anyCommon tells whether one of these answers is common.
-func (m *answerTracker) anyCommon(answers []pastAnswer, now time.Time) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return slices.ContainsFunc(answers, func(a pastAnswer) bool { return m.isCommon(a.answer, now) })
+func (t *answerTracker) anyCommon(answers []pastAnswer, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return slices.ContainsFunc(answers, func(a pastAnswer) bool { return t.isCommon(a.answer, now) })
 }
 
 // isContested tells whether different requests of a resource may have the same answer.
-func (m *answerTracker) mayShareAnswers(resource fingerprint) bool {
-	if m == nil || m.changes.Load() == 0 {
+func (t *answerTracker) mayShareAnswers(resource fingerprint) bool {
+	if t == nil || t.changes.Load() == 0 {
 		return false
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.sharedResources.Contains(resource)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.sharedResources.Contains(resource)
 }
--- a/internal/egress/conn.go
+++ b/internal/egress/conn.go
@@ -71,8 +71,8 @@
 	gaveCommon  bool         // one of given is common
 }
 
-func newConn(nc net.Conn, address string, h *answerStats) *conn {
-	c := &conn{Conn: nc, address: address, readLimit: io.LimitedReader{R: nc}, lastUsed: time.Now(), stats: h}
+func newConn(nc net.Conn, address string, stats *answerStats) *conn {
+	c := &conn{Conn: nc, address: address, readLimit: io.LimitedReader{R: nc}, lastUsed: time.Now(), stats: stats}
 	c.in = bufio.NewReaderSize(&c.readLimit, 4096)
 	return c
 }
@@ -253,9 +253,9 @@
 	if len(resp.TransferEncoding) > 0 {
 		body = availableReader{c.in, body}
 	}
-	g := readPrefix(body)
+	prefix := readPrefix(body)
 	// Danger: a spoilt head. One that nothing ends may never end.
-	whole, complete, err := g.wait(long && (closes || len(resp.TransferEncoding) > 0), c.mayBeDuplicate)
+	whole, complete, err := prefix.wait(long && (closes || len(resp.TransferEncoding) > 0), c.mayBeDuplicate)
 	switch {
 	case err != nil:
 		return nil, err
@@ -264,7 +264,7 @@
 	case !long:
 		return nil, errTooLong
 	default:
-		r.Long = c.newStream(resp, g, MaxLong)
+		r.Long = c.newStream(resp, prefix, MaxLong)
 	}
 	return r, nil
 }
--- a/internal/egress/history.go
+++ b/internal/egress/history.go
@@ -32,7 +32,7 @@
 }
 
 // canRepeat tells whether what is asked may be sent again where its answer was lost.
-func (q identity) repeatable() bool { return q.request != 0 }
+func (id identity) repeatable() bool { return id.request != 0 }
 
 // question tells what r asks. Two requests may have the same answer if they are equal but for their X-Request-ID, and
 // safe, or keyed with the same key.
@@ -79,9 +79,9 @@
 }
 
 // beginsWith tells whether an answer of which some has come may be g again.
-func (g *pastAnswer) mayBecome(partial []byte) bool {
+func (a *pastAnswer) mayBecome(partial []byte) bool {
 	n := min(len(partial), pastAnswerPrefix)
-	return len(partial) <= g.length && bytes.Equal(partial[:n], g.prefix[:n])
+	return len(partial) <= a.length && bytes.Equal(partial[:n], a.prefix[:n])
 }
 
 // ownAnswer tells whether an answer is that to the request that is under way. A target may answer a request twice, the
--- a/internal/egress/long.go
+++ b/internal/egress/long.go
@@ -96,29 +96,29 @@
 }
 
 func readPrefix(body io.Reader) *bodyPrefix {
-	g := &bodyPrefix{body: body, started: make(chan struct{}), done: make(chan struct{})}
-	g.changed = sync.NewCond(&g.mu)
-	go g.run()
-	return g
+	p := &bodyPrefix{body: body, started: make(chan struct{}), done: make(chan struct{})}
+	p.changed = sync.NewCond(&p.mu)
+	go p.run()
+	return p
 }
 
-func (g *bodyPrefix) run() {
-	defer close(g.done)
+func (p *bodyPrefix) run() {
+	defer close(p.done)
 	buffer := BufferPool{}.Get()
 	defer BufferPool{}.Put(buffer)
 	for n, total := 0, 0; ; {
 		var err error
-		n, err = g.body.Read(buffer[:min(bufferSize, MaxBody+1-total)])
+		n, err = p.body.Read(buffer[:min(bufferSize, MaxBody+1-total)])
 		total += n
 		if n > 0 && total == n {
-			close(g.started)
+			close(p.started)
 		}
-		g.mu.Lock()
-		g.buf = append(g.buf, buffer[:n]...)
-		g.complete, g.err = err != nil || total > MaxBody, err
-		complete := g.complete
-		g.changed.Broadcast()
-		g.mu.Unlock()
+		p.mu.Lock()
+		p.buf = append(p.buf, buffer[:n]...)
+		p.complete, p.err = err != nil || total > MaxBody, err
+		complete := p.complete
+		p.changed.Broadcast()
+		p.mu.Unlock()
 		if complete {
 			return
 		}
@@ -127,35 +127,35 @@
 
 // wait returns the body if it ends within MaxBody. One that has not ended is to be read: in a hurry also soon after its
 // first bytes, unless these are to be held.
-func (g *bodyPrefix) wait(streamEarly bool, hold func(first []byte) bool) (body []byte, complete bool, err error) {
+func (p *bodyPrefix) wait(streamEarly bool, hold func(first []byte) bool) (body []byte, complete bool, err error) {
 	select {
-	case <-g.done:
-	case <-g.started:
-		if streamEarly && !g.endsBeforeStreaming(hold) {
+	case <-p.done:
+	case <-p.started:
+		if streamEarly && !p.endsBeforeStreaming(hold) {
 			return nil, false, nil
 		}
-		<-g.done
+		<-p.done
 	}
 	switch {
-	case g.err == io.EOF:
-		return g.buf, true, nil
-	case g.err != nil:
-		return nil, true, g.err
+	case p.err == io.EOF:
+		return p.buf, true, nil
+	case p.err != nil:
+		return nil, true, p.err
 	}
 	return nil, false, nil
 }
 
 // endsBeforeItIsDue tells whether the beginning is in before it is to be passed on: at the first moment, gatherFor from
 // now and then again and again, at which it is not to be held.
-func (g *bodyPrefix) endsBeforeStreaming(hold func(first []byte) bool) bool {
+func (p *bodyPrefix) endsBeforeStreaming(hold func(first []byte) bool) bool {
 	ticker := time.NewTicker(streamAfter)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-g.done:
+		case <-p.done:
 			return true
 		case <-ticker.C:
-			if !hold(g.received()) {
+			if !hold(p.received()) {
 				return false
 			}
 		}
@@ -163,32 +163,32 @@
 }
 
 // soFar is what has come in.
-func (g *bodyPrefix) received() []byte {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.buf
+func (p *bodyPrefix) received() []byte {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.buf
 }
 
 // Read implements io.Reader.
-func (g *bodyPrefix) Read(b []byte) (int, error) {
-	g.mu.Lock()
-	for len(g.buf) == 0 && !g.complete {
-		g.changed.Wait()
+func (p *bodyPrefix) Read(b []byte) (int, error) {
+	p.mu.Lock()
+	for len(p.buf) == 0 && !p.complete {
+		p.changed.Wait()
 	}
-	if len(g.buf) > 0 {
-		n := copy(b, g.buf)
-		if g.buf = g.buf[n:]; len(g.buf) == 0 {
-			g.buf = nil // a stream may last long
+	if len(p.buf) > 0 {
+		n := copy(b, p.buf)
+		if p.buf = p.buf[n:]; len(p.buf) == 0 {
+			p.buf = nil // a stream may last long
 		}
-		g.mu.Unlock()
+		p.mu.Unlock()
 		return n, nil
 	}
-	err := g.err
-	g.mu.Unlock()
+	err := p.err
+	p.mu.Unlock()
 	if err != nil {
 		return 0, err
 	}
-	return g.body.Read(b)
+	return p.body.Read(b)
 }
 
 // paced reads a chunked body without waiting for more than has come. net/http's reader of chunks waits until what it
