--- a/internal/egress/answers.go
+++ b/internal/egress/answers.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	maxTrackedEntries  = 1024             // of a site's answers, and of what is known to be common, and of resources
-	commonTTL          = 10 * time.Minute // that an answer counts as common, from when it was last given
-	baseSamples        = 8                // different requests, after whose answers connections are used for others
-	maxSampleDoublings = 7                // times that learnedFrom is doubled where answers were dropped
+	maxTrackedEntries  = 1024             // entries in each of a tracker's caches
+	commonTTL          = 10 * time.Minute // from the last time that a common answer was given
+	baseSamples        = 8                // distinct requests to record before a connection may carry differing ones
+	maxSampleDoublings = 7                // times that baseSamples is doubled after dropped answers
 )
 
-// fingerprint tells requests, or answers, apart. The zero value is that of none, and equals no other.
+// fingerprint is a hash that identifies a request, a resource or an answer. The zero value stands for none and
+// matches nothing.
 type fingerprint uint64
 
 var fingerprintSeed = maphash.MakeSeed()
@@ -35,22 +36,23 @@
 	return fingerprint(h.Sum64() | 1)
 }
 
-// is tells whether two fingerprints are those of equal things.
+// matches reports whether two fingerprints are set and equal.
 func (f fingerprint) matches(other fingerprint) bool { return f != 0 && f == other }
 
-// answerMemory tells which answers the targets of a site give to different requests. It is safe for use by several
-// goroutines; a nil one knows and learns nothing.
+// answerTracker records which answers the targets of a site give to different requests. An answer that was given
+// to different requests is a common one. The tracker is safe for concurrent use; a nil one records nothing and
+// knows no common answers.
 type answerTracker struct {
-	sampled atomic.Bool   // it has learned enough for connections to be used for different requests
-	changes atomic.Uint64 // how many times an answer became common, or a resource contested
+	sampled atomic.Bool   // enough answers are recorded for a connection to carry differing requests
+	changes atomic.Uint64 // incremented when an answer becomes common or a resource shared
 
 	mu              sync.Mutex
-	unique          *simplelru.LRU[fingerprint, fingerprint] // the request that an answer was given to, alone as far as is known
-	commonSeen      *simplelru.LRU[fingerprint, time.Time]   // when an answer was last given that is given to different requests
-	sharedResources *simplelru.LRU[fingerprint, struct{}]    // resources of answers that were dropped
-	sampledRequests []fingerprint                            // the first that were learned from
-	samplesLeft     int                                      // answers to be learned before it is ready
-	drops           int                                      // answers that were dropped with no other behind them
+	unique          *simplelru.LRU[fingerprint, fingerprint] // the only known request that an answer was given to
+	commonSeen      *simplelru.LRU[fingerprint, time.Time]   // when each common answer was last given
+	sharedResources *simplelru.LRU[fingerprint, struct{}]    // resources of which an answer was dropped
+	sampledRequests []fingerprint                            // the first distinct requests recorded
+	samplesLeft     int                                      // answers still to be recorded until sampled is set
+	drops           int                                      // answers that were dropped with no other following
 }
 
 func newAnswerTracker() *answerTracker {
@@ -63,14 +65,14 @@
 }
 
 func newLRU[V any](size int) *simplelru.LRU[fingerprint, V] {
-	lru, _ := simplelru.NewLRU[fingerprint, V](size, nil) // fails only for a size under 1
+	lru, _ := simplelru.NewLRU[fingerprint, V](size, nil) // fails only for a size below 1
 	return lru
 }
 
-// learned tells whether enough is known of the answers for a connection to be used for different requests.
+// hasEnoughSamples reports whether enough answers are recorded for a connection to carry differing requests.
 func (t *answerTracker) hasEnoughSamples() bool { return t == nil || t.sampled.Load() }
 
-// learn takes in an answer that came for the first time on its connection, and tells whether it is common.
+// record adds an answer that came for the first time on its connection, and reports whether it is common.
 func (t *answerTracker) record(answer, request fingerprint, now time.Time) (common bool) {
 	if t == nil {
 		return false
@@ -94,20 +96,22 @@
 	return true
 }
 
-// makeCommon moves an answer to those that are common. m.mu is held.
+// markCommon marks an answer as given to different requests. The caller holds t.mu.
 func (t *answerTracker) markCommon(answer fingerprint, now time.Time) {
 	t.unique.Remove(answer)
 	t.commonSeen.Add(answer, now)
 	t.changes.Add(1)
 }
 
-// isCommon tells whether an answer is given to different requests. m.mu is held.
+// isCommon reports whether an answer is given to different requests, the last time within commonTTL. The caller
+// holds t.mu.
 func (t *answerTracker) isCommon(answer fingerprint, now time.Time) bool {
 	lastSeen, ok := t.commonSeen.Peek(answer)
 	return ok && now.Sub(lastSeen) <= commonTTL
 }
 
-// count counts the answers learned from, the first ones by their requests, until there are enough. m.mu is held.
+// countSample counts a recorded answer until there are enough. Further answers to one of the sampled requests do
+// not count. The caller holds t.mu.
 func (t *answerTracker) countSample(request fingerprint) {
 	if t.sampled.Load() || request != 0 && slices.Contains(t.sampledRequests, request) {
 		return
@@ -120,9 +124,10 @@
 	}
 }
 
-// drop notes an answer that was taken for another request's, with no other behind it. Unless the target answered twice it
-// gives different requests the same answer, on that resource at least. Where this happens again and again, more and more is
-// learned before connections are used for different requests.
+// recordDrop records an answer that was taken for another request's and dropped, with no other answer following.
+// Unless the target answered twice, it gives different requests the same answer, at least on that resource. If
+// this happens repeatedly, a growing number of answers must be recorded before connections carry differing
+// requests again.
 func (t *answerTracker) recordDrop(answer, resource fingerprint, now time.Time) {
 	if t == nil {
 		return
@@ -137,14 +142,14 @@
 	}
 }
 
-// anyCommon tells whether one of these answers is common.
+// anyCommon reports whether one of these answers is common.
 func (t *answerTracker) anyCommon(answers []pastAnswer, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.ContainsFunc(answers, func(a pastAnswer) bool { return t.isCommon(a.answer, now) })
 }
 
-// isContested tells whether different requests of a resource may have the same answer.
+// mayShareAnswers reports whether different requests of a resource may have the same answer.
 func (t *answerTracker) mayShareAnswers(resource fingerprint) bool {
 	if t == nil || t.changes.Load() == 0 {
 		return false
--- a/internal/egress/attempt.go
+++ b/internal/egress/attempt.go
@@ -8,13 +8,13 @@
 	"junctionring/internal/core"
 )
 
-// attempt carries one attempt out, in its own goroutine.
+// attempt carries out one attempt and reports its outcome. It runs in its own goroutine.
 func (t *target) attempt(a core.Attempt) {
 	a.Report(t.exchange(a))
 }
 
-// tooLate tells whether an attempt is over as its connection comes: nothing goes out that nobody wants, or that might
-// run a second time.
+// overBeforeSend reports whether an attempt is over when its connection is ready, and its status. Nothing is sent
+// that nobody waits for, or that might run a second time.
 func overBeforeSend(a core.Attempt) (control.Status, bool) {
 	select {
 	case <-a.Over:
@@ -32,22 +32,24 @@
 	return 0, false
 }
 
-// newLease asks for a connection for a request. One that can't be sent again goes out on an unused connection: its answer
-// would be lost on one that gave the same before, where it could not be told from a second one to that request.
+// newConnRequest returns the request for a connection for a message. A message that cannot be sent again goes out
+// on an unused connection: on one that has carried an equal answer, its own answer could not be told from a
+// duplicate of the earlier one, and would be lost.
 func newConnRequest(id identity) *connRequest {
 	return &connRequest{result: make(chan *conn, 1), identity: id, unusedOnly: !id.repeatable()}
 }
 
-// awaitConn waits for a connection for an attempt. Without one nothing was sent, and status is how the attempt ended.
+// awaitConn waits for a connection for an attempt. If it returns none, nothing was sent, and status is how the
+// attempt ended.
 func (t *target) awaitConn(a core.Attempt, req *connRequest) (c *conn, status control.Status) {
 	if !t.post(req) {
 		return nil, control.ConnectFailed
 	}
 	select {
 	case c = <-req.result:
-	case <-t.ctx.Done(): // it has left the list
+	case <-t.ctx.Done(): // the target has left the route table
 		return nil, control.ConnectFailed
-	case <-a.Over: // also where an attempt that is out may not be called off
+	case <-a.Over: // nothing was sent, so this holds even where sent attempts may not be cancelled
 		t.post(cancelConnRequest{req})
 		return nil, control.Cancelled
 	case <-a.Ctx.Done():
@@ -67,7 +69,7 @@
 	return c, 0
 }
 
-// exchange carries an attempt out but for its report; its payload is a *Request.
+// exchange carries out an attempt without reporting its outcome. The attempt's payload is a *Request.
 func (t *target) exchange(a core.Attempt) core.Outcome {
 	r := a.Payload.(*Request)
 	req := newConnRequest(r.identity(a.Repeat))
@@ -80,7 +82,7 @@
 	o, reuse := c.roundTrip(a.Ctx, r, t.site.LoadFields, a.Whole, a.Wait)
 	c.answerTime = o.Waited
 	if reply, ok := o.Reply.(*Reply); ok && reply.Long != nil {
-		reply.Long.finish = func(reuse bool) { t.releaseConn(c, reuse) } // the connection is in use until then
+		reply.Long.finish = func(reuse bool) { t.releaseConn(c, reuse) } // the connection is in use until the stream ends
 		return o
 	}
 	if reuse {
@@ -96,8 +98,8 @@
 	return o
 }
 
-// giveBack returns a connection to the target after an attempt, or closes it where it is of no more use. reuse: its answer came
-// whole, and bars no further use of it.
+// releaseConn returns a connection to the target after an attempt, or closes it if it can serve no further
+// request. reuse tells that the answer came whole and does not rule out further use.
 func (t *target) releaseConn(c *conn, reuse bool) {
 	if reuse && !c.unsolicited && !c.unusable() {
 		c.lastUsed, c.answered = time.Now(), true
--- a/internal/egress/conn.go
+++ b/internal/egress/conn.go
@@ -19,56 +19,56 @@
 	"junctionring/internal/socket"
 )
 
-// MaxBody is the most that a body may hold that is taken in whole, either way.
+// MaxBody is the maximum size in bytes of a request or answer body that is held in memory whole.
 const MaxBody = 64 << 10
 
-const maxHeadBytes = 16 << 10 // bytes of an answer's head, with all 1xx answers in front
+const maxHeadBytes = 16 << 10 // of an answer's head, including all 1xx answers before it
 
-// Request is an exchange's message to its egress target, encoded once; only the time that is left is
-// written anew for each attempt.
+// Request is an exchange's message to its egress target, encoded once; only the remaining time is written anew for
+// each attempt.
 type Request struct {
 	Method string
-	Head   []byte // request line and headers, without X-Timeout and the empty line
+	Head   []byte // request line and headers, without X-Timeout and the final empty line
 	Body   []byte
-	Rest   *Upload // what follows Body as it comes in; nil: nothing
+	Rest   *Upload // the part of the body after Body, which is still coming in; nil: none
 
-	Key      string // its Idempotency-Key; empty: none
-	Customer uint64 // who asks
+	Key      string // the Idempotency-Key; empty: none
+	Customer uint64 // that the message is sent for
 }
 
-// Reply is a peer's answer: whole, or with a body that is still to come.
+// Reply is a target's answer: whole, or with a body that is still to come.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	Long   *Stream // instead of Body
-	Length int64   // of Long; -1: not known
+	Long   *Stream // streamed body, instead of Body
+	Length int64   // of Long in bytes; -1: unknown
 }
 
-// conn is one connection to a target; one attempt at a time travels on it. It does not send anything by
-// itself: net/http's Transport would write a request again on a fresh connection, unseen by the core, which
-// could put two attempts out.
+// conn is one connection to a target; it carries one attempt at a time. It sends nothing by itself: net/http's
+// Transport would write a request again on a new connection without the core's knowledge, which could put two
+// attempts out.
 type conn struct {
 	net.Conn
 	address        string
-	resetOnAbandon bool             // giving up resets it
-	readLimit      io.LimitedReader // what may still be read of the present answer: some never end
+	resetOnAbandon bool             // abandon resets the connection instead of closing it
+	readLimit      io.LimitedReader // bounds what is still read of the present answer: some never end
 	in             *bufio.Reader
 	lastUsed       time.Time
-	answered       bool          // it has been used
-	answerTime     time.Duration // for the last answer
+	answered       bool          // a request was answered on it
+	answerTime     time.Duration // from the last request to its answer
 
-	inFlight    identity // by the request that is under way
-	unsolicited bool     // something came on it that nobody had asked for
-	replace     bool     // it could be used again but for what its last answer was: another is to be opened
-	gotAnswer   bool     // an answer came while this request was under way
+	inFlight    identity // the request under way
+	unsolicited bool     // bytes came on it that no request had asked for
+	replace     bool     // only its last answer's status rules out further use: another connection is to be opened
+	gotAnswer   bool     // an answer came while the present request was under way
 
 	stats       *answerStats // shared with the target's other connections
-	pastAnswers []pastAnswer // the different answers that came on it
-	onlyRequest fingerprint  // of all requests that were answered on it, if they are equal
-	equalOnly   bool         // only such requests may have what comes on it
-	changesSeen uint64       // history.memory.changes as gaveCommon was found
-	gaveCommon  bool         // one of given is common
+	pastAnswers []pastAnswer // the distinct answers that came on it
+	onlyRequest fingerprint  // of all requests that were answered on it, if they are equal; zero: they differ
+	equalOnly   bool         // only requests equal to onlyRequest may be sent on it
+	changesSeen uint64       // stats.tracker.changes when gaveCommon was determined
+	gaveCommon  bool         // one of pastAnswers is common
 }
 
 func newConn(nc net.Conn, address string, stats *answerStats) *conn {
@@ -77,11 +77,11 @@
 	return c
 }
 
-// alive looks whether the target has closed an idle connection (or written to it unasked) without waiting.
-// A request written to a closed one would end as a reset, which may have run.
+// alive reports, without waiting, whether an idle connection is open and has nothing to be read on it. A request
+// written to a connection that the target has closed would end as a reset, and so count as possibly run.
 func (c *conn) alive() bool { return socket.Quiet(c.Conn) }
 
-// giveUp ends the wait for an answer: giving up is closing.
+// abandon ends the wait for an answer by closing the connection.
 func (c *conn) abandon() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && c.resetOnAbandon {
 		tcp.SetLinger(0)
@@ -89,12 +89,13 @@
 	c.Close()
 }
 
-// roundTrip writes the request, whose question is c.asked, and reads the whole answer. The connection may be used again if
-// reuse.
+// roundTrip writes the request, whose identity is c.inFlight, and reads the whole answer. reuse reports whether
+// the connection may be used again.
 //
-// Of a message that is still coming in, whole is called when it has gone out, and the answer is waited for as long
-// as wait from then on.
-func (c *conn) roundTrip(ctx context.Context, r *Request, fields []string, onWritten func(), wait time.Duration) (o core.Outcome, reuse bool) {
+// For a message whose body is still coming in, onWritten is called once the message is written, and the answer is
+// awaited for at most wait from then on.
+func (c *conn) roundTrip(ctx context.Context, r *Request, fields []string, onWritten func(),
+	wait time.Duration) (o core.Outcome, reuse bool) {
 	c.gotAnswer = false
 	stop := context.AfterFunc(ctx, c.abandon)
 	defer func() { stop() }()
@@ -127,14 +128,14 @@
 		if ctx.Err() == context.Canceled {
 			return core.Outcome{Status: control.Cancelled}, false
 		}
-		return core.Outcome{Status: control.ConnectFailed}, false // the last byte never went out
+		return core.Outcome{Status: control.ConnectFailed}, false // the last byte was never sent
 	}
 	o, reuse = c.readOwnAnswer(ctx, r, fields)
 	o.Written = true
-	if reply, ok := o.Reply.(*Reply); ok && reply.Long != nil && !stop() { // given up as it began
+	if reply, ok := o.Reply.(*Reply); ok && reply.Long != nil && !stop() { // abandoned just as the stream began
 		return core.Outcome{Status: control.Reset, Written: true}, false
 	}
-	if o.Status == control.Reset && ctx.Err() != nil { // closed by us
+	if o.Status == control.Reset && ctx.Err() != nil { // closed by abandon
 		o.Status = control.Timeout
 		if ctx.Err() == context.Canceled {
 			o.Status = control.Cancelled
@@ -143,7 +144,7 @@
 	return o, reuse && stop()
 }
 
-// readOwn reads answers up to the request's own. Those of other requests are dropped.
+// readOwnAnswer reads answers up to the request's own. Those of other requests are dropped.
 func (c *conn) readOwnAnswer(ctx context.Context, r *Request, fields []string) (o core.Outcome, reuse bool) {
 	for written := time.Now(); ; {
 		var waited time.Duration
@@ -158,7 +159,7 @@
 			return o, false
 		}
 		if reply.Long != nil {
-			c.equalOnly = true // nothing of it is kept to compare
+			c.equalOnly = true // a streamed body is not kept for comparison
 			c.markAnswered()
 			return o, reuse
 		}
@@ -175,9 +176,9 @@
 	}
 }
 
-// read takes the whole answer in, if it is not a long one, before anything of it is passed on: a cut or spoilt one
-// is a reset, and may be repeated where the class permits it, instead of reaching the client as half an answer.
-// Where something lies behind the answer the connection is not used again.
+// readAnswer reads the whole answer, unless it is a long one, before any of it is passed on: a truncated or
+// malformed answer is a reset, and may be repeated where the class permits it, instead of reaching the client as
+// half an answer. If bytes follow the answer, the connection is not used again.
 func (c *conn) readAnswer(method string, fields []string) (o core.Outcome, reuse bool) {
 	reset := core.Outcome{Status: control.Reset}
 	c.readLimit.N = maxHeadBytes
@@ -185,7 +186,7 @@
 	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
 	for err == nil && resp.StatusCode < http.StatusOK && resp.StatusCode != http.StatusSwitchingProtocols {
 		closes = c.announcesClose()
-		resp, err = http.ReadResponse(c.in, &http.Request{Method: method}) // 1xx: the answer is still to come
+		resp, err = http.ReadResponse(c.in, &http.Request{Method: method}) // 1xx: the final answer is still to come
 	}
 	if err != nil {
 		return reset, false
@@ -205,15 +206,15 @@
 	default:
 		o.Status = control.Error
 	}
-	// A target may answer twice. A second refusal has no body to know it by, and taken for the next request's answer it
-	// would say that this one never ran. Of a long answer its stream tells.
+	// A target may answer twice. A duplicate refusal has no body to recognize it by, and taken for the next
+	// request's answer it would say that this request never ran. For a long answer, its stream decides on reuse.
 	keepAlive := reply.Long == nil && !resp.Close && c.in.Buffered() == 0
 	c.replace = keepAlive && o.Status != control.OK
 	return o, keepAlive && !c.replace
 }
 
-// saysClose tells whether the next answer's head says that its connection closes. http.ReadResponse takes that word
-// out, and says the same of an answer that nothing ends.
+// announcesClose reports whether the next answer's head says that the connection will be closed. http.ReadResponse
+// removes that header, and also sets Close for an answer whose end nothing marks.
 func (c *conn) announcesClose() bool {
 	for n := 1; n <= c.in.Size(); {
 		if _, err := c.in.Peek(n); err != nil {
@@ -230,8 +231,8 @@
 
 var closeHeader = regexp.MustCompile(`(?i)\r\nconnection:[^\r]*\bclose\b[^\r]*\r\n`)
 
-// readBody takes a body in whole, but for a long one of a good answer: that is passed on as it comes, with its first
-// bytes at once. One whose length is not said is taken for long when it is, or when it is slow to come.
+// readBody reads a whole body, except for a long one of an OK answer: that is streamed as it comes, its first
+// bytes at once. A body of unknown length counts as long if it exceeds MaxBody or is slow to come.
 func (c *conn) readBody(resp *http.Response, closes bool) (*Reply, error) {
 	r := &Reply{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength}
 	long := resp.StatusCode == http.StatusOK
@@ -254,7 +255,7 @@
 		body = availableReader{c.in, body}
 	}
 	prefix := readPrefix(body)
-	// Danger: a spoilt head. One that nothing ends may never end.
+	// Danger: a malformed head. A body whose end nothing marks may never end.
 	whole, complete, err := prefix.wait(long && (closes || len(resp.TransferEncoding) > 0), c.mayBeDuplicate)
 	switch {
 	case err != nil:
@@ -269,13 +270,13 @@
 	return r, nil
 }
 
-// loadNames tells how the settings' names of a load report's fields stand in the report itself.
+// loadReportKeys maps the settings' names of load fields to their keys in a load report.
 var loadReportKeys = map[string]string{
 	"rif": "inflight", "q": "queue", "busy": "util", "lat_ms": "latency_ms", "rate": "qps", "fail_rate": "eps",
 }
 
-// decodeLoad reads a load report. One that cannot be read whole is none: a field taken for 0 would make the
-// target look idle.
+// decodeLoad parses a load report. One that cannot be read completely yields none: a field taken for 0 would make
+// the target look idle.
 func decodeLoad(text string, fields []string) []float64 {
 	if text == "" || len(fields) == 0 || !gjson.Valid(text) {
 		return nil
--- a/internal/egress/dial.go
+++ b/internal/egress/dial.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	maxDials     = 8  // connections that are opened at once to one target: a burst must not be a storm of handshakes
-	maxConns     = 64 // to one target
-	usedIdleKept = 1  // idle connections that have been used, where others are opened
+	maxDials     = 8  // connections opened at once to one target: a burst of requests must not flood it with handshakes
+	maxConns     = 64 // open to one target
+	usedIdleKept = 1  // used idle connections that are kept when another is opened
 
-	// A dial is overdue after this share of the time that it may take, and this many times what dials take.
+	// A dial is overdue after ConnectTimeout / overdueDivisor, or overdueFactor times the average dial time if
+	// that is longer.
 	overdueDivisor  = 10
 	overdueFactor   = 2
-	dialTimeSamples = 8 // dials, for the time that they take
-	maxDialsPerConn = 3 // at once for one connection, where those before are overdue
+	dialTimeSamples = 8 // dials over which the dial time is averaged
+	maxDialsPerConn = 3 // at once for one connection, if the earlier ones are overdue
 )
 
-// dial opens connections for those that wait, where none that rests will do soon, and those that are to rest warm,
-// within the bounds. One that failed is not tried again for the sake of warmth before the next sweep.
+// dial opens connections for waiting requests that no idle connection can soon serve, and those that are to be
+// kept warm, within the limits. After a failed dial none is opened for warmth until the next sweep.
 func (t *target) dial() {
 	warm, needed := 0, t.connsNeeded()
 	if t.suspectsDuplicates() {
@@ -34,22 +35,25 @@
 	for t.ready && t.dialing < needed+warm && (t.dialOne() || t.dialing < needed && t.dialReplacingUnsuitable()) {
 	}
 	if t.open == 0 {
-		t.failWaiting() // no permit, and no connection that could come back
+		t.failWaiting() // no permit is left, and there is no connection that could be released
 	}
 }
 
-// refuseOne tells one of those that wait that it could not connect, as a dial has failed: the first that no connection
-// at rest or being opened is for.
+// failOne tells a waiting request that it could not connect, after a failed dial, unless the connections being
+// opened are enough for all that wait. It picks the first request that can use none of the idle connections.
 func (t *target) failOne() {
 	if t.connsNeeded() <= t.dialing {
 		return
 	}
-	i := max(0, slices.IndexFunc(t.waiting, func(req *connRequest) bool { return !slices.ContainsFunc(t.idle, req.canUse) }))
+	i := max(0, slices.IndexFunc(t.waiting, func(req *connRequest) bool {
+		return !slices.ContainsFunc(t.idle, req.canUse)
+	}))
 	t.waiting[i].result <- nil
 	t.waiting = slices.Delete(t.waiting, i, i+1)
 }
 
-// wanted is how many connections those that wait find too few at rest, up to those that may be opened at once.
+// connsNeeded is how many connections the waiting requests need beyond the idle ones, up to the number that may be
+// opened at once. While the target is suspected of duplicate answers, each waiting request needs one.
 func (t *target) connsNeeded() int {
 	if t.suspectsDuplicates() {
 		return len(t.waiting)
@@ -73,7 +77,7 @@
 	return needed
 }
 
-// unusedIdle is how many idle connections are unused.
+// unusedIdle is the number of idle connections that are unused.
 func (t *target) unusedIdle() int {
 	unused := 0
 	for _, c := range t.idle {
@@ -84,8 +88,8 @@
 	return unused
 }
 
-// dialOne opens a connection, in the place of a used one that is not needed, else if the bounds allow one more. Each request
-// that must have an unused connection leaves a used one behind, and a target holds only so many.
+// dialOne opens a connection, in place of a used one that is not needed, else if the limits allow one more. Each
+// request that needs an unused connection leaves a used one behind, and a target holds only so many.
 func (t *target) dialOne() bool {
 	if t.dialing >= maxDials {
 		return false
@@ -101,8 +105,8 @@
 	return true
 }
 
-// unneeded is the place of the used idle connection that has rested longest and that nobody waits for, or -1: another
-// used one rests for the requests to come.
+// surplusUsed is the index of the used connection that has been idle longest and that no waiting request can use,
+// or -1. usedIdleKept others stay idle for the requests to come.
 func (t *target) surplusUsed() int {
 	if len(t.idle)-t.unusedIdle() <= usedIdleKept {
 		return -1
@@ -110,8 +114,8 @@
 	return slices.IndexFunc(t.idle, func(c *conn) bool { return c.answered && !t.hasWaiter(c) })
 }
 
-// dialInPlaceOfUnfit opens a connection in the place of an idle one that none of those that wait may use. It returns
-// false where there is none, or where it would not help.
+// dialReplacingUnsuitable opens a connection in place of an idle one that no waiting request can use. It returns
+// false if there is none, or if enough dials are under way.
 func (t *target) dialReplacingUnsuitable() bool {
 	if t.dialing >= maxDials {
 		return false
@@ -124,20 +128,20 @@
 	return true
 }
 
-// dialInPlaceOf closes the idle connection at a place, and opens another with its permit.
+// replaceIdle closes the idle connection with index i, and opens another with its permit.
 func (t *target) replaceIdle(i int) {
 	t.idle[i].Close()
 	t.idle = slices.Delete(t.idle, i, i+1)
 	t.startOpening()
 }
 
-// beginOpening opens a connection for which a permit has been taken.
+// startOpening opens a connection, for which the caller has a permit.
 func (t *target) startOpening() {
 	t.dialing++
 	t.startDial(&opening{deadline: time.Now().Add(t.site.ConnectTimeout)})
 }
 
-// acquire takes one of the site's permits, if there is one left.
+// acquirePermit takes one of the site's permits, if one is left.
 func (t *target) acquirePermit() bool {
 	select {
 	case t.site.permits <- struct{}{}:
@@ -148,26 +152,26 @@
 	}
 }
 
-// opening is a connection that is being opened, by more than one dial where one is overdue. It belongs to the actor.
+// opening is a connection being opened, by more than one dial if one is overdue. Only the actor uses it.
 type opening struct {
 	deadline  time.Time // for all its dials
 	dials     int       // under way
-	connected bool      // one of them came up
+	connected bool      // one of the dials succeeded
 }
 
-// begin begins a dial, for which a permit has been taken.
+// startDial starts a dial, for which the caller has a permit.
 func (t *target) startDial(o *opening) {
 	o.dials++
 	t.dials++
 	go t.connect(o, t.address, o.deadline, t.overdueAfter())
 }
 
-// overdueAfter is how long a dial takes until it is overdue.
+// overdueAfter is the duration after which a dial is overdue.
 func (t *target) overdueAfter() time.Duration {
 	return max(t.site.ConnectTimeout/overdueDivisor, overdueFactor*t.dialTime)
 }
 
-// connect carries a dial out, in a goroutine of its own, and tells the actor when it is overdue, and how it ended.
+// connect dials, in its own goroutine, and tells the actor when the dial is overdue and how it ended.
 func (t *target) connect(o *opening, address string, deadline time.Time, overdueAfter time.Duration) {
 	ctx, cancel := context.WithDeadline(t.ctx, deadline)
 	defer cancel()
@@ -182,8 +186,8 @@
 	t.post(dialResult{o, c, time.Since(started)})
 }
 
-// connectAgainIfReset tries once more where a connection is reset as it comes up: nothing was sent on it, and it says little
-// of the target. One whose process has gone refuses the next one, too.
+// connectWithResetRetry dials once more if a connection is reset while it is being established: nothing was sent
+// on it, and one reset says little about the target. A target whose process is gone refuses the second dial, too.
 func (t *target) connectWithResetRetry(ctx context.Context, address string) (net.Conn, error) {
 	nc, err := t.site.connect(ctx, "tcp", address)
 	if errors.Is(err, syscall.ECONNRESET) {
@@ -192,8 +196,8 @@
 	return nc, err
 }
 
-// dialBeside begins a further dial beside one that is overdue, where somebody waits: one that comes up late may outlast the
-// time that it has. All have the same deadline, so that nobody waits for longer.
+// startParallelDial starts a further dial beside an overdue one, if a request waits: an overdue dial may not
+// succeed before its deadline. All dials of an opening have the same deadline, so that no request waits longer.
 func (t *target) startParallelDial(o *opening) {
 	if o.connected || o.dials == 0 || o.dials >= maxDialsPerConn || t.dials >= maxDials || t.open >= maxConns {
 		return
@@ -203,7 +207,8 @@
 	}
 }
 
-// dialEnded takes in a connection that has come up. Where none of an opening's dials did it tells one of those that wait.
+// handleDialResult takes a new connection into use. If all dials of an opening have failed, it tells a waiting
+// request.
 func (t *target) handleDialResult(d dialResult) {
 	d.opening.dials--
 	t.dials--
@@ -224,7 +229,7 @@
 	t.putIdle(d.c)
 }
 
-// openingFailed ends an opening none of whose dials came up, or is still under way.
+// openingFailed ends an opening, unless one of its dials succeeded or is still under way.
 func (t *target) openingFailed(o *opening) {
 	if o.connected || o.dials > 0 {
 		return
@@ -234,12 +239,13 @@
 	t.failOne()
 }
 
-// makeRoomForFirst opens a connection in the place of an idle one where the first of those that wait may use none, and no
-// further one can be opened for it: else it could be passed over for ever.
+// replaceIdleForFirst opens a connection in place of an idle one if the first waiting request can use none of the
+// idle ones and the limits allow no further connection: later requests could otherwise overtake it forever.
 func (t *target) replaceIdleForFirst() {
 	atLimit := t.open >= maxConns || len(t.site.permits) == cap(t.site.permits)
-	if len(t.waiting) == 0 || len(t.idle) == 0 || t.dialing > 0 || !atLimit || slices.ContainsFunc(t.idle, t.waiting[0].canUse) {
+	if len(t.waiting) == 0 || len(t.idle) == 0 || t.dialing > 0 || !atLimit ||
+		slices.ContainsFunc(t.idle, t.waiting[0].canUse) {
 		return
 	}
-	t.replaceIdle(0) // the one that has rested longest
+	t.replaceIdle(0) // the one that has been idle longest
 }
--- a/internal/egress/egress.go
+++ b/internal/egress/egress.go
@@ -1,5 +1,6 @@
-// Package egress carries attempts to the egress targets: a RoundTripper for httputil.ReverseProxy that hands
-// each exchange to the core, and an actor for each target that owns its connections.
+// Package egress sends attempts to the egress targets: a RoundTripper for httputil.ReverseProxy hands each
+// exchange to the core, and an actor for each target owns its connections. It neither chooses targets nor repeats
+// requests by itself: the core does.
 package egress
 
 import (
@@ -16,13 +17,13 @@
 	"junctionring/internal/core"
 )
 
-// Fleet is all egress targets. Its methods are called from the core's goroutine only, and never block.
+// Fleet holds all egress targets. Its methods are called from the core's goroutine only, and never block.
 type Fleet struct {
-	sites   []*site // the first also for targets of no known site
+	sites   []*site // the first one also serves targets of an unknown site
 	targets map[string]*entry
 }
 
-// site is what the targets of one site share.
+// site holds what the targets of one site share.
 type site struct {
 	Options
 	permits chan struct{}
@@ -41,8 +42,8 @@
 	route route
 }
 
-// NewFleet makes an empty fleet. Where there are sites each has options of its own, and descriptors: what
-// hangs over a link to one takes none from another.
+// NewFleet returns a fleet without targets. Each site has its own options and its own limit on connections, so
+// that connections hanging on the link to one site take no descriptors from another.
 func NewFleet(bySite ...Options) *Fleet {
 	f := &Fleet{targets: map[string]*entry{}}
 	for _, o := range bySite {
@@ -65,7 +66,7 @@
 			s = f.sites[m.Site]
 		}
 		e := f.targets[m.Server]
-		if e != nil && e.site != s { // it moved
+		if e != nil && e.site != s { // the target moved to another site
 			f.remove(m.Server)
 			e = nil
 		}
@@ -81,7 +82,7 @@
 			e.send(r)
 		}
 	}
-	if table.Kind != control.Delta { // a whole list: what it does not name is gone
+	if table.Kind != control.Delta { // a complete table: targets that it does not list are gone
 		for id := range f.targets {
 			if !listed[id] {
 				f.remove(id)
@@ -97,7 +98,7 @@
 	}
 }
 
-// tell hands a message to the actor without waiting for it.
+// send posts a message to the actor without waiting for it.
 func (e *entry) send(m any) {
 	select {
 	case e.mailbox <- m:
@@ -152,28 +153,30 @@
 
 type exchangeKey struct{}
 
-// carried is what rides through httputil.ReverseProxy in a request's context.
+// carriedExchange is what a request's context carries through httputil.ReverseProxy.
 type carriedExchange struct {
-	target   string // of the request, as it came: httputil.ReverseProxy writes some queries anew
+	target   string // request target as received: httputil.ReverseProxy rewrites some queries
 	exchange *core.Exchange
 	body     []byte
 	upload   *Upload
 	onAnswer func(core.Answer)
 }
 
-// WithExchange returns a request that carries its exchange through httputil.ReverseProxy to the RoundTripper.
-// rest is what of its body follows; ended is told the final answer before the client is; both may be nil.
-func WithExchange(r *http.Request, x *core.Exchange, body []byte, rest *Upload, onAnswer func(core.Answer)) *http.Request {
+// WithExchange returns a request that carries its exchange through httputil.ReverseProxy to the RoundTripper. rest
+// is the part of the body that follows; onAnswer gets the final answer before the client does; both may be nil.
+func WithExchange(r *http.Request, x *core.Exchange, body []byte, rest *Upload,
+	onAnswer func(core.Answer)) *http.Request {
 	if rest != nil {
 		x.Arriving, x.Spent = true, rest.Spent
 	}
-	return r.WithContext(context.WithValue(r.Context(), exchangeKey{}, &carriedExchange{r.RequestURI, x, body, rest, onAnswer}))
+	return r.WithContext(context.WithValue(r.Context(), exchangeKey{},
+		&carriedExchange{r.RequestURI, x, body, rest, onAnswer}))
 }
 
-// RoundTripper has the core decide and carry out the exchange that a request holds.
+// RoundTripper has the core decide and carry out the exchange that a request carries.
 type RoundTripper struct {
 	Core       *core.Core
-	RetryAfter func(time.Duration) string // words a wait for the front's clients
+	RetryAfter func(time.Duration) string // formats a wait for the front's clients
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -219,13 +222,13 @@
 	return resp, nil
 }
 
-// Encode writes a message once, for all attempts.
+// Encode encodes a message once, for all attempts.
 func Encode(method, uri, host string, h http.Header, body []byte, rest *Upload) *Request {
 	var b bytes.Buffer
 	b.WriteString(method + " " + uri + " HTTP/1.1\r\nHost: " + host + "\r\n")
 	h = h.Clone()
 	h.Del("X-Timeout")
-	h.Del("Expect") // answered here: the body has come in whole
+	h.Del("Expect") // answered by the gateway, as the body has come in
 	h.Del("Content-Length")
 	h.Del("Transfer-Encoding")
 	switch {
@@ -236,14 +239,14 @@
 	case len(body) > 0 || method == http.MethodPost:
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	h.Write(&b) // into memory: it does not fail
+	h.Write(&b) // writing to memory does not fail
 	return &Request{Method: method, Head: b.Bytes(), Body: body, Rest: rest, Key: h.Get("Idempotency-Key")}
 }
 
-// DecimalSeconds words a wait as the platform's clients read it.
+// DecimalSeconds formats a wait as the platform's clients read it: seconds with three decimals.
 func DecimalSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// WholeSeconds words a wait as HTTP at large does, rounded up.
+// WholeSeconds formats a wait as HTTP specifies it: whole seconds, rounded up.
 func WholeSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
--- a/internal/egress/history.go
+++ b/internal/egress/history.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	minOwnAnswerWait    = 50 * time.Millisecond // that a request's own answer is waited for behind another's, at the least
-	ownAnswerWaitFactor = 8                     // or this many times as long as answers take
-	maxPastAnswers      = 128                   // different answers on a connection, after which it is not used again
-	pastAnswerPrefix    = 16                    // bytes of each of them
+	minOwnAnswerWait    = 50 * time.Millisecond // minimum wait for a request's own answer after another request's
+	ownAnswerWaitFactor = 8                     // or this many times the average answer time, if longer
+	maxPastAnswers      = 128                   // distinct answers, after which a connection carries no differing request
+	pastAnswerPrefix    = 16                    // bytes kept of each of them
 )
 
-// history is what the connections of one target share about its answers.
+// answerStats holds what the connections of one target share about its answers.
 type answerStats struct {
-	meanTime atomic.Int64   // nanoseconds that an answer takes
-	tracker  *answerTracker // of the target's site; nil: none
+	meanTime atomic.Int64   // average nanoseconds that an answer takes
+	tracker  *answerTracker // of the target's site; may be nil
 }
 
-// question is what is asked of a target, as far as answers depend on it.
+// identity identifies what a request asks of a target, as far as the answer depends on it.
 type identity struct {
-	request  fingerprint // equal for requests that may have the same answer; zero: no other may, as it can't be sent again
-	resource fingerprint // equal for safe requests that differ in their headers alone, and for others with one path
+	request  fingerprint // equal for requests that may have the same answer; zero: none may, as it can't be sent again
+	resource fingerprint // equal for safe requests that differ only in headers, and for others with the same path
 }
 
-// canRepeat tells whether what is asked may be sent again where its answer was lost.
+// repeatable reports whether the request may be sent again if its answer was lost.
 func (id identity) repeatable() bool { return id.request != 0 }
 
-// question tells what r asks. Two requests may have the same answer if they are equal but for their X-Request-ID, and
-// safe, or keyed with the same key.
+// identity returns the identity of r. Two requests may have the same answer if they are equal except for
+// X-Request-ID, and are safe or have the same idempotency key.
 func (r *Request) identity(repeat control.Repeat) identity {
 	id := identity{resource: fingerprintOf(r.requestLine())}
 	if repeat == control.Safe {
@@ -50,7 +50,7 @@
 
 var requestIDHeader = []byte("\r\n" + http.CanonicalHeaderKey("X-Request-ID") + ":")
 
-// aroundRequestID is the head of r without its X-Request-ID.
+// headAroundRequestID returns the parts of r's head before and after its X-Request-ID.
 func (r *Request) headAroundRequestID() (before, after []byte) {
 	before, after, found := bytes.Cut(r.Head, requestIDHeader)
 	if found {
@@ -59,13 +59,13 @@
 	return before, after
 }
 
-// target is the first line of r, with its method and path.
+// requestLine is the first line of r, with its method and path.
 func (r *Request) requestLine() []byte {
 	line, _, _ := bytes.Cut(r.Head, []byte("\r\n"))
 	return line
 }
 
-// givenAnswer is an answer that came on a connection, and what it was given to.
+// pastAnswer is an answer that came on a connection, with the request that it was given to.
 type pastAnswer struct {
 	answer, request, resource fingerprint
 	length                    int // in bytes
@@ -78,21 +78,21 @@
 	return a
 }
 
-// beginsWith tells whether an answer of which some has come may be g again.
+// mayBecome reports whether an answer of which only a part has come may be a duplicate of a.
 func (a *pastAnswer) mayBecome(partial []byte) bool {
 	n := min(len(partial), pastAnswerPrefix)
 	return len(partial) <= a.length && bytes.Equal(partial[:n], a.prefix[:n])
 }
 
-// ownAnswer tells whether an answer is that to the request that is under way. A target may answer a request twice, the
-// second time when a later one is under way on the connection. Nothing in the protocol names the request that an answer
-// is for; but a second answer has the body of the first. So a body that came on this connection before is another's,
-// unless that request was equal, and no other answer is there.
+// isOwnAnswer reports whether an answer belongs to the request under way. A target may answer a request twice, the
+// second time while a later request is under way on the connection. Nothing in the protocol names the request that
+// an answer is for, but a duplicate has the body of the first answer. So a body that came on this connection
+// before belongs to another request, unless that request was equal and no other answer is buffered.
 func (c *conn) isOwnAnswer(body []byte) bool {
 	present := newPastAnswer(body, c.inFlight)
 	for _, past := range c.pastAnswers {
 		if past.answer == present.answer {
-			c.equalOnly = true // the request's own may still come
+			c.equalOnly = true // the request's own answer may still come
 			return past.request.matches(c.inFlight.request) && c.in.Buffered() == 0
 		}
 	}
@@ -103,7 +103,8 @@
 	return true
 }
 
-// remember keeps an answer. Where no more can be kept the connection is bound to the requests that it has had.
+// addPastAnswer keeps an answer. When no more can be kept, only requests equal to the earlier ones may be sent on
+// the connection.
 func (c *conn) addPastAnswer(present pastAnswer) {
 	if len(c.pastAnswers) < maxPastAnswers {
 		c.pastAnswers = append(c.pastAnswers, present)
@@ -111,7 +112,7 @@
 	c.equalOnly = c.equalOnly || len(c.pastAnswers) == maxPastAnswers
 }
 
-// noteAnswered notes that the request under way was answered.
+// markAnswered records that the request under way was answered.
 func (c *conn) markAnswered() {
 	if !c.answered {
 		c.onlyRequest = c.inFlight.request
@@ -120,10 +121,11 @@
 	}
 }
 
-// unused tells whether no request has been answered on a connection yet.
+// unused reports whether no request has been answered on the connection yet.
 func (c *conn) unused() bool { return !c.answered }
 
-// tellsApart tells whether a second answer to an earlier request would be known from that to the next one.
+// distinguishes reports whether a duplicate answer to an earlier request could be told from the answer to the next
+// one.
 func (c *conn) distinguishes(next identity) bool {
 	if c.unused() || c.onlyRequest.matches(next.request) {
 		return true
@@ -131,15 +133,15 @@
 	return c.stats.tracker.hasEnoughSamples() && !c.servesEqualOnly() && !c.hasConflictingAnswer(next)
 }
 
-// soleUse tells whether a connection is of use only for requests that are equal to those before on it.
+// servesEqualOnly reports whether only requests equal to the earlier ones may be sent on the connection.
 func (c *conn) servesEqualOnly() bool { return c.equalOnly || c.hasCommonAnswer() }
 
-// spent tells whether a connection that could be used again is of use to nobody: only an equal request could go out on
-// it, and there is none.
+// unusable reports whether no request may be sent on a connection that is otherwise fit for reuse: only one equal
+// to the earlier requests could be, and there is none.
 func (c *conn) unusable() bool { return c.onlyRequest == 0 && c.servesEqualOnly() }
 
-// ambiguous tells whether a common answer came on the connection: a second one of it could not be told from the next
-// request's own.
+// hasCommonAnswer reports whether a common answer came on the connection: a duplicate of it could not be told from
+// the next request's own answer.
 func (c *conn) hasCommonAnswer() bool {
 	tracker := c.stats.tracker
 	if c.gaveCommon || tracker == nil {
@@ -152,7 +154,8 @@
 	return c.gaveCommon
 }
 
-// contests tells whether the connection gave another request an answer on a resource where different ones may have the same.
+// hasConflictingAnswer reports whether the connection gave another request an answer on a resource where different
+// requests may have the same one.
 func (c *conn) hasConflictingAnswer(next identity) bool {
 	if !c.stats.tracker.mayShareAnswers(next.resource) {
 		return false
@@ -162,16 +165,16 @@
 	})
 }
 
-// mayBeAnothers tells whether an answer that comes slowly, and of which some is there, may be a second one to an earlier
-// request: it must not be passed on before that is known.
+// mayBeDuplicate reports whether an answer that comes slowly, and of which a part is there, may be a duplicate of
+// the answer to an earlier request: it must not be passed on before that is known.
 func (c *conn) mayBeDuplicate(partial []byte) bool {
 	return slices.ContainsFunc(c.pastAnswers, func(a pastAnswer) bool {
 		return !a.request.matches(c.inFlight.request) && a.mayBecome(partial)
 	})
 }
 
-// awaitAnother waits for a further answer behind one that was another request's. It returns false where none comes. One
-// that comes shows that the target answers twice; silence, or the connection's end, may have other reasons.
+// awaitNextAnswer waits for a further answer after one that was another request's, and reports whether one comes.
+// If one does, the target answers twice; silence, or the end of the connection, may have other reasons.
 func (c *conn) awaitNextAnswer(ctx context.Context) bool {
 	c.SetReadDeadline(c.ownAnswerDeadline(ctx))
 	c.readLimit.N = maxHeadBytes
@@ -184,8 +187,9 @@
 	return false
 }
 
-// ownAnswerDue is when a request's own answer is given up that has not come behind another's. One that may be sent again
-// is left the time for that, and one that may not has all that it has: zero.
+// ownAnswerDeadline is when to stop waiting for a request's own answer after another request's. A request that may
+// be sent again is left time for that; one that may not waits for all its remaining time, without a deadline here:
+// zero.
 func (c *conn) ownAnswerDeadline(ctx context.Context) time.Time {
 	if !c.inFlight.repeatable() {
 		return time.Time{}
--- a/internal/egress/long.go
+++ b/internal/egress/long.go
@@ -12,18 +12,18 @@
 	"junctionring/internal/core"
 )
 
-// MaxLong is the most that a body may hold that is streamed.
+// MaxLong is the maximum size in bytes of a streamed body.
 const MaxLong = 32 << 20
 
 const (
-	bufferSize          = 32 << 10
-	streamIOTimeout     = 10 * time.Second // a target that neither takes nor gives anything
-	chunkedSizeFactor   = 8                // a chunked body may take so many times its size
-	streamAfter         = 250 * time.Millisecond
-	minChunkFrameBuffer = 64 // bytes buffered, in which a chunk's frame may be all there is
+	bufferSize          = 32 << 10               // bytes
+	streamIOTimeout     = 10 * time.Second       // for a target that neither accepts nor sends anything
+	chunkedSizeFactor   = 8                      // a chunked body may take this many times its size on the wire
+	streamAfter         = 250 * time.Millisecond // delay before the beginning of a slow body is passed on
+	minChunkFrameBuffer = 64                     // bytes; fewer buffered ones may be only a chunk's framing
 )
 
-// BufferPool are the buffers through which bodies pass, both ways (httputil.BufferPool).
+// BufferPool provides the buffers for bodies in both directions. It implements httputil.BufferPool.
 type BufferPool struct{}
 
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
@@ -34,22 +34,22 @@
 // Put implements httputil.BufferPool.
 func (BufferPool) Put(b []byte) { buffers.Put((*[bufferSize]byte)(b)) }
 
-// Stream is the body of a long answer, passed on as it comes. Reading it to its end, or Close, ends the attempt's
-// connection with the target, or frees it.
+// Stream is the body of a long answer, passed on as it comes. Reading it to its end, or Close, closes the
+// attempt's connection to the target or releases it.
 type Stream struct {
 	c         *conn
 	body      io.Reader
-	remaining int64 // that may still come
+	remaining int64 // bytes that may still come
 	reuse     func() bool
-	finish    func(reuse bool) // set by the target; once
+	finish    func(reuse bool) // set by the target; called once
 
 	mu     sync.Mutex
 	closed bool
 }
 
-var errTooLong = errors.New("the answer is too long")
+var errTooLong = errors.New("answer body exceeds the size limit")
 
-// Read implements io.Reader. What is cut by the target ends in an error, so that the client can tell.
+// Read implements io.Reader. A body that the target cuts short ends in an error, so that the client can tell.
 func (s *Stream) Read(b []byte) (int, error) {
 	s.c.SetReadDeadline(time.Now().Add(streamIOTimeout))
 	n, err := s.body.Read(b)
@@ -81,17 +81,17 @@
 	}
 }
 
-// gathered is the beginning of a body whose length is not said, up to MaxBody, read in while it is not known yet
-// whether it is taken whole or passed on; then it is the whole body's reader.
+// bodyPrefix is the beginning of a body of unknown length, up to MaxBody. It is read in the background until it is
+// known whether the body is taken whole or streamed; then it is the reader of the whole body.
 type bodyPrefix struct {
 	body    io.Reader
-	started chan struct{} // something of it is
-	done    chan struct{} // the beginning is in
+	started chan struct{} // closed when the first bytes are in
+	done    chan struct{} // closed when the whole prefix is in
 
 	mu       sync.Mutex
 	changed  *sync.Cond
 	buf      []byte
-	complete bool // it is in, and buf has got all there was, up to err
+	complete bool // the prefix is in: buf has got all of it, up to err
 	err      error
 }
 
@@ -125,8 +125,8 @@
 	}
 }
 
-// wait returns the body if it ends within MaxBody. One that has not ended is to be read: in a hurry also soon after its
-// first bytes, unless these are to be held.
+// wait returns the body if it ends within MaxBody. If complete is false, the body is to be read as a stream: with
+// streamEarly also soon after its first bytes, unless hold asks to keep these back.
 func (p *bodyPrefix) wait(streamEarly bool, hold func(first []byte) bool) (body []byte, complete bool, err error) {
 	select {
 	case <-p.done:
@@ -145,8 +145,8 @@
 	return nil, false, nil
 }
 
-// endsBeforeItIsDue tells whether the beginning is in before it is to be passed on: at the first moment, gatherFor from
-// now and then again and again, at which it is not to be held.
+// endsBeforeStreaming reports whether the prefix is in before it is to be passed on. Every streamAfter it checks
+// with hold whether the bytes so far must still be kept back.
 func (p *bodyPrefix) endsBeforeStreaming(hold func(first []byte) bool) bool {
 	ticker := time.NewTicker(streamAfter)
 	defer ticker.Stop()
@@ -162,7 +162,7 @@
 	}
 }
 
-// soFar is what has come in.
+// received returns what has come in so far.
 func (p *bodyPrefix) received() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +178,7 @@
 	if len(p.buf) > 0 {
 		n := copy(b, p.buf)
 		if p.buf = p.buf[n:]; len(p.buf) == 0 {
-			p.buf = nil // a stream may last long
+			p.buf = nil // releases the memory, as a stream may last long
 		}
 		p.mu.Unlock()
 		return n, nil
@@ -191,14 +191,14 @@
 	return p.body.Read(b)
 }
 
-// paced reads a chunked body without waiting for more than has come. net/http's reader of chunks waits until what it
-// is to fill is full, or the chunk at its end: a slow one would be held back.
+// availableReader reads a chunked body without waiting for more than has come. net/http's chunk reader waits until
+// the buffer is full or the chunk ends, which would hold back a slow body.
 type availableReader struct {
-	in   *bufio.Reader // below body
+	in   *bufio.Reader // that body reads from
 	body io.Reader
 }
 
-// Read implements io.Reader. Of what is buffered an eighth is surely body, however small the chunks are.
+// Read implements io.Reader. At least an eighth of what is buffered is body, however small the chunks are.
 func (p availableReader) Read(b []byte) (n int, err error) {
 	for n < len(b) && err == nil {
 		if p.in.Buffered() == 0 {
@@ -227,7 +227,8 @@
 	return nil
 }
 
-// passed is a streamed body on its way to the client: its end is counted, and a client that leaves ends it.
+// clientBody is a streamed body on its way to the client: its end is counted, and a client that disconnects closes
+// it.
 type clientBody struct {
 	*Stream
 	stop  func() bool
@@ -255,7 +256,7 @@
 	return p.Stream.Close()
 }
 
-// long makes a stream of an answer that is too long to be taken in whole, or nil: it cannot be one.
+// newStream returns a stream of an answer that is too long to be taken whole, of at most limit bytes.
 func (c *conn) newStream(resp *http.Response, body io.Reader, limit int64) *Stream {
 	return &Stream{c: c, body: body, remaining: limit, reuse: func() bool { return !resp.Close && c.in.Buffered() == 0 }}
 }
--- a/internal/egress/target.go
+++ b/internal/egress/target.go
@@ -12,67 +12,70 @@
 const (
 	mailboxSize = 256
 	maxIdle     = 16
-	idleShare   = 0.6 // of the time after which a target closes an idle connection: never written to later
+	idleShare   = 0.6 // of ConnIdle, after which an idle connection is no longer written to
 
-	// An answer may come twice, the second time some milliseconds later: a request that crosses it on the connection
-	// would take it for its own. So a connection rests before it is used again, for a part of the time that answers
-	// take, lest a fast target be held up. Where there are many connections one that has rested is preferred, but none
-	// is waited for. Where something unasked was seen lately each carries one request: a second answer may come however
-	// late, and on a connection that is not used again it harms nobody.
-	answerTimeSamples     = 8 // answers, for the time that they take
-	reuseDelayDivisor     = 4
+	// A target may answer a request twice, the second time some milliseconds later: a request that crosses the
+	// duplicate on the connection would take it for its own answer. So a connection stays idle before it is used
+	// again, so that a duplicate shows first. The delay is a fraction of the average answer time, so that a fast
+	// target is not held up. If many connections are open, one whose delay is over is preferred, but no request
+	// waits for one. If unsolicited bytes came recently, each connection carries one request: a duplicate may come
+	// at any later time, and on a connection that is not used again it does no harm.
+	answerTimeSamples     = 8 // answers over which the answer time is averaged
+	reuseDelayDivisor     = 4 // of the average answer time
 	maxReuseDelay         = 10 * time.Millisecond
-	maxDelayedConns       = 8
-	unsolicitedReuseDelay = 2 * maxReuseDelay
-	unsolicitedWindow     = 10 * time.Second
+	maxDelayedConns       = 8                 // open connections, up to which requests wait for the reuse delay
+	unsolicitedReuseDelay = 2 * maxReuseDelay // while unsolicited bytes are recent
+	unsolicitedWindow     = 10 * time.Second  // for which unsolicited bytes count as recent
 )
 
-// Options are the figures that all targets share.
+// Options are the settings that all targets of a site share.
 type Options struct {
 	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // a target closes connections idle for this long
-	Conns          int           // to all targets of the site together
-	// Abort resets a connection that is given up. Danger: over a link the kernel would go on sending a request
-	// that was closed behind, and one held up there would run after its window.
-	Abort      bool
-	Warm       int                                                                  // unused connections that each ready target is to have at rest, for a link where one costs a round trip
+	ConnIdle       time.Duration // after which a target closes an idle connection
+	Conns          int           // maximum to all targets of the site together
+	// Abort resets a connection that is abandoned. Danger: over a link, after a plain close the kernel would go on
+	// sending the request, and one delayed there would run after its window.
+	Abort bool
+	// Warm is the number of unused idle connections to keep for each ready target, for a link where a handshake
+	// costs a round trip.
+	Warm       int
 	LoadFields []string                                                             // of a load report
-	Dial       func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
+	Dial       func(ctx context.Context, network, address string) (net.Conn, error) // nil: net.Dialer
 }
 
 type (
-	// lease asks for a connection; the actor answers once, nil if there is none to be had.
+	// connRequest asks for a connection; the actor answers once, with nil if there is none to be had.
 	connRequest struct {
 		result chan *conn
 		identity
-		unusedOnly bool // only an unused connection will do
+		unusedOnly bool // only an unused connection may be used
 	}
-	cancelConnRequest struct{ req *connRequest } // the asker went away
+	cancelConnRequest struct{ req *connRequest } // nobody waits for it any more
 	dialResult        struct {
 		opening *opening
-		c       *conn // nil: it did not come up
+		c       *conn // nil: the dial failed
 		elapsed time.Duration
 	}
-	dialOverdue  struct{ opening *opening } // a dial takes long
-	connReleased struct{ c *conn }          // free for the next attempt
-	connUnused   struct{ c *conn }          // its attempt was over before it began
+	dialOverdue  struct{ opening *opening }
+	connReleased struct{ c *conn } // free for the next attempt
+	connUnused   struct{ c *conn } // its attempt was over before anything was sent
 	connClosed   struct {
-		unansweredSince time.Time // not zero: nothing was heard of an attempt sent then
+		unansweredSince time.Time // if not zero, no answer came to an attempt sent then
 		answered        bool      // the target answered on it
-		replace         bool      // it was given up for what its answer was alone
-		unsolicited     bool      // something came on it that nobody had asked for
-	} // closed
+		replace         bool      // it was closed only because of its answer's status
+		unsolicited     bool      // bytes came on it that no request had asked for
+	}
 	route struct {
 		address string
 		ready   bool
 	}
-	reuseDue      struct{} // an idle connection may have rested for long enough
+	reuseDue      struct{} // an idle connection's reuse delay may be over
 	closeAllIdle  struct{}
 	targetRemoved struct{} // the target left the route table
 )
 
-// target is the actor of one egress target: it owns the connections. Each attempt runs in a goroutine of its
-// own, which leases a connection from here. The actor waits on nobody but its mailbox.
+// target is the actor of one egress target: it owns the connections. Each attempt runs in its own goroutine, which
+// acquires a connection from the actor. The actor waits for nothing but its mailbox.
 type target struct {
 	site    *site // with one permit for each connection of all its targets
 	mailbox chan any
@@ -82,17 +85,17 @@
 	removed         bool
 	address         string
 	ready           bool
-	idle            []*conn // the one used last at the end
+	idle            []*conn // the most recently used one last
 	waiting         []*connRequest
-	dialing         int           // connections that are being opened
-	dials           int           // for those, or left over as another came up first
+	dialing         int           // connections being opened
+	dials           int           // for those, or left over after another one succeeded first
 	open            int           // connections, and dials
-	reuseScheduled  bool          // rested is to come
-	answerTime      time.Duration // that they take, averaged
-	dialTime        time.Duration // that one takes that comes up, averaged
+	reuseScheduled  bool          // a reuseDue is to come
+	answerTime      time.Duration // average time from a request to its answer
+	dialTime        time.Duration // average time of a successful dial
 	lastAnswered    time.Time
-	lastDialFailure time.Time // last dial that did not come up
-	lastUnsolicited time.Time // when a connection last had something on it that nobody had asked for
+	lastDialFailure time.Time // when a dial last failed
+	lastUnsolicited time.Time // when unsolicited bytes last came on a connection
 	stats           answerStats
 }
 
@@ -109,7 +112,7 @@
 	sweep := time.NewTicker(t.idleLimit()/4 + time.Millisecond)
 	defer sweep.Stop()
 	defer t.stop()
-	for !t.removed || t.open > 0 { // what is out when it leaves the table is still waited for
+	for !t.removed || t.open > 0 { // attempts under way when the target leaves the route table are still awaited
 		select {
 		case m := <-t.mailbox:
 			t.handle(m)
@@ -135,7 +138,7 @@
 				return
 			}
 		}
-		if c := <-m.req.result; c != nil { // handed over just as the asker left
+		if c := <-m.req.result; c != nil { // assigned just as the request was cancelled
 			t.putIdle(c)
 		}
 	case dialResult:
@@ -160,7 +163,7 @@
 		if m.unsolicited {
 			t.lastUnsolicited = time.Now()
 		}
-		if m.unansweredSince.After(t.lastAnswered) { // a machine that vanished says nothing: the next attempt is to dial anew
+		if m.unansweredSince.After(t.lastAnswered) { // a host that is gone sends no reset: the next attempt is to dial anew
 			t.closeIdle(0)
 		}
 		if m.replace && t.ready && len(t.idle)+t.dialing < maxIdle {
@@ -173,7 +176,7 @@
 		}
 		t.address, t.ready = m.address, m.ready
 		if !t.ready {
-			t.failWaiting() // what is queued must not go to a target that drains
+			t.failWaiting() // waiting requests must not go to a draining target
 			t.closeIdle(0)
 		}
 		t.dial()
@@ -199,7 +202,8 @@
 	t.serveWaiting()
 }
 
-// serve gives those that wait the idle connections that have rested, and has more opened for those that get none.
+// serveWaiting assigns the idle connections whose reuse delay is over to waiting requests, and opens connections
+// for those that get none.
 func (t *target) serveWaiting() {
 	t.assignIdle()
 	if !t.reuseScheduled {
@@ -208,8 +212,8 @@
 	t.dial()
 }
 
-// handOut gives idle connections to those that wait, in the order in which they came, but that one who may use none does
-// not keep others from theirs.
+// assignIdle assigns idle connections to waiting requests in order of arrival. A request that can use none does
+// not block the others.
 func (t *target) assignIdle() {
 	t.replaceIdleForFirst()
 	t.waiting = slices.DeleteFunc(t.waiting, func(req *connRequest) bool {
@@ -224,7 +228,8 @@
 	})
 }
 
-// lookAgain has the actor told when the first idle connection that somebody waits for has rested.
+// scheduleReuse has a reuseDue sent when the reuse delay is over for the first idle connection that a waiting
+// request can use.
 func (t *target) scheduleReuse() {
 	i := slices.IndexFunc(t.idle, t.hasWaiter)
 	if i < 0 {
@@ -234,12 +239,12 @@
 	time.AfterFunc(t.reuseDelay()-time.Since(t.idle[i].lastUsed), func() { t.post(reuseDue{}) })
 }
 
-// awaited tells whether one of those that wait may use a connection once it has rested.
+// hasWaiter reports whether a waiting request can use a connection once its reuse delay is over.
 func (t *target) hasWaiter(c *conn) bool {
 	return slices.ContainsFunc(t.waiting, func(req *connRequest) bool { return req.canUse(c) })
 }
 
-// take is an idle connection that is fit for an attempt, or nil.
+// takeIdle removes and returns an idle connection that is fit for a request, or returns nil.
 func (t *target) takeIdle(req *connRequest) *conn {
 	for i := t.chooseIdle(req); i >= 0; i = t.chooseIdle(req) {
 		c := t.idle[i]
@@ -248,7 +253,7 @@
 			return c
 		}
 		if socket.Unread(c.Conn) {
-			t.lastUnsolicited = time.Now() // it must not be read as the next answer
+			t.lastUnsolicited = time.Now() // the bytes must not be read as the next answer
 		}
 		c.Close()
 		t.releasePermit()
@@ -256,8 +261,8 @@
 	return nil
 }
 
-// choose is the place of the idle connection to be used next, or -1: a used one where that will do, as an unused one is of
-// use for any request.
+// chooseIdle is the index of the idle connection to be used next, or -1. It prefers a used one, as an unused one
+// can serve any request.
 func (t *target) chooseIdle(req *connRequest) int {
 	if i := t.chooseUsed(req); i >= 0 {
 		return i
@@ -265,8 +270,8 @@
 	return slices.IndexFunc(t.idle, (*conn).unused)
 }
 
-// chooseUsed is the place of the used connection to be used next: the one used last of those that have rested, else, where
-// there are many, the one that has rested longest; -1: none yet.
+// chooseUsed is the index of the used connection to be used next, or -1 if there is none yet: the most recently
+// used one whose reuse delay is over, else, if many are open, the one that has been idle longest.
 func (t *target) chooseUsed(req *connRequest) int {
 	if t.suspectsDuplicates() {
 		return -1
@@ -283,15 +288,15 @@
 	return slices.IndexFunc(t.idle, func(c *conn) bool { return c.answered && req.canUse(c) })
 }
 
-// fits tells whether a connection may be used for the request that is to go out, once it has rested.
+// canUse reports whether the request may be sent on a connection, once its reuse delay is over.
 func (req *connRequest) canUse(c *conn) bool {
 	return c.unused() || !req.unusedOnly && c.distinguishes(req.identity)
 }
 
-// wary tells whether the target has sent something unasked lately.
+// suspectsDuplicates reports whether the target has recently sent unsolicited bytes.
 func (t *target) suspectsDuplicates() bool { return time.Since(t.lastUnsolicited) < unsolicitedWindow }
 
-// rest is how long a connection rests between two uses.
+// reuseDelay is how long a connection stays idle between two uses.
 func (t *target) reuseDelay() time.Duration {
 	if t.suspectsDuplicates() {
 		return unsolicitedReuseDelay
@@ -299,8 +304,9 @@
 	return min(maxReuseDelay, t.answerTime/reuseDelayDivisor)
 }
 
+// putIdle makes a connection idle, or closes it if it is not to be kept.
 func (t *target) putIdle(c *conn) {
-	if c.servesEqualOnly() || len(t.idle) >= maxIdle { // one such is enough
+	if c.servesEqualOnly() || len(t.idle) >= maxIdle { // one connection that serves equal requests only is enough
 		t.closeIdleWhere((*conn).servesEqualOnly)
 	}
 	switch {
@@ -331,8 +337,8 @@
 	t.closeIdleWhere(func(c *conn) bool { return time.Since(c.lastUsed) >= older })
 }
 
-// closeUsed closes the idle connections that have been used, as soon as one has rested: what it brings until then shows
-// that the target still sends what nobody asks for.
+// closeUsed closes the used idle connections once their reuse delay is over: bytes that come until then show that
+// the target still sends unsolicited ones.
 func (t *target) closeUsed() {
 	t.closeIdleWhere(func(c *conn) bool {
 		due := c.answered && time.Since(c.lastUsed) >= unsolicitedReuseDelay
@@ -343,7 +349,7 @@
 	})
 }
 
-// closeWhere closes the idle connections that are to be closed.
+// closeIdleWhere closes the idle connections for which toClose returns true.
 func (t *target) closeIdleWhere(toClose func(*conn) bool) {
 	t.idle = slices.DeleteFunc(t.idle, func(c *conn) bool {
 		if !toClose(c) {
--- a/internal/egress/upload.go
+++ b/internal/egress/upload.go
@@ -13,26 +13,26 @@
 	"junctionring/internal/socket"
 )
 
-var errBodyTooLong = errors.New("the body is longer than the most that is streamed")
+var errBodyTooLong = errors.New("request body exceeds the size limit for streaming")
 
-// Upload is the part of a message's body that is still to come in when the message is first sent on. It is read
-// once: what was read of it is not kept, so that no body is ever held whole.
+// Upload is the part of a message's body that is still to come in when the message is first sent. It is read once:
+// what was read is not kept, so that no body is ever held whole.
 type Upload struct {
-	Length int64                     // of the whole body, with what came first; -1: not known
-	Next   func([]byte) (int, error) // the next piece; still called, at most once, when the attempt is over
+	Length int64                     // of the whole body in bytes, including what came first; -1: unknown
+	Next   func([]byte) (int, error) // reads the next piece; may be called once more when the attempt is over
 	spent  atomic.Bool
 	done   atomic.Bool
 }
 
-// Spent tells whether some of it was taken: the message cannot be sent again.
+// Spent reports whether some of it was read: the message cannot be sent again.
 func (u *Upload) Spent() bool { return u.spent.Load() }
 
-// Done tells whether all of it has come in.
+// Done reports whether all of it has come in.
 func (u *Upload) Done() bool { return u.done.Load() }
 
-// writeLong writes a message whose body is still coming in. A client that stops, or sends less or more than it said,
-// and a target that ends the connection, end the attempt before its last byte: the target has got nothing that it
-// would run.
+// writeStreamed writes a message whose body is still coming in. If the client stops, or sends less or more than it
+// announced, or the target closes the connection, the attempt ends before its last byte: the target has received
+// nothing that it would run.
 func (c *conn) writeStreamed(ctx context.Context, head []byte, r *Request) (control.Status, bool) {
 	targetClosed, stopWatching := c.watchClose()
 	defer stopWatching()
@@ -45,15 +45,16 @@
 	return status, ok
 }
 
-// writeMessage writes head and body, piece by piece as it comes in.
-func (c *conn) writeMessage(head []byte, r *Request, body *pieceReader, targetClosed <-chan struct{}) (control.Status, bool) {
+// writeMessage writes the head, and the body piece by piece as it comes in.
+func (c *conn) writeMessage(head []byte, r *Request, body *pieceReader,
+	targetClosed <-chan struct{}) (control.Status, bool) {
 	if c.writeWithTimeout(head) != nil || c.writePiece(r.Body, r.Rest.Length) != nil {
 		return control.ConnectFailed, false
 	}
 	for sent := int64(len(r.Body)); !r.Rest.Done(); {
 		next, ok := body.read(targetClosed)
 		if !ok {
-			r.Rest.spent.Store(true) // what is being read is lost
+			r.Rest.spent.Store(true) // the piece being read is lost
 			return control.ConnectFailed, false
 		}
 		sent += int64(len(next.data))
@@ -72,7 +73,7 @@
 	return 0, true
 }
 
-// take counts a piece in, with which sent bytes of the body have come.
+// countPiece records a piece, with which sent bytes of the body have come in.
 func (u *Upload) countPiece(next piece, sent int64) error {
 	if len(next.data) > 0 || next.err != nil {
 		u.spent.Store(true)
@@ -87,7 +88,7 @@
 	return next.err
 }
 
-// writePiece writes a piece of a body: as a chunk where the body's length is not known.
+// writePiece writes a piece of a body, as a chunk if the body's length is unknown.
 func (c *conn) writePiece(data []byte, length int64) error {
 	if length >= 0 {
 		return c.writeWithTimeout(data)
@@ -99,15 +100,15 @@
 	return c.writeWithTimeout(append(framed, "\r\n"...))
 }
 
-// writeWithin writes to a target that has pieceWait to take it.
+// writeWithTimeout writes data, which the target has streamIOTimeout to accept.
 func (c *conn) writeWithTimeout(data []byte) error {
 	c.SetWriteDeadline(time.Now().Add(streamIOTimeout))
 	_, err := c.Write(data)
 	return err
 }
 
-// watchEnd tells when the target, or this side, ends the connection. It takes nothing off it. stop ends the watch, and
-// is to be called before anything is read.
+// watchClose returns a channel that is closed when the target, or this side, closes the connection. It reads
+// nothing from the connection. stop ends the watch, and must be called before anything is read.
 func (c *conn) watchClose() (closed <-chan struct{}, stop func()) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -125,14 +126,14 @@
 	}
 }
 
-// piece is what one read of a client's body brought.
+// piece is the result of one read of a client's body.
 type piece struct {
-	data []byte // until the next is wanted
+	data []byte // valid until the next piece is requested
 	err  error
 }
 
-// pieceReader reads a client's body in a goroutine of its own, so that a client that pauses need not be waited for. The
-// goroutine ends with the read that is pending as the pieceReader is closed.
+// pieceReader reads a client's body in its own goroutine, so that nothing else waits for a client that pauses. The
+// goroutine ends with the read that is pending when the pieceReader is closed.
 type pieceReader struct {
 	requests chan struct{}
 	pieces   chan piece
@@ -151,7 +152,7 @@
 	return r
 }
 
-// read returns the next piece, or false once the target has ended the connection.
+// read returns the next piece, or false once the target has closed the connection.
 func (r *pieceReader) read(targetClosed <-chan struct{}) (next piece, ok bool) {
 	r.requests <- struct{}{}
 	select {
@@ -159,7 +160,7 @@
 	case <-targetClosed:
 	}
 	select {
-	case <-targetClosed: // also where a piece came as well: nobody takes it
+	case <-targetClosed: // even if a piece came as well: it cannot be sent
 		return piece{}, false
 	default:
 		return next, true
