--- a/internal/egress/crossed_answer_test.go
+++ b/internal/egress/crossed_answer_test.go
@@ -17,7 +17,7 @@
 
 // crossedPeer is a target whose second answer to /one comes when it has taken the next request; then comes that one's own.
 // Writes on a pipe end when they are read: each answer is read before the next is written.
-func crossedPeer(far net.Conn, one, two string) {
+func duplicatingPeer(far net.Conn, one, two string) {
 	in := bufio.NewReader(far)
 	for i := range 2 {
 		request, err := http.ReadRequest(in)
@@ -39,7 +39,7 @@
 }
 
 // ask sends a request on a connection and returns the body of its answer.
-func ask(t *testing.T, c *conn, path string) (body string, status control.Status, reuse bool) {
+func sendGet(t *testing.T, c *conn, path string) (body string, status control.Status, reuse bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -58,11 +58,11 @@
 	defer far.Close()
 	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
-	go crossedPeer(far, "of one", "of two")
-	if body, status, reuse := ask(t, c, "/one"); body != "of one" || status != control.OK || !reuse {
+	go duplicatingPeer(far, "of one", "of two")
+	if body, status, reuse := sendGet(t, c, "/one"); body != "of one" || status != control.OK || !reuse {
 		t.Fatalf("the first got %q, %v, to be used again: %t", body, status, reuse)
 	}
-	body, status, reuse := ask(t, c, "/two")
+	body, status, reuse := sendGet(t, c, "/two")
 	if body != "of two" || status != control.OK {
 		t.Errorf("/two got the answer of /one: %q, %v", body, status)
 	}
@@ -86,8 +86,8 @@
 			fmt.Fprint(far, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nof one")
 		}
 	}()
-	ask(t, c, "/one")
-	if body, status, _ := ask(t, c, "/two"); status != control.Reset {
+	sendGet(t, c, "/one")
+	if body, status, _ := sendGet(t, c, "/two"); status != control.Reset {
 		t.Errorf("/two got %q, %v", body, status)
 	}
 }
@@ -119,7 +119,7 @@
 		}
 	}()
 	for range 3 {
-		if body, status, reuse := ask(t, c, "/view"); body != "same" || status != control.OK || !reuse {
+		if body, status, reuse := sendGet(t, c, "/view"); body != "same" || status != control.OK || !reuse {
 			t.Errorf("got %q, %v, to be used again: %t", body, status, reuse)
 		}
 	}
@@ -130,8 +130,8 @@
 
 // A target that has sent something unasked gets one request on each connection, however long one has rested, within
 // the connections that it may have.
-func TestWaryTargetGetsOneRequestAConnection(t *testing.T) {
-	a, c, _ := reused(t) // its one permit is taken
+func TestSuspectedTargetGetsOneRequestPerConnection(t *testing.T) {
+	a, c, _ := newReusedTarget(t) // its one permit is taken
 	a.lastUnsolicited, c.lastUsed = time.Now(), time.Now().Add(-time.Minute/2)
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
@@ -168,14 +168,14 @@
 		fmt.Fprint(far, refusal)
 		fmt.Fprint(far, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nof two")
 	}()
-	_, status, reuse := ask(t, c, "/one")
+	_, status, reuse := sendGet(t, c, "/one")
 	if status != control.Full {
 		t.Fatalf("the first got %v", status)
 	}
 	if !reuse { // nothing can cross
 		return
 	}
-	if _, status, _ := ask(t, c, "/two"); status == control.Full {
+	if _, status, _ := sendGet(t, c, "/two"); status == control.Full {
 		t.Error("/two got the refusal of /one, and counts as never run")
 	}
 }
@@ -247,11 +247,11 @@
 	defer far.Close()
 	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
-	go crossedPeer(far, "", "of two")
-	if _, status, reuse := ask(t, c, "/one"); status != control.OK || !reuse {
+	go duplicatingPeer(far, "", "of two")
+	if _, status, reuse := sendGet(t, c, "/one"); status != control.OK || !reuse {
 		t.Fatalf("the first got %v, to be used again: %t", status, reuse)
 	}
-	if body, status, _ := ask(t, c, "/two"); body != "of two" || status != control.OK {
+	if body, status, _ := sendGet(t, c, "/two"); body != "of two" || status != control.OK {
 		t.Errorf("/two got the answer of /one: %q, %v", body, status)
 	}
 }
--- a/internal/egress/dial_test.go
+++ b/internal/egress/dial_test.go
@@ -59,7 +59,7 @@
 }
 
 // Guards against a request being told that it could not connect before its own dial is over, as an earlier one's are.
-func TestFailedDialsBesideEndNoOtherRequest(t *testing.T) {
+func TestFailedParallelDialsEndNoOtherRequest(t *testing.T) {
 	const timeout = time.Second
 	target, begun := startHangingTarget(t, maxConns, timeout)
 	first := make(chan control.Status)
@@ -111,7 +111,7 @@
 }
 
 // Guards against a request being refused as another target takes the permit of the connection that was closed for it.
-func TestClosedConnectionsPermitGoesToTheOneInItsPlace(t *testing.T) {
+func TestReplacementGetsTheClosedConnectionsPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pipe := func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -151,7 +151,7 @@
 // Guards against a request that must have an unused connection waiting for a round trip at a target over a link, where only
 // used ones rest.
 func TestWarmConnectionsAreUnusedOnes(t *testing.T) {
-	a, _, _ := reused(t)
+	a, _, _ := newReusedTarget(t)
 	a.site.Warm = 1
 	a.site.permits = make(chan struct{}, 4)
 	a.site.permits <- struct{}{}
--- a/internal/egress/fuzz_test.go
+++ b/internal/egress/fuzz_test.go
@@ -10,12 +10,12 @@
 )
 
 // script is a connection on which a peer has written all it will.
-type script struct {
+type writtenConn struct {
 	net.Conn
 	*bytes.Reader
 }
 
-func (s script) Read(b []byte) (int, error) { return s.Reader.Read(b) }
+func (s writtenConn) Read(b []byte) (int, error) { return s.Reader.Read(b) }
 
 // Whatever a target writes, what is served is a whole 200 within bounds, and a load is made of finite numbers.
 func FuzzAnswer(f *testing.F) {
@@ -27,7 +27,7 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := newConn(script{Reader: bytes.NewReader(text)}, "", &answerStats{})
+		c := newConn(writtenConn{Reader: bytes.NewReader(text)}, "", &answerStats{})
 		o, reuse := c.readAnswer("GET", []string{"q", "rif"})
 		if reply, ok := o.Reply.(*Reply); o.Status == control.OK && (!ok || reply.Status != 200 || len(reply.Body) > MaxBody) {
 			t.Errorf("served %+v", o)
--- a/internal/egress/history.go
+++ b/internal/egress/history.go
@@ -79,7 +79,7 @@
 }
 
 // mayBecome reports whether an answer of which only a part has come may be a duplicate of a.
-func (a *pastAnswer) mayBecome(partial []byte) bool {
+func (a *pastAnswer) matchesPartial(partial []byte) bool {
 	n := min(len(partial), pastAnswerPrefix)
 	return len(partial) <= a.length && bytes.Equal(partial[:n], a.prefix[:n])
 }
@@ -169,7 +169,7 @@
 // the answer to an earlier request: it must not be passed on before that is known.
 func (c *conn) mayBeDuplicate(partial []byte) bool {
 	return slices.ContainsFunc(c.pastAnswers, func(a pastAnswer) bool {
-		return !a.request.matches(c.inFlight.request) && a.mayBecome(partial)
+		return !a.request.matches(c.inFlight.request) && a.matchesPartial(partial)
 	})
 }
 
--- a/internal/egress/reuse_test.go
+++ b/internal/egress/reuse_test.go
@@ -18,24 +18,24 @@
 // Guards against one customer getting the private answer of another, who asked for the same path.
 func TestPrivateAnswerIsNotGivenToAnotherCustomer(t *testing.T) {
 	const private = "account of customer 1"
-	c := scriptedConn(t, knowing(), of(private), of(private))
-	_, reuse := asked(t, c, by(1, "/account", "Cookie", "session=1"), faultyWait)
-	wantNoneOf(t, c, reuse, by(2, "/account", "Cookie", "session=2"), private)
+	c := scriptedConn(t, sampledStats(), answering(private), answering(private))
+	_, reuse := sendOn(t, c, getFrom(1, "/account", "Cookie", "session=1"), faultDeadline)
+	wantNoneOf(t, c, reuse, getFrom(2, "/account", "Cookie", "session=2"), private)
 }
 
 // Guards against all later answers of a connection going to the request after their own, once one customer was given
 // the private answer of another who asked for the same path.
 func TestAnswersDoNotShiftBehindAPrivateSecondOne(t *testing.T) {
 	const private = "account of customer 1"
-	c := scriptedConn(t, knowing(), of(private), of(private), of("account of customer 2"), of("account of customer 3"))
-	_, reuse := asked(t, c, by(1, "/account", "Cookie", "session=1"), faultyWait)
+	c := scriptedConn(t, sampledStats(), answering(private), answering(private), answering("account of customer 2"), answering("account of customer 3"))
+	_, reuse := sendOn(t, c, getFrom(1, "/account", "Cookie", "session=1"), faultDeadline)
 	for customer := uint64(2); reuse && customer <= 4; customer++ {
-		r := by(customer, "/account", "Cookie", "session="+strconv.FormatUint(customer, 10))
-		if !goesOn(c, r) {
+		r := getFrom(customer, "/account", "Cookie", "session="+strconv.FormatUint(customer, 10))
+		if !mayCarry(c, r) {
 			return
 		}
 		var o core.Outcome
-		o, reuse = asked(t, c, r, faultyWait)
+		o, reuse = sendOn(t, c, r, faultDeadline)
 		want := "account of customer " + strconv.FormatUint(customer, 10)
 		if body := bodyOf(o); o.Status == control.OK && body != want {
 			t.Errorf("customer %d got %q", customer, body)
@@ -64,7 +64,7 @@
 	target.warmUp(warmUps)
 	for customer := range uint64(8) {
 		cookie := "customer " + strconv.FormatUint(1+customer, 10)
-		body, status := target.send(by(1+customer, "/account", "Cookie", cookie), faultyWait)
+		body, status := target.send(getFrom(1+customer, "/account", "Cookie", cookie), faultDeadline)
 		if status == control.OK && body != "account of "+cookie {
 			t.Errorf("%s got %q", cookie, body)
 		}
@@ -76,7 +76,7 @@
 	probe := func() *Request {
 		return &Request{Method: http.MethodGet, Head: []byte("GET /stats HTTP/1.1\r\nHost: target\r\n")}
 	}
-	cart := func() *Request { return by(1, "/cart") }
+	cart := func() *Request { return getFrom(1, "/cart") }
 	for _, c := range []struct {
 		name         string
 		equal        func() *Request
@@ -86,17 +86,17 @@
 		{"probe", probe, `{"inflight":1}`, `{"inflight":2}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conn := scriptedConn(t, knowing(), of(c.first), of(c.first), of(c.later))
-			asked(t, conn, c.equal(), faultyWait)
-			_, reuse := asked(t, conn, c.equal(), faultyWait)
-			wantNoneOf(t, conn, reuse, by(2, "/view"), c.later)
+			conn := scriptedConn(t, sampledStats(), answering(c.first), answering(c.first), answering(c.later))
+			sendOn(t, conn, c.equal(), faultDeadline)
+			_, reuse := sendOn(t, conn, c.equal(), faultDeadline)
+			wantNoneOf(t, conn, reuse, getFrom(2, "/view"), c.later)
 		})
 	}
 }
 
 // Guards against answers of a healthy server being lost time and again, where it answers requests with different paths
 // alike for a while, and then otherwise: an answer with the second in it, a revision, a tick.
-func TestAlikeAnswersThatChangeAreNotLostAgainAndAgain(t *testing.T) {
+func TestIdenticalAnswersThatChangeAreNotLostRepeatedly(t *testing.T) {
 	for name, method := range map[string]string{"reads": http.MethodGet, "unsafe": http.MethodPost} {
 		t.Run(name, func(t *testing.T) {
 			const ticks = 12
@@ -107,15 +107,15 @@
 				}
 				return "tick " + strconv.Itoa(number/2)
 			}
-			h := knowing()
+			h := sampledStats()
 			lost := 0
 			var conn *conn
 			for i := range 2 * ticks {
 				r := Encode(method, "/orders/"+strconv.Itoa(i), "t", http.Header{}, nil, nil)
-				if conn == nil || !goesOn(conn, r) { // as the target would
+				if conn == nil || !mayCarry(conn, r) { // as the target would
 					conn = healthyConn(t, h, body)
 				}
-				o, reuse := asked(t, conn, r, faultyWait)
+				o, reuse := sendOn(t, conn, r, faultDeadline)
 				if o.Status != control.OK {
 					if lost++; lost > 2 {
 						t.Fatalf("%d of the first %d answers lost", lost, i+1)
@@ -130,24 +130,24 @@
 }
 
 // Guards against a customer's read being lost on one connection after another, as each gave its answer to another before.
-func TestCommonAnswerOfOneCustomerIsNotLostAgainAndAgainForAnother(t *testing.T) {
-	h := knowing()
+func TestCommonAnswerOfOneCustomerIsNotLostRepeatedlyForAnother(t *testing.T) {
+	h := sampledStats()
 	var conns []*conn
 	for i := range 4 { // customer 1 reads several lists, all empty
 		c := healthyConn(t, h, func(*http.Request) string { return "[]" })
-		if o, reuse := asked(t, c, by(1, "/lists/"+strconv.Itoa(i)), faultyWait); o.Status != control.OK || !reuse {
+		if o, reuse := sendOn(t, c, getFrom(1, "/lists/"+strconv.Itoa(i)), faultDeadline); o.Status != control.OK || !reuse {
 			t.Fatalf("ended with %v", o.Status)
 		}
 		conns = append(conns, c)
 	}
 	lost := 0
 	for _, c := range conns { // as the core would repeat it
-		r := by(2, "/orders")
-		if !goesOn(c, r) {
+		r := getFrom(2, "/orders")
+		if !mayCarry(c, r) {
 			t.Log("it goes out on another connection")
 			return
 		}
-		if o, _ := asked(t, c, r, faultyWait); o.Status == control.OK {
+		if o, _ := sendOn(t, c, r, faultDeadline); o.Status == control.OK {
 			break
 		}
 		lost++
@@ -158,7 +158,7 @@
 }
 
 // healthyConn is a connection to a peer that answers each request once.
-func healthyConn(t *testing.T, h *answerStats, body func(*http.Request) string) *conn {
+func healthyConn(t *testing.T, stats *answerStats, body func(*http.Request) string) *conn {
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
@@ -173,7 +173,7 @@
 			io.WriteString(far, withLength(body(r)))
 		}
 	}()
-	return newConn(near, "pipe", h)
+	return newConn(near, "pipe", stats)
 }
 
 // Guards against a stream that never ends being held until its request's time is over, since it begins as an earlier
@@ -182,14 +182,14 @@
 	for _, h := range []struct {
 		name    string
 		history *answerStats
-	}{{"learned", knowing()}} {
+	}{{"learned", sampledStats()}} {
 		t.Run(h.name, func(t *testing.T) {
 			const short, long = "event: connected\n\n", "event: connected\ndata: 1\n\nevent: tick\ndata: 2\n\n"
-			c := scriptedConn(t, h.history, of(short),
+			c := scriptedConn(t, h.history, answering(short),
 				step(fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(long), long)))
-			_, reuse := asked(t, c, by(1, "/events?closed=1"), faultyWait)
-			if r := by(2, "/events"); reuse && goesOn(c, r) {
-				o, _ := asked(t, c, r, faultyWait)
+			_, reuse := sendOn(t, c, getFrom(1, "/events?closed=1"), faultDeadline)
+			if r := getFrom(2, "/events"); reuse && mayCarry(c, r) {
+				o, _ := sendOn(t, c, r, faultDeadline)
 				if reply, ok := o.Reply.(*Reply); !ok || reply.Long == nil {
 					t.Errorf("the stream, with %d bytes there, ended with %v", len(long), o.Status)
 				}
@@ -200,7 +200,7 @@
 
 // Guards against a healthy server counting as one that answers twice, as it says that a connection ends with an answer
 // that is like an earlier one, and ends it.
-func TestEndThatWasToldIsNotTakenForASecondAnswer(t *testing.T) {
+func TestAnnouncedCloseIsNotTakenForASecondAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close() })
 	go func() {
@@ -211,9 +211,9 @@
 		http.ReadRequest(in)
 		io.WriteString(far, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone")
 	}()
-	c := newConn(near, "pipe", knowing())
-	asked(t, c, by(1, "/one"), faultyWait)
-	o, _ := asked(t, c, by(2, "/two"), faultyWait)
+	c := newConn(near, "pipe", sampledStats())
+	sendOn(t, c, getFrom(1, "/one"), faultDeadline)
+	o, _ := sendOn(t, c, getFrom(2, "/two"), faultDeadline)
 	if c.unsolicited {
 		t.Errorf("/two ended with %v, and the target counts as one that answers twice", o.Status)
 	}
@@ -221,11 +221,11 @@
 
 // Guards against dials without end to a target that takes none, for one request, while a used connection rests that is
 // not to be used again.
-func TestFailedDialIsToldToWhoeverWaitsAtAWaryTarget(t *testing.T) {
-	a, _, _ := reused(t) // its connection has not rested yet, and will not within this test
+func TestFailedDialIsReportedAtASuspectedTarget(t *testing.T) {
+	a, _, _ := newReusedTarget(t) // its connection has not rested yet, and will not within this test
 	a.site.permits = make(chan struct{}, 4)
 	a.site.permits <- struct{}{}
-	a.site.Dial = refusesDials
+	a.site.Dial = refuseDial
 	a.lastUnsolicited = time.Now()
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
@@ -241,7 +241,7 @@
 
 // Guards against a request being passed over for ever by later ones, which the connection in use fits and it does not.
 func TestRequestIsNotPassedOverForEver(t *testing.T) {
-	a, c, _ := reused(t) // the only connection that it may have
+	a, c, _ := newReusedTarget(t) // the only connection that it may have
 	a.stats.tracker = newAnswerTracker()
 	c.equalOnly, c.onlyRequest = true, 1
 	a.idle = nil // its attempt is out
@@ -268,9 +268,9 @@
 }
 
 // Guards against idle connections that nobody may use keeping those out that anybody may.
-func TestConnectionsOfNoUseDoNotKeepOthersOut(t *testing.T) {
-	a, c, _ := reused(t)
-	h := knowing()
+func TestUnusableConnectionsDoNotKeepOthersOut(t *testing.T) {
+	a, c, _ := newReusedTarget(t)
+	h := sampledStats()
 	a.stats.tracker = h.tracker
 	a.idle = nil // its attempt is out
 	a.site.permits, a.open = make(chan struct{}, maxConns), 1
@@ -295,11 +295,11 @@
 
 // Guards against a target counting as heard of since an earlier request was answered on the connection, where the present
 // one could not be written.
-func TestFailedWriteDoesNotCountAsHeard(t *testing.T) {
-	c := scriptedConn(t, knowing(), of("of one"))
-	asked(t, c, by(1, "/one"), faultyWait)
+func TestFailedWriteDoesNotCountAsAnswered(t *testing.T) {
+	c := scriptedConn(t, sampledStats(), answering("of one"))
+	sendOn(t, c, getFrom(1, "/one"), faultDeadline)
 	c.Conn.Close()
-	if o, _ := asked(t, c, by(1, "/two"), faultyWait); o.Status != control.ConnectFailed || c.gotAnswer {
+	if o, _ := sendOn(t, c, getFrom(1, "/two"), faultDeadline); o.Status != control.ConnectFailed || c.gotAnswer {
 		t.Errorf("ended with %v, heard of: %t", o.Status, c.gotAnswer)
 	}
 }
--- a/internal/egress/second_answer_test.go
+++ b/internal/egress/second_answer_test.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	warmUps     = 32                     // requests before a fault, so that connections are reused
-	answersSoon = 500 * time.Millisecond // a request that the server answers at once takes no longer
-	faultyWait  = time.Second            // the deadline of a request that the server may leave unanswered
+	warmUps       = 32                     // requests before a fault, so that connections are reused
+	maxAnswerTime = 500 * time.Millisecond // a request that the server answers at once takes no longer
+	faultDeadline = time.Second            // the deadline of a request that the server may leave unanswered
 
 	distinctQuery = "distinct=" // begins the queries of the requests that teach sends
 )
@@ -120,7 +120,7 @@
 func ownBody(r *http.Request) string { return "answer to " + r.RequestURI }
 
 // okToPosts is the body of a server that answers all writes alike.
-func okToPosts(r *http.Request) string {
+func okForPosts(r *http.Request) string {
 	if r.Method == http.MethodPost {
 		return "ok"
 	}
@@ -140,9 +140,9 @@
 	return fmt.Sprintf("%s%x\r\n%s\r\n0\r\n\r\n", head, len(body), body)
 }
 
-func behindContinue(body string) string { return "HTTP/1.1 100 Continue\r\n\r\n" + withLength(body) }
+func afterContinue(body string) string { return "HTTP/1.1 100 Continue\r\n\r\n" + withLength(body) }
 
-func behindEarlyHints(body string) string {
+func afterEarlyHints(body string) string {
 	return "HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n" + withLength(body)
 }
 
@@ -159,10 +159,10 @@
 
 // secondAnswer is a fault: /one is answered a second time, on its connection, when a later request has been read there.
 type secondAnswer struct {
-	body   string              // of both answers to /one, with its query behind it
-	frame  func(string) string // of the second answer
-	behind int                 // requests that come after /one, up to the one that is under way then
-	then   ending
+	body          string              // of both answers to /one, with its query behind it
+	frame         func(string) string // of the second answer
+	requestsAfter int                 // requests that come after /one, up to the one that is under way then
+	then          ending
 }
 
 func (f secondAnswer) newScript() connectionScript {
@@ -172,11 +172,11 @@
 			since, body = 0, f.body+r.URL.RawQuery
 			return withLength(body), false
 		}
-		own := withLength(okToPosts(r))
+		own := withLength(okForPosts(r))
 		if since >= 0 {
 			since++
 		}
-		if since != f.behind {
+		if since != f.requestsAfter {
 			return own, false
 		}
 		since = -1
@@ -188,7 +188,7 @@
 }
 
 // besideDistinct is a script whose server answers requests with distinctQuery each in its own way.
-func besideDistinct(newScript func() connectionScript) func() connectionScript {
+func withDistinct(newScript func() connectionScript) func() connectionScript {
 	return func() connectionScript {
 		next := newScript()
 		return func(r *http.Request) (string, bool) {
@@ -205,7 +205,7 @@
 	*scriptedServer
 	t *testing.T
 	*entry
-	taught int // requests that teach sent
+	distinctSent int // requests that teach sent
 }
 
 func startTarget(t *testing.T, conns int, newScript func() connectionScript) *scriptedTarget {
@@ -255,7 +255,7 @@
 	s.t.Helper()
 	began := time.Now()
 	body, status := s.send(r, 5*time.Second)
-	if took := time.Since(began); took > answersSoon {
+	if took := time.Since(began); took > maxAnswerTime {
 		s.t.Errorf("%s took %v", name, took)
 	}
 	if body != want || status != control.OK {
@@ -274,16 +274,16 @@
 
 // wantNotCrossed sends the request under way when the second answer comes, the last of n from /one on. Where it came on
 // another connection than they did nothing can cross, and it has its own answer.
-func (s *scriptedTarget) wantNotCrossed(r *Request, n int, own string, then ending) (forced bool) {
+func (s *scriptedTarget) wantNotCrossed(r *Request, n int, own string, then ending) (sameConn bool) {
 	s.t.Helper()
-	body, status := s.send(r, faultyWait)
-	forced = s.onOneConnection(n)
-	s.t.Logf("one connection for all: %t; got %q, %v", forced, body, status)
-	if !forced || then == answersItself {
+	body, status := s.send(r, faultDeadline)
+	sameConn = s.onOneConnection(n)
+	s.t.Logf("one connection for all: %t; got %q, %v", sameConn, body, status)
+	if !sameConn || then == answersItself {
 		if body != own || status != control.OK {
 			s.t.Errorf("got %q, %v, want its own answer %q", body, status, own)
 		}
-		return forced
+		return sameConn
 	}
 	if status != control.Reset && status != control.Timeout {
 		s.t.Errorf("got the answer of /one: %q, %v", body, status)
@@ -292,7 +292,7 @@
 }
 
 // wantForced is wantNotCrossed where the last n requests must come on one connection.
-func (s *scriptedTarget) wantForced(r *Request, n int, own string, then ending) {
+func (s *scriptedTarget) wantSameConnection(r *Request, n int, own string, then ending) {
 	s.t.Helper()
 	if !s.wantNotCrossed(r, n, own, then) {
 		s.t.Error("the requests came on different connections")
@@ -305,11 +305,11 @@
 	target := startTarget(t, 1, f.newScript)
 	target.warmUp(warmUps)
 	target.wantOK("/one", get("/one"), f.body)
-	for i := range f.behind - 1 {
+	for i := range f.requestsAfter - 1 {
 		path := "/between/" + strconv.Itoa(i)
 		target.wantOK(path, get(path), "answer to "+path)
 	}
-	target.wantForced(get("/last"), f.behind+1, "answer to /last", f.then)
+	target.wantSameConnection(get("/last"), f.requestsAfter+1, "answer to /last", f.then)
 }
 
 // Guards against a request that is never answered getting the second answer of the one before it.
@@ -317,7 +317,7 @@
 	for _, then := range []ending{closesConnection, staysSilent} {
 		t.Run(then.String(), func(t *testing.T) {
 			t.Parallel()
-			testSecondAnswer(t, secondAnswer{body: "of one", frame: withLength, behind: 1, then: then})
+			testSecondAnswer(t, secondAnswer{body: "of one", frame: withLength, requestsAfter: 1, then: then})
 		})
 	}
 }
@@ -327,7 +327,7 @@
 	for _, then := range []ending{closesConnection, staysSilent} {
 		t.Run(then.String(), func(t *testing.T) {
 			t.Parallel()
-			target := startTarget(t, 1, secondAnswer{body: "of one, ", frame: withLength, behind: 1, then: then}.newScript)
+			target := startTarget(t, 1, secondAnswer{body: "of one, ", frame: withLength, requestsAfter: 1, then: then}.newScript)
 			target.warmUp(warmUps)
 			for round := range 3 {
 				query := "round=" + strconv.Itoa(round)
@@ -343,7 +343,7 @@
 	for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 		t.Run(then.String(), func(t *testing.T) {
 			t.Parallel()
-			testSecondAnswer(t, secondAnswer{body: "of one", frame: withLength, behind: 2, then: then})
+			testSecondAnswer(t, secondAnswer{body: "of one", frame: withLength, requestsAfter: 2, then: then})
 		})
 	}
 }
@@ -353,11 +353,11 @@
 	for _, c := range []struct {
 		name  string
 		frame func(string) string
-	}{{"chunked", chunked}, {"behind 100", behindContinue}, {"behind 103", behindEarlyHints}} {
+	}{{"chunked", chunked}, {"behind 100", afterContinue}, {"behind 103", afterEarlyHints}} {
 		for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 			t.Run(c.name+"/"+then.String(), func(t *testing.T) {
 				t.Parallel()
-				testSecondAnswer(t, secondAnswer{body: "of one", frame: c.frame, behind: 1, then: then})
+				testSecondAnswer(t, secondAnswer{body: "of one", frame: c.frame, requestsAfter: 1, then: then})
 			})
 		}
 	}
@@ -372,7 +372,7 @@
 		for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 			t.Run(c.name+"/"+then.String(), func(t *testing.T) {
 				t.Parallel()
-				testSecondAnswer(t, secondAnswer{frame: c.frame, behind: 1, then: then})
+				testSecondAnswer(t, secondAnswer{frame: c.frame, requestsAfter: 1, then: then})
 			})
 		}
 	}
@@ -389,7 +389,7 @@
 		for _, then := range []ending{closesConnection, staysSilent} {
 			t.Run(c.method+" "+c.header+"/"+then.String(), func(t *testing.T) {
 				t.Parallel()
-				fault := secondAnswer{body: "run as 1", frame: withLength, behind: 1, then: then}
+				fault := secondAnswer{body: "run as 1", frame: withLength, requestsAfter: 1, then: then}
 				target := startTarget(t, 1, fault.newScript)
 				target.warmUp(warmUps)
 				with := func(value string) *Request {
@@ -400,7 +400,7 @@
 					return Encode(c.method, "/one", "t", http.Header{c.header: {value}}, body, nil)
 				}
 				target.wantOK("the first", with("a"), "run as 1")
-				target.wantForced(with("b"), 2, "run as 1", then)
+				target.wantSameConnection(with("b"), 2, "run as 1", then)
 			})
 		}
 	}
@@ -408,7 +408,7 @@
 
 // cannotBeSentAgain makes requests to /one that differ only in their X-Request-ID, or in the rest of a body that is sent on as it
 // comes in.
-var cannotBeSentAgain = map[string]func(id string) *Request{
+var nonRepeatable = map[string]func(id string) *Request{
 	"unsafe": func(id string) *Request {
 		return Encode(http.MethodPost, "/one", "t", http.Header{"X-Request-ID": {id}}, []byte("move"), nil)
 	},
@@ -417,15 +417,15 @@
 
 // Guards against an unsafe request or an upload getting the second answer of the one before it on its connection.
 func TestRequestThatCannotBeSentAgainDoesNotGetASecondAnswer(t *testing.T) {
-	for name, with := range cannotBeSentAgain {
+	for name, with := range nonRepeatable {
 		for _, then := range []ending{closesConnection, staysSilent} {
 			t.Run(name+"/"+then.String(), func(t *testing.T) {
 				t.Parallel()
-				c := scriptedConnThen(t, knowing(), then, of("run as 1"), of("run as 1"))
-				if o, reuse := asked(t, c, with("a"), faultyWait); bodyOf(o) != "run as 1" || !reuse {
+				c := scriptedConnThen(t, sampledStats(), then, answering("run as 1"), answering("run as 1"))
+				if o, reuse := sendOn(t, c, with("a"), faultDeadline); bodyOf(o) != "run as 1" || !reuse {
 					t.Fatalf("the first got %q, %v", bodyOf(o), o.Status)
 				}
-				o, _ := asked(t, c, with("b"), faultyWait)
+				o, _ := sendOn(t, c, with("b"), faultDeadline)
 				if o.Status != control.Reset && o.Status != control.Timeout {
 					t.Errorf("got the answer of the first: %q, %v", bodyOf(o), o.Status)
 				}
@@ -446,17 +446,17 @@
 	for _, path := range []struct {
 		name            string
 		conns, distinct int
-	}{{"new path", 1, 0}, {"path of different answers", 2, distinctFrom}} {
-		for name, with := range cannotBeSentAgain {
+	}{{"new path", 1, 0}, {"path of different answers", 2, distinctRun}} {
+		for name, with := range nonRepeatable {
 			for _, then := range []ending{closesConnection, staysSilent} {
 				t.Run(path.name+"/"+name+"/"+then.String(), func(t *testing.T) {
 					t.Parallel()
-					fault := secondAnswer{body: "run as 1", frame: withLength, behind: 1, then: then}
-					target := startTarget(t, path.conns, besideDistinct(fault.newScript))
+					fault := secondAnswer{body: "run as 1", frame: withLength, requestsAfter: 1, then: then}
+					target := startTarget(t, path.conns, withDistinct(fault.newScript))
 					target.warmUp(warmUps)
-					target.teach("/one", path.distinct)
+					target.sendDistinct("/one", path.distinct)
 					target.wantOK("the first", with("a"), "run as 1")
-					target.teach("/one", min(1, path.distinct))
+					target.sendDistinct("/one", min(1, path.distinct))
 					if target.wantNotCrossed(with("b"), 2, "run as 1", then) {
 						t.Error("both came on one connection")
 					}
@@ -467,18 +467,18 @@
 }
 
 // Guards against a second answer getting through at a server that answers other requests alike.
-func TestAlikeAnswersLetNoSecondAnswerThrough(t *testing.T) {
+func TestIdenticalAnswersLetNoSecondAnswerThrough(t *testing.T) {
 	for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 		t.Run(then.String(), func(t *testing.T) {
 			t.Parallel()
-			target := startTarget(t, 1, secondAnswer{body: "of one", frame: withLength, behind: 1, then: then}.newScript)
-			target.wantAll(numberedRequests(2*warmUps, okToPosts), 1)
+			target := startTarget(t, 1, secondAnswer{body: "of one", frame: withLength, requestsAfter: 1, then: then}.newScript)
+			target.wantAll(numberedRequests(2*warmUps, okForPosts), 1)
 			for i := range 4 {
 				r := Encode(http.MethodPost, "/write", "t", http.Header{}, []byte(strconv.Itoa(i)), nil)
 				target.wantOK("POST /write", r, "ok")
 			}
 			target.wantOK("/one", get("/one"), "of one")
-			target.wantForced(get("/last"), 2, "answer to /last", then)
+			target.wantSameConnection(get("/last"), 2, "answer to /last", then)
 		})
 	}
 }
@@ -506,13 +506,13 @@
 }
 
 // numbered is a request that a server without a fault answers with body.
-type numbered struct {
+type numberedRequest struct {
 	request *Request
 	body    string
 }
 
 // alikeServers make the answers of servers that give different requests the same body.
-var alikeServers = []struct {
+var identicalAnswerServers = []struct {
 	name string
 	body func(r *http.Request) string
 }{
@@ -522,12 +522,12 @@
 		number, _ := strconv.ParseUint(strings.TrimPrefix(r.URL.Path, "/"), 10, 64)
 		return "choice " + strconv.Itoa(rand.New(rand.NewPCG(1, number)).IntN(3))
 	}},
-	{"one body for POST", okToPosts},
+	{"one body for POST", okForPosts},
 }
 
 // numberedRequests are n different requests, GET and POST in turn.
-func numberedRequests(n int, body func(*http.Request) string) []numbered {
-	all := make([]numbered, n)
+func numberedRequests(n int, body func(*http.Request) string) []numberedRequest {
+	all := make([]numberedRequest, n)
 	for i := range all {
 		method, uri := http.MethodGet, "/"+strconv.Itoa(i)
 		var content []byte
@@ -536,15 +536,15 @@
 		}
 		r, _ := http.NewRequest(method, uri, nil)
 		r.RequestURI = uri
-		all[i] = numbered{Encode(method, uri, "t", http.Header{}, content, nil), body(r)}
+		all[i] = numberedRequest{Encode(method, uri, "t", http.Header{}, content, nil), body(r)}
 	}
 	return all
 }
 
 // wantAll sends requests, some at a time, all of which must be answered with their own bodies, and soon.
-func (s *scriptedTarget) wantAll(all []numbered, atATime int) {
+func (s *scriptedTarget) wantAll(all []numberedRequest, atATime int) {
 	s.t.Helper()
-	next := make(chan numbered)
+	next := make(chan numberedRequest)
 	var workers sync.WaitGroup
 	for range atATime {
 		workers.Go(func() {
@@ -561,8 +561,8 @@
 }
 
 // Guards against answers being lost or held up for long where a server gives different requests the same body.
-func TestAlikeAnswersAreNeitherLostNorHeldUp(t *testing.T) {
-	for _, c := range alikeServers {
+func TestIdenticalAnswersAreNeitherLostNorDelayed(t *testing.T) {
+	for _, c := range identicalAnswerServers {
 		for _, atATime := range []int{1, 8} {
 			t.Run(fmt.Sprintf("%s/%d at a time", c.name, atATime), func(t *testing.T) {
 				target := startTarget(t, 16, answersOnce(c.body))
@@ -590,7 +590,7 @@
 }
 
 // Guards against memory that grows with the number of different answers that a server has given.
-func TestManyDifferentAnswersTakeNoMemory(t *testing.T) {
+func TestManyDifferentAnswersDoNotGrowTheHeap(t *testing.T) {
 	const most = 1 << 20
 	target := startTarget(t, 4, answersOnce(ownBody))
 	target.warmUp(1000)
@@ -627,7 +627,7 @@
 	})
 	target.warmUp(warmUps)
 	target.wantOK("/one", get("/one"), body)
-	ctx, cancel := context.WithTimeout(t.Context(), faultyWait)
+	ctx, cancel := context.WithTimeout(t.Context(), faultDeadline)
 	defer cancel()
 	o := target.exchange(core.Attempt{Ctx: ctx, Payload: get("/last")})
 	reply, ok := o.Reply.(*Reply)
--- a/internal/egress/target_test.go
+++ b/internal/egress/target_test.go
@@ -12,13 +12,13 @@
 
 // over is the context of an attempt that ends just as its connection comes: whoever waits for both sees the
 // connection.
-type over struct {
+type endedContext struct {
 	context.Context
-	why error
+	err error
 }
 
-func (o over) Done() <-chan struct{} { return nil }
-func (o over) Err() error            { return o.why }
+func (c endedContext) Done() <-chan struct{} { return nil }
+func (c endedContext) Err() error            { return c.err }
 
 // An attempt whose time or client is gone when its connection comes up, or whose key is no longer known, is not sent,
 // and says that it never was; the next one has the connection.
@@ -29,8 +29,8 @@
 		before time.Time
 		want   control.Status
 	}{
-		{"called off", over{context.Background(), context.Canceled}, time.Time{}, control.Cancelled},
-		{"out of time", over{context.Background(), context.DeadlineExceeded}, time.Time{}, control.ConnectFailed},
+		{"called off", endedContext{context.Background(), context.Canceled}, time.Time{}, control.Cancelled},
+		{"out of time", endedContext{context.Background(), context.DeadlineExceeded}, time.Time{}, control.ConnectFailed},
 		{"behind its window", context.Background(), time.Unix(1, 0), control.Moot},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 }
 
 // reused is a target's actor, not running, with one connection that has just been used.
-func reused(t *testing.T) (a *target, c *conn, far net.Conn) {
+func newReusedTarget(t *testing.T) (a *target, c *conn, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,10 +88,10 @@
 		site:    &site{Options: Options{ConnectTimeout: 5 * time.Second, ConnIdle: time.Minute, Conns: 1}, permits: make(chan struct{}, 1)},
 		mailbox: make(chan any, mailboxSize), ctx: ctx, stop: cancel, ready: true, address: l.Addr().String(),
 	}
-	lease := &connRequest{result: make(chan *conn, 1)}
-	a.handle(lease)
+	req := &connRequest{result: make(chan *conn, 1)}
+	a.handle(req)
 	a.handle(<-a.mailbox) // dialed
-	if c = <-lease.result; c == nil {
+	if c = <-req.result; c == nil {
 		t.Fatal("no connection")
 	}
 	t.Cleanup(func() { c.Close() })
@@ -106,8 +106,8 @@
 
 // A second answer that comes some milliseconds behind the first is not taken for that of the next request: the
 // connection rests first, and the answer shows meanwhile.
-func TestSecondAnswerIsNotTheNextOnes(t *testing.T) {
-	a, c, far := reused(t)
+func TestSecondAnswerIsNotReadByTheNextRequest(t *testing.T) {
+	a, c, far := newReusedTarget(t)
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	select {
@@ -128,8 +128,8 @@
 }
 
 // A connection that has rested with nothing on it is used again, with no other one opened for whoever waits for it.
-func TestRestedConnectionIsUsedAgain(t *testing.T) {
-	a, c, _ := reused(t)
+func TestConnectionIsReusedAfterDelay(t *testing.T) {
+	a, c, _ := newReusedTarget(t)
 	c.lastUsed = time.Now()
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
@@ -148,11 +148,11 @@
 }
 
 // A target that answers quickly is not held up by rests that take longer than its answers.
-func TestQuickTargetsRestLess(t *testing.T) {
-	a, c, _ := reused(t)
+func TestReuseDelayFollowsAnswerTime(t *testing.T) {
+	a, c, _ := newReusedTarget(t)
 	for range 100 {
 		c.answerTime = time.Millisecond
-		a.handle(connReleased{<-leased(a, c)})
+		a.handle(connReleased{<-acquireReused(a, c)})
 	}
 	if rest := a.reuseDelay(); rest > time.Millisecond/reuseDelayDivisor*11/10 {
 		t.Errorf("it rests for %v", rest)
@@ -160,16 +160,16 @@
 }
 
 // leased hands a rested connection out.
-func leased(a *target, c *conn) chan *conn {
+func acquireReused(a *target, c *conn) chan *conn {
 	c.lastUsed = time.Now().Add(-maxReuseDelay)
-	l := &connRequest{result: make(chan *conn, 1)}
-	a.handle(l)
-	return l.result
+	req := &connRequest{result: make(chan *conn, 1)}
+	a.handle(req)
+	return req.result
 }
 
 // Many connections are a load that rests would hold up: there each is used again at once.
-func TestManyConnectionsDoNotRest(t *testing.T) {
-	a, c, _ := reused(t)
+func TestManyConnectionsAreReusedAtOnce(t *testing.T) {
+	a, c, _ := newReusedTarget(t)
 	a.open += maxDelayedConns
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
@@ -179,9 +179,9 @@
 }
 
 // two is reused with a second connection that has been used after the first, and a target that has many.
-func two(t *testing.T) (a *target, first, second *conn, far net.Conn) {
+func newTargetWithTwoConns(t *testing.T) (a *target, first, second *conn, far net.Conn) {
 	t.Helper()
-	a, first, far = reused(t)
+	a, first, far = newReusedTarget(t)
 	near, other := net.Pipe()
 	t.Cleanup(func() { near.Close(); other.Close() })
 	a.site.permits, a.open = make(chan struct{}, 2*maxDelayedConns), maxDelayedConns+1
@@ -195,8 +195,8 @@
 }
 
 // Where there are many connections that have not rested, the one that has rested longest is used, and none is waited for.
-func TestManyConnectionsUseTheOneThatRestedLongest(t *testing.T) {
-	a, first, _, _ := two(t)
+func TestManyConnectionsUseTheLongestIdleOne(t *testing.T) {
+	a, first, _, _ := newTargetWithTwoConns(t)
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	if len(next.result) == 0 {
@@ -209,8 +209,8 @@
 
 // A target that has sent something unasked has all its connections rest, many or few, and others are opened meanwhile;
 // some seconds later it is as before.
-func TestSecondAnswerMakesAllConnectionsRest(t *testing.T) {
-	a, first, second, far := two(t)
+func TestSecondAnswerDelaysReuseOfAllConnections(t *testing.T) {
+	a, first, second, far := newTargetWithTwoConns(t)
 	far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore")) // on loopback it lies there at once
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
@@ -235,7 +235,7 @@
 
 // Guards against the next request waiting for a handshake where a connection was given up for a refusal alone.
 func TestRefusedConnectionIsReplacedAtOnce(t *testing.T) {
-	a, c, _ := reused(t)
+	a, c, _ := newReusedTarget(t)
 	a.idle = nil // its attempt is out
 	c.Close()
 	a.handle(connClosed{answered: true, replace: true})
@@ -250,8 +250,8 @@
 }
 
 // Guards against connections of use for one request alone taking the place of those that any request may use.
-func TestOneStreamedConnectionRests(t *testing.T) {
-	a, first, second, _ := two(t)
+func TestOneEqualOnlyConnectionIsKeptIdle(t *testing.T) {
+	a, first, second, _ := newTargetWithTwoConns(t)
 	first.equalOnly, first.onlyRequest = true, 1
 	a.idle = a.idle[:1] // second's attempt is out
 	second.equalOnly, second.onlyRequest = true, 2
--- a/internal/egress/unsafe_test.go
+++ b/internal/egress/unsafe_test.go
@@ -12,24 +12,24 @@
 	"junctionring/control"
 )
 
-const distinctFrom = 8 // different answers of a path in a row, after which the next might be expected to differ, too
+const distinctRun = 8 // different answers of a path in a row, after which the next might be expected to differ, too
 
 func post(uri, body string) *Request {
 	return Encode(http.MethodPost, uri, "t", http.Header{}, []byte(body), nil)
 }
 
 // teach has n unsafe requests of a path answered, each in its own way.
-func (s *scriptedTarget) teach(path string, n int) {
+func (s *scriptedTarget) sendDistinct(path string, n int) {
 	s.t.Helper()
 	for range n {
-		s.taught++
-		uri := path + "?" + distinctQuery + strconv.Itoa(s.taught)
+		s.distinctSent++
+		uri := path + "?" + distinctQuery + strconv.Itoa(s.distinctSent)
 		s.wantOK(uri, post(uri, "move"), "answer to "+uri)
 	}
 }
 
 // alikeAt answers all requests to a path alike, and others each in its own way.
-func alikeAt(path string) func() connectionScript {
+func identicalAt(path string) func() connectionScript {
 	return answersOnce(func(r *http.Request) string {
 		if r.URL.Path == path && r.URL.RawQuery == "" {
 			return "ok"
@@ -39,35 +39,35 @@
 }
 
 // wantAlike sends requests that are all answered alike, and none of whose answers may be lost.
-func (s *scriptedTarget) wantAlike(requests ...*Request) {
+func (s *scriptedTarget) wantIdentical(requests ...*Request) {
 	s.t.Helper()
 	for i, r := range requests {
-		if body, status := s.send(r, faultyWait); body != "ok" || status != control.OK {
+		if body, status := s.send(r, faultDeadline); body != "ok" || status != control.OK {
 			s.t.Errorf("request %d, which ran, ended with %q, %v", i, body, status)
 		}
 	}
 }
 
 // Guards against an unsafe request being lost on a path answered alike, since other paths are answered each in its own way.
-func TestAlikeAnswerBehindPathsOfDistinctOnesIsNotLost(t *testing.T) {
-	target := startTarget(t, 1, alikeAt("/write"))
+func TestIdenticalAnswerAfterPathsOfDistinctOnesIsNotLost(t *testing.T) {
+	target := startTarget(t, 1, identicalAt("/write"))
 	target.warmUp(warmUps)
 	for i := range 64 {
-		target.teach("/other/"+strconv.Itoa(i), 1)
+		target.sendDistinct("/other/"+strconv.Itoa(i), 1)
 	}
-	target.teach("/another", 2*distinctFrom)
-	target.wantAlike(post("/write", "0"), post("/write", "1"), post("/write", "2"))
+	target.sendDistinct("/another", 2*distinctRun)
+	target.wantIdentical(post("/write", "0"), post("/write", "1"), post("/write", "2"))
 }
 
 // Guards against a keyed request being lost whose body was still coming in, and so can't be sent again.
-func TestAlikeAnswerToAKeyedUploadIsNotLost(t *testing.T) {
-	target := startTarget(t, 1, alikeAt("/write"))
+func TestIdenticalAnswerToAKeyedUploadIsNotLost(t *testing.T) {
+	target := startTarget(t, 1, identicalAt("/write"))
 	target.warmUp(warmUps)
 	keyed := func(key string) *Request {
 		return Encode(http.MethodPost, "/write", "t", http.Header{"Idempotency-Key": {key}}, []byte("begins"),
 			&Upload{Length: -1, Next: strings.NewReader(key).Read})
 	}
-	target.wantAlike(keyed("a"), keyed("b"), keyed("c"))
+	target.wantIdentical(keyed("a"), keyed("b"), keyed("c"))
 }
 
 // Guards against requests that can't be sent again opening more than one connection each, and against more being open at
@@ -156,32 +156,32 @@
 }
 
 // Guards against an unsafe request that ran being lost on a path of whose answers many differed before, and then are alike.
-func TestAlikeAnswersBehindDistinctOnesAreNotLost(t *testing.T) {
+func TestIdenticalAnswersAfterDistinctOnesAreNotLost(t *testing.T) {
 	for _, conns := range []int{1, 4} {
 		t.Run(strconv.Itoa(conns), func(t *testing.T) {
-			target := startTarget(t, conns, alikeAt("/write"))
+			target := startTarget(t, conns, identicalAt("/write"))
 			target.warmUp(warmUps)
-			target.teach("/write", 4*distinctFrom)
-			target.wantAlike(post("/write", "0"), post("/write", "1"), post("/write", "2"), post("/write", "3"))
+			target.sendDistinct("/write", 4*distinctRun)
+			target.wantIdentical(post("/write", "0"), post("/write", "1"), post("/write", "2"), post("/write", "3"))
 		})
 	}
 }
 
 // Guards against the same where another answer came between the two that are alike, on another connection.
-func TestAlikeAnswersAmongDistinctOnesAreNotLost(t *testing.T) {
-	target := startTarget(t, 2, alikeAt("/write"))
+func TestIdenticalAnswersAmongDistinctOnesAreNotLost(t *testing.T) {
+	target := startTarget(t, 2, identicalAt("/write"))
 	target.warmUp(warmUps)
-	target.teach("/write", distinctFrom)
-	target.wantAlike(post("/write", "0"))
-	target.teach("/write", 1)
-	target.wantAlike(post("/write", "1"))
+	target.sendDistinct("/write", distinctRun)
+	target.wantIdentical(post("/write", "0"))
+	target.sendDistinct("/write", 1)
+	target.wantIdentical(post("/write", "1"))
 }
 
 // Guards against a second answer that refuses saying of the next request that it never ran, on a path of whose answers many
 // differed before.
 func TestSecondAnswerThatRefusesOnAKnownPathDoesNotCountAsNeverRun(t *testing.T) {
 	const refusal = "HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-	target := startTarget(t, 4, besideDistinct(func() connectionScript {
+	target := startTarget(t, 4, withDistinct(func() connectionScript {
 		second := false
 		return func(r *http.Request) (string, bool) {
 			own := withLength(ownBody(r))
@@ -193,19 +193,19 @@
 		}
 	}))
 	target.warmUp(warmUps)
-	target.teach("/two", distinctFrom)
+	target.sendDistinct("/two", distinctRun)
 	target.wantOK("/one", get("/one"), "answer to /one")
 	target.wantOK("/two", post("/two", "move"), "answer to /two")
 
-	h := knowing()
-	c := scriptedConn(t, h, of("of one"), refusal+of("of two"))
-	asked(t, c, by(1, "/one"), faultyWait)
+	h := sampledStats()
+	c := scriptedConn(t, h, answering("of one"), refusal+answering("of two"))
+	sendOn(t, c, getFrom(1, "/one"), faultDeadline)
 	r := post("/two", "move")
-	if !goesOn(c, r) {
+	if !mayCarry(c, r) {
 		t.Log("it goes out on another connection")
 		return
 	}
-	if o, _ := asked(t, c, r, faultyWait); o.Status == control.Full {
+	if o, _ := sendOn(t, c, r, faultDeadline); o.Status == control.Full {
 		t.Error("/two ran, and counts as never run")
 	}
 }
--- a/internal/egress/used_connection_test.go
+++ b/internal/egress/used_connection_test.go
@@ -21,7 +21,7 @@
 	return context.WithTimeout(t.Context(), d)
 }
 
-func refusesDials(context.Context, string, string) (net.Conn, error) {
+func refuseDial(context.Context, string, string) (net.Conn, error) {
 	return nil, errors.New("refused")
 }
 
@@ -29,13 +29,13 @@
 type step string
 
 // scriptedConn is a connection to a peer that writes one step for each request, in order, and then nothing more.
-func scriptedConn(t *testing.T, h *answerStats, steps ...step) *conn {
+func scriptedConn(t *testing.T, stats *answerStats, steps ...step) *conn {
 	t.Helper()
-	return scriptedConnThen(t, h, staysSilent, steps...)
+	return scriptedConnThen(t, stats, staysSilent, steps...)
 }
 
 // scriptedConnThen is scriptedConn whose peer may close the connection behind the last step.
-func scriptedConnThen(t *testing.T, h *answerStats, then ending, steps ...step) *conn {
+func scriptedConnThen(t *testing.T, stats *answerStats, then ending, steps ...step) *conn {
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
@@ -54,11 +54,11 @@
 		}
 		http.ReadRequest(in) // until it is closed
 	}()
-	return newConn(near, "pipe", h)
+	return newConn(near, "pipe", stats)
 }
 
 // of is a step that answers with these bodies, one after another.
-func of(bodies ...string) step {
+func answering(bodies ...string) step {
 	var s strings.Builder
 	for _, b := range bodies {
 		s.WriteString(withLength(b))
@@ -67,7 +67,7 @@
 }
 
 // asked carries a request out on a connection as an attempt would.
-func asked(t *testing.T, c *conn, r *Request, deadline time.Duration) (o core.Outcome, reuse bool) {
+func sendOn(t *testing.T, c *conn, r *Request, deadline time.Duration) (o core.Outcome, reuse bool) {
 	t.Helper()
 	ctx, cancel := contextFor(t, deadline)
 	defer cancel()
@@ -87,49 +87,49 @@
 }
 
 // by is a request of a customer, with headers in pairs.
-func by(customer uint64, path string, headers ...string) *Request {
-	h := http.Header{}
+func getFrom(customer uint64, path string, headers ...string) *Request {
+	header := http.Header{}
 	for i := 0; i+1 < len(headers); i += 2 {
-		h.Set(headers[i], headers[i+1])
+		header.Set(headers[i], headers[i+1])
 	}
-	r := Encode(http.MethodGet, path, "t", h, nil, nil)
+	r := Encode(http.MethodGet, path, "t", header, nil, nil)
 	r.Customer = customer
 	return r
 }
 
 // knowing is a history that has learned enough for connections to be used for different requests, and that these
 // answers are common.
-func knowing(commons ...string) *answerStats {
-	h := &answerStats{tracker: newAnswerTracker()}
+func sampledStats(common ...string) *answerStats {
+	stats := &answerStats{tracker: newAnswerTracker()}
 	for i := range baseSamples {
-		h.tracker.record(fingerprint(1000+i), fingerprint(2000+i), time.Now())
+		stats.tracker.record(fingerprint(1000+i), fingerprint(2000+i), time.Now())
 	}
-	for _, body := range commons {
+	for _, body := range common {
 		for i := range 2 {
-			h.tracker.record(fingerprintOf([]byte(body)), fingerprint(3000+i), time.Now())
+			stats.tracker.record(fingerprintOf([]byte(body)), fingerprint(3000+i), time.Now())
 		}
 	}
-	return h
+	return stats
 }
 
 // isCommon tells whether a body is known to be given to different requests.
-func isCommon(h *answerStats, body string) bool {
-	return h.tracker.anyCommon([]pastAnswer{{answer: fingerprintOf([]byte(body))}}, time.Now())
+func isCommon(stats *answerStats, body string) bool {
+	return stats.tracker.anyCommon([]pastAnswer{{answer: fingerprintOf([]byte(body))}}, time.Now())
 }
 
 // goesOn tells whether the target would use the connection for the request, once it has rested.
-func goesOn(c *conn, r *Request) bool {
+func mayCarry(c *conn, r *Request) bool {
 	return !c.unusable() && newConnRequest(r.identity(repeatOf(r))).canUse(c)
 }
 
 // wantNoneOf sends the last request on the connection where the target would, and wants none of these answers for it.
 func wantNoneOf(t *testing.T, c *conn, reuse bool, r *Request, others ...string) {
 	t.Helper()
-	if !reuse || !goesOn(c, r) {
+	if !reuse || !mayCarry(c, r) {
 		t.Log("it goes out on another connection")
 		return
 	}
-	o, _ := asked(t, c, r, faultyWait)
+	o, _ := sendOn(t, c, r, faultDeadline)
 	for _, other := range others {
 		if body := bodyOf(o); o.Status == control.OK && body == other {
 			t.Errorf("got the answer of another request: %q", body)
@@ -139,13 +139,13 @@
 
 // Guards against a request getting the own answer of the one before, which was given a common second answer.
 func TestOwnAnswerBehindACommonOneIsNotGivenToTheNextRequest(t *testing.T) {
-	c := scriptedConn(t, knowing("ok"), of("ok"), of("ok"), of("private of two"))
-	if o, reuse := asked(t, c, by(1, "/one"), faultyWait); bodyOf(o) != "ok" || !reuse {
+	c := scriptedConn(t, sampledStats("ok"), answering("ok"), answering("ok"), answering("private of two"))
+	if o, reuse := sendOn(t, c, getFrom(1, "/one"), faultDeadline); bodyOf(o) != "ok" || !reuse {
 		t.Fatalf("/one got %q, %v", bodyOf(o), o.Status)
 	}
-	o, reuse := asked(t, c, by(2, "/two"), faultyWait)
+	o, reuse := sendOn(t, c, getFrom(2, "/two"), faultDeadline)
 	t.Logf("/two got %q, %v", bodyOf(o), o.Status)
-	wantNoneOf(t, c, reuse, by(3, "/three"), "private of two")
+	wantNoneOf(t, c, reuse, getFrom(3, "/three"), "private of two")
 }
 
 // Guards against each later answer of a connection going to the request after its own.
@@ -174,10 +174,10 @@
 		target.wantOK("/common", get("/common?"+strconv.Itoa(i)), "ok")
 	}
 	target.wantOK("/one", get("/one"), "ok")
-	body, status := target.send(get("/two"), faultyWait)
+	body, status := target.send(get("/two"), faultDeadline)
 	t.Logf("/two got %q, %v", body, status)
 	for _, path := range []string{"/three", "/four", "/five"} {
-		if body, status := target.send(get(path), faultyWait); status == control.OK && body != "answer to "+path {
+		if body, status := target.send(get(path), faultDeadline); status == control.OK && body != "answer to "+path {
 			t.Errorf("%s got %q", path, body)
 		}
 	}
@@ -186,10 +186,10 @@
 
 // Guards against a request getting the own answer of an equal read before it, which was given a second answer.
 func TestOwnAnswerOfAnEqualReadIsNotGivenToTheNextRequest(t *testing.T) {
-	c := scriptedConn(t, knowing(), of("cart: 1 thing"), of("cart: 1 thing"), of("cart: 2 things"))
-	asked(t, c, by(1, "/cart", "X-Request-ID", "a"), faultyWait)
-	_, reuse := asked(t, c, by(1, "/cart", "X-Request-ID", "b"), faultyWait)
-	wantNoneOf(t, c, reuse, by(2, "/cart", "X-Request-ID", "c"), "cart: 2 things")
+	c := scriptedConn(t, sampledStats(), answering("cart: 1 thing"), answering("cart: 1 thing"), answering("cart: 2 things"))
+	sendOn(t, c, getFrom(1, "/cart", "X-Request-ID", "a"), faultDeadline)
+	_, reuse := sendOn(t, c, getFrom(1, "/cart", "X-Request-ID", "b"), faultDeadline)
+	wantNoneOf(t, c, reuse, getFrom(2, "/cart", "X-Request-ID", "c"), "cart: 2 things")
 }
 
 // Guards against a request getting the answer of a probe.
@@ -197,17 +197,17 @@
 	probe := func() *Request {
 		return &Request{Method: http.MethodGet, Head: []byte("GET /stats HTTP/1.1\r\nHost: target\r\n")}
 	}
-	c := scriptedConn(t, knowing(), of(`{"inflight":1}`), of(`{"inflight":1}`), of(`{"inflight":2}`))
-	asked(t, c, probe(), faultyWait)
-	_, reuse := asked(t, c, probe(), faultyWait)
-	wantNoneOf(t, c, reuse, by(2, "/view"), `{"inflight":2}`)
+	c := scriptedConn(t, sampledStats(), answering(`{"inflight":1}`), answering(`{"inflight":1}`), answering(`{"inflight":2}`))
+	sendOn(t, c, probe(), faultDeadline)
+	_, reuse := sendOn(t, c, probe(), faultDeadline)
+	wantNoneOf(t, c, reuse, getFrom(2, "/view"), `{"inflight":2}`)
 }
 
 // Guards against an equal read getting an answer from before, with its own behind it.
 func TestEqualReadDoesNotGetAnAnswerFromBefore(t *testing.T) {
-	c := scriptedConn(t, knowing(), of("cart: empty"), of("cart: empty", "cart: 1 thing"))
-	asked(t, c, by(1, "/cart", "X-Request-ID", "a"), faultyWait)
-	o, _ := asked(t, c, by(1, "/cart", "X-Request-ID", "b"), faultyWait)
+	c := scriptedConn(t, sampledStats(), answering("cart: empty"), answering("cart: empty", "cart: 1 thing"))
+	sendOn(t, c, getFrom(1, "/cart", "X-Request-ID", "a"), faultDeadline)
+	o, _ := sendOn(t, c, getFrom(1, "/cart", "X-Request-ID", "b"), faultDeadline)
 	if bodyOf(o) == "cart: empty" {
 		t.Error("the second read got the first one's answer, with its own behind it")
 	}
@@ -217,34 +217,34 @@
 func TestSecondAnswerBehindManyIsNotGivenToTheNextRequest(t *testing.T) {
 	for _, behind := range []int{maxPastAnswers, maxPastAnswers + 1} {
 		t.Run(strconv.Itoa(behind), func(t *testing.T) {
-			steps := []step{of("of one")}
+			steps := []step{answering("of one")}
 			for i := range behind - 1 {
-				steps = append(steps, of("between "+strconv.Itoa(i)))
+				steps = append(steps, answering("between "+strconv.Itoa(i)))
 			}
-			h := knowing()
-			c := scriptedConn(t, h, append(steps, of("of one"))...)
-			_, reuse := asked(t, c, by(1, "/one"), faultyWait)
+			h := sampledStats()
+			c := scriptedConn(t, h, append(steps, answering("of one"))...)
+			_, reuse := sendOn(t, c, getFrom(1, "/one"), faultDeadline)
 			for i := range behind - 1 {
-				if reuse && goesOn(c, by(2, "/between")) {
-					_, reuse = asked(t, c, by(2, "/between?"+strconv.Itoa(i)), faultyWait)
+				if reuse && mayCarry(c, getFrom(2, "/between")) {
+					_, reuse = sendOn(t, c, getFrom(2, "/between?"+strconv.Itoa(i)), faultDeadline)
 				}
 			}
-			wantNoneOf(t, c, reuse, by(3, "/last"), "of one")
+			wantNoneOf(t, c, reuse, getFrom(3, "/last"), "of one")
 		})
 	}
 }
 
 // Guards against one customer's answer counting as common since he asked twice.
 func TestOneCustomersAnswerIsNotCommon(t *testing.T) {
-	h := knowing()
+	h := sampledStats()
 	const private = "account of customer 1"
 	for _, trace := range []string{"a", "b"} {
-		c := scriptedConn(t, h, of(private))
-		asked(t, c, by(1, "/account", "Traceparent", trace), faultyWait)
+		c := scriptedConn(t, h, answering(private))
+		sendOn(t, c, getFrom(1, "/account", "Traceparent", trace), faultDeadline)
 	}
-	c := scriptedConn(t, h, of(private), of(private))
-	_, reuse := asked(t, c, by(1, "/account", "Traceparent", "c"), faultyWait)
-	wantNoneOf(t, c, reuse, by(2, "/account"), private)
+	c := scriptedConn(t, h, answering(private), answering(private))
+	_, reuse := sendOn(t, c, getFrom(1, "/account", "Traceparent", "c"), faultDeadline)
+	wantNoneOf(t, c, reuse, getFrom(2, "/account"), private)
 }
 
 // Guards against a customer getting another's cookie with a body that is common.
@@ -252,9 +252,9 @@
 	login := func(session string) step {
 		return step("HTTP/1.1 200 OK\r\nSet-Cookie: session=" + session + "\r\nContent-Length: 0\r\n\r\n")
 	}
-	c := scriptedConn(t, knowing(""), login("of-one"), login("of-one"))
-	asked(t, c, by(1, "/login?code=1"), faultyWait)
-	o, _ := asked(t, c, by(2, "/login?code=2"), faultyWait)
+	c := scriptedConn(t, sampledStats(""), login("of-one"), login("of-one"))
+	sendOn(t, c, getFrom(1, "/login?code=1"), faultDeadline)
+	o, _ := sendOn(t, c, getFrom(2, "/login?code=2"), faultDeadline)
 	if reply, ok := o.Reply.(*Reply); ok && reply.Header.Get("Set-Cookie") == "session=of-one" {
 		t.Error("customer 2 got the session of customer 1")
 	}
@@ -262,34 +262,34 @@
 
 // Guards against a common answer being taken with the own one behind it.
 func TestOwnAnswerBehindACommonOneIsTaken(t *testing.T) {
-	c := scriptedConn(t, knowing("ok"), of("ok"), of("ok", "of two"))
-	asked(t, c, by(1, "/one"), faultyWait)
-	if o, _ := asked(t, c, by(2, "/two"), faultyWait); bodyOf(o) == "ok" {
+	c := scriptedConn(t, sampledStats("ok"), answering("ok"), answering("ok", "of two"))
+	sendOn(t, c, getFrom(1, "/one"), faultDeadline)
+	if o, _ := sendOn(t, c, getFrom(2, "/two"), faultDeadline); bodyOf(o) == "ok" {
 		t.Error("/two got the answer of /one, with its own behind it")
 	}
 }
 
 // Guards against a second answer that refuses saying of the next request that it never ran.
 func TestSecondAnswerThatRefusesDoesNotCountAsNeverRun(t *testing.T) {
-	c := scriptedConn(t, knowing(), of("of one"), "HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"+of("of two"))
-	_, reuse := asked(t, c, by(1, "/one"), faultyWait)
+	c := scriptedConn(t, sampledStats(), answering("of one"), "HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"+answering("of two"))
+	_, reuse := sendOn(t, c, getFrom(1, "/one"), faultDeadline)
 	r := Encode(http.MethodPost, "/two", "t", http.Header{}, []byte("move"), nil)
-	if !reuse || !goesOn(c, r) {
+	if !reuse || !mayCarry(c, r) {
 		return
 	}
-	if o, _ := asked(t, c, r, faultyWait); o.Status == control.Full {
+	if o, _ := sendOn(t, c, r, faultDeadline); o.Status == control.Full {
 		t.Error("/two ran, and counts as never run")
 	}
 }
 
 // Guards against a failed dial leaving those waiting for whom no idle connection is.
-func TestFailedDialIsToldWhereIdleConnectionsDoNotFit(t *testing.T) {
-	a, c, _ := reused(t)
+func TestFailedDialIsReportedIfNoIdleConnectionSuits(t *testing.T) {
+	a, c, _ := newReusedTarget(t)
 	c.lastUsed = time.Now().Add(-maxReuseDelay)
 	a.stats.tracker = newAnswerTracker() // knows nothing: no connection is used for different requests
 	a.site.permits = make(chan struct{}, 4)
 	a.site.permits <- struct{}{}
-	a.site.Dial = refusesDials
+	a.site.Dial = refuseDial
 	next := &connRequest{result: make(chan *conn, 1), identity: identity{request: 7}}
 	a.handle(next)
 	if a.dialing != 1 {
@@ -302,13 +302,13 @@
 }
 
 // Guards against failed dials leaving those waiting that are more than may be dialled for at once.
-func TestFailedDialsAreToldToAllThatWait(t *testing.T) {
-	a, c, _ := reused(t)
+func TestFailedDialsAreReportedToAllThatWait(t *testing.T) {
+	a, c, _ := newReusedTarget(t)
 	a.idle = nil // its attempt is out
 	c.Close()
 	a.handle(connClosed{})
 	a.site.permits = make(chan struct{}, 2*maxDials)
-	a.site.Dial = refusesDials
+	a.site.Dial = refuseDial
 	var all []*connRequest
 	for range maxDials + 4 {
 		all = append(all, &connRequest{result: make(chan *conn, 1)})
@@ -323,12 +323,12 @@
 }
 
 // Guards against an unsafe request that ran being lost, as its answer is not known to be common yet.
-func TestAlikeAnswerOfAHealthyServerIsNotLost(t *testing.T) {
-	target := startTarget(t, 1, answersOnce(okToPosts))
+func TestIdenticalAnswerOfAHealthyServerIsNotLost(t *testing.T) {
+	target := startTarget(t, 1, answersOnce(okForPosts))
 	target.warmUp(warmUps)
 	for i := range 4 {
 		r := Encode(http.MethodPost, "/write", "t", http.Header{}, []byte(strconv.Itoa(i)), nil)
-		if body, status := target.send(r, faultyWait); body != "ok" || status != control.OK {
+		if body, status := target.send(r, faultDeadline); body != "ok" || status != control.OK {
 			t.Errorf("POST %d, which ran, ended with %v", i, status)
 		}
 	}
@@ -336,7 +336,7 @@
 
 // Guards against common answers being forgotten behind those that are given once.
 func TestCommonAnswerOutlivesAnswersGivenOnce(t *testing.T) {
-	h := knowing("ok")
+	h := sampledStats("ok")
 	for i := range maxTrackedEntries {
 		h.tracker.record(fingerprint(10_000+i), fingerprint(20_000+i), time.Now())
 	}
@@ -369,13 +369,13 @@
 		<-passedOn
 		io.WriteString(far, "3\r\none\r\n0\r\n\r\n")
 	}()
-	c := newConn(near, "pipe", knowing())
-	_, reuse := asked(t, c, by(1, "/one"), faultyWait)
-	r := by(2, "/two")
-	if !reuse || !goesOn(c, r) {
+	c := newConn(near, "pipe", sampledStats())
+	_, reuse := sendOn(t, c, getFrom(1, "/one"), faultDeadline)
+	r := getFrom(2, "/two")
+	if !reuse || !mayCarry(c, r) {
 		return
 	}
-	o, _ := asked(t, c, r, 5*time.Second)
+	o, _ := sendOn(t, c, r, 5*time.Second)
 	close(passedOn)
 	reply, ok := o.Reply.(*Reply)
 	if !ok {
@@ -392,16 +392,16 @@
 }
 
 // Guards against something false being learned behind a common second answer.
-func TestNothingFalseIsLearnedBehindACommonAnswer(t *testing.T) {
-	h := knowing("ok")
-	c := scriptedConn(t, h, of("ok"), of("ok"), of("private of two"))
-	asked(t, c, by(1, "/one"), faultyWait)
-	_, reuse := asked(t, c, by(2, "/two"), faultyWait)
-	if reuse && goesOn(c, by(3, "/three")) {
-		asked(t, c, by(3, "/three"), faultyWait)
-	}
-	again := scriptedConn(t, h, of("private of two"))
-	asked(t, again, by(2, "/two"), faultyWait)
+func TestNothingWrongIsRecordedAfterACommonAnswer(t *testing.T) {
+	h := sampledStats("ok")
+	c := scriptedConn(t, h, answering("ok"), answering("ok"), answering("private of two"))
+	sendOn(t, c, getFrom(1, "/one"), faultDeadline)
+	_, reuse := sendOn(t, c, getFrom(2, "/two"), faultDeadline)
+	if reuse && mayCarry(c, getFrom(3, "/three")) {
+		sendOn(t, c, getFrom(3, "/three"), faultDeadline)
+	}
+	again := scriptedConn(t, h, answering("private of two"))
+	sendOn(t, again, getFrom(2, "/two"), faultDeadline)
 	if isCommon(h, "private of two") {
 		t.Error("the private answer of one customer counts as common")
 	}
@@ -424,7 +424,7 @@
 		state.Add(1)
 		for customer := range uint64(2) {
 			for tries := 0; ; tries++ { // as the core would repeat it
-				if _, status := target.send(by(1+customer, "/board"), faultyWait); status == control.OK {
+				if _, status := target.send(getFrom(1+customer, "/board"), faultDeadline); status == control.OK {
 					break
 				}
 				if again++; tries == 3 {
@@ -439,7 +439,7 @@
 }
 
 // Guards against an answer that is dropped time and again, as nothing is learned from it.
-func TestDroppedAnswerIsLearnedFromInTheEnd(t *testing.T) {
+func TestDroppedAnswersAreEventuallyRecorded(t *testing.T) {
 	target := startTarget(t, 1, answersOnce(func(r *http.Request) string {
 		if r.URL.Path != "/board" {
 			return ownBody(r)
@@ -449,7 +449,7 @@
 	target.warmUp(warmUps)
 	lost := 0
 	for i := range uint64(20) {
-		if _, status := target.send(by(1+i%2, "/board"), faultyWait); status != control.OK {
+		if _, status := target.send(getFrom(1+i%2, "/board"), faultDeadline); status != control.OK {
 			lost++
 		}
 	}
@@ -463,14 +463,14 @@
 	for round := range 8 {
 		t.Run(strconv.Itoa(round), func(t *testing.T) {
 			t.Parallel()
-			dropsAnAnswer(t)
+			testDroppedAnswer(t)
 		})
 	}
 }
 
-func dropsAnAnswer(t *testing.T) {
+func testDroppedAnswer(t *testing.T) {
 	t.Helper()
-	target := startTarget(t, 8, answersOnce(okToPosts))
+	target := startTarget(t, 8, answersOnce(okForPosts))
 	target.warmUp(warmUps)
 	status := control.OK
 	for i := 0; status == control.OK; i++ { // until one comes on a connection that gave the answer before
@@ -478,7 +478,7 @@
 			t.Log("no answer is dropped")
 			return
 		}
-		_, status = target.send(Encode(http.MethodPost, "/write", "t", http.Header{}, []byte(strconv.Itoa(i)), nil), faultyWait)
+		_, status = target.send(Encode(http.MethodPost, "/write", "t", http.Header{}, []byte(strconv.Itoa(i)), nil), faultDeadline)
 	}
 	before := target.accepted()
 	target.wantOK("/next", get("/next"), "answer to /next")
