--- a/internal/egress/timeleft_test.go
+++ b/internal/egress/timeleft_test.go
@@ -19,28 +19,28 @@
 	"junctionring/internal/egress"
 )
 
-type uncounted struct{}
+type noCounter struct{}
 
-func (uncounted) Add(uint64, float64, time.Duration, func(control.Status, float64)) bool {
+func (noCounter) Add(uint64, float64, time.Duration, func(control.Status, float64)) bool {
 	return false
 }
 
-// toldTime is what one attempt told its server of the time that is left, and what was left.
-type toldTime struct{ told, left time.Duration }
+// announcedTime is what one attempt told its server of the time that is left, and what was left.
+type announcedTime struct{ announced, left time.Duration }
 
-// lateServers are servers over pipes whose connections take a while to come up. They end the connection of a first
+// slowServers are servers over pipes whose connections take a while to come up. They end the connection of a first
 // attempt when a share of the request's time is over, and answer every other one.
-type lateServers struct {
+type slowServers struct {
 	connect  time.Duration // for a connection to come up
 	hold     time.Duration // of the first attempt, since the request came
 	began    time.Time
 	deadline time.Time
 
 	mu       sync.Mutex
-	attempts []toldTime
+	attempts []announcedTime
 }
 
-func (s *lateServers) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (s *slowServers) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -51,7 +51,7 @@
 	return near, nil
 }
 
-func (s *lateServers) serve(c net.Conn) {
+func (s *slowServers) serve(c net.Conn) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -62,7 +62,7 @@
 		told = int(time.Hour.Milliseconds()) // none told: as if there were no end
 	}
 	s.mu.Lock()
-	s.attempts = append(s.attempts, toldTime{time.Duration(told) * time.Millisecond, time.Until(s.deadline)})
+	s.attempts = append(s.attempts, announcedTime{time.Duration(told) * time.Millisecond, time.Until(s.deadline)})
 	n := len(s.attempts)
 	s.mu.Unlock()
 	if n == 1 {
@@ -82,10 +82,10 @@
 			name := fmt.Sprintf("connections take %v, first attempt ends after %.0f %%", connect, 100*share)
 			t.Run(name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					attempts, _ := timesTold(t, control.Safe, connect, share, deadline)
+					attempts, _ := announcedTimes(t, control.Safe, connect, share, deadline)
 					for i, a := range attempts {
-						if a.told > a.left {
-							t.Errorf("attempt %d tells %v with %v left", i+1, a.told, a.left)
+						if a.announced > a.left {
+							t.Errorf("attempt %d tells %v with %v left", i+1, a.announced, a.left)
 						}
 					}
 					t.Logf("attempts (told, left): %v", attempts)
@@ -106,7 +106,7 @@
 		t.Run(fmt.Sprintf("after %.0f %%", 100*share), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const deadline = 20 * time.Second
-				attempts, answer := timesTold(t, control.Unsafe, 0, share, deadline)
+				attempts, answer := announcedTimes(t, control.Unsafe, 0, share, deadline)
 				if len(attempts) != 1 || answer.Kind != core.Failed {
 					t.Errorf("%d attempts, ended as %v", len(attempts), answer.Kind)
 				}
@@ -124,9 +124,9 @@
 	took time.Duration
 }
 
-// timesTold has one request sent whose first attempt ends after a share of its deadline.
-func timesTold(t *testing.T, repeat control.Repeat, connect time.Duration, share float64, deadline time.Duration) ([]toldTime, timedAnswer) {
-	s := &lateServers{connect: connect, hold: time.Duration(share * float64(deadline)), began: time.Now(), deadline: time.Now().Add(deadline)}
+// announcedTimes has one request sent whose first attempt ends after a share of its deadline.
+func announcedTimes(t *testing.T, repeat control.Repeat, connect time.Duration, share float64, deadline time.Duration) ([]announcedTime, timedAnswer) {
+	s := &slowServers{connect: connect, hold: time.Duration(share * float64(deadline)), began: time.Now(), deadline: time.Now().Add(deadline)}
 	fleet := egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 16, Dial: s.dial})
 	c, err := core.New(control.Settings{
 		Gateways:   1,
@@ -134,7 +134,7 @@
 		Plans:      []control.Plan{{Rate: 100, Burst: 100, Worth: 1, OverCost: 1}},
 		Limits:     control.Limits{MaxAttempts: 3, Cancel: true},
 		Guarantees: control.Guarantees{ColdFrom: 0.2, Ramp: 5, FallMultiple: 3, FallAfter: 1.5},
-	}, 1, fleet, uncounted{}, slog.New(slog.DiscardHandler))
+	}, 1, fleet, noCounter{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
