--- a/internal/egress/conn.go
+++ b/internal/egress/conn.go
@@ -46,8 +46,8 @@
 }
 
 // conn is one connection to a target; it carries one attempt at a time. It sends nothing by itself: net/http's
-// Transport would write a request again on a new connection without the core's knowledge, which could put two
-// attempts out.
+// Transport would write a request again on a new connection without the core's knowledge, so that two attempts
+// could be under way.
 type conn struct {
 	net.Conn
 	address        string
--- a/internal/egress/crossed_answer_test.go
+++ b/internal/egress/crossed_answer_test.go
@@ -15,8 +15,8 @@
 	"junctionring/internal/core"
 )
 
-// crossedPeer is a target whose second answer to /one comes when it has taken the next request; then comes that one's own.
-// Writes on a pipe end when they are read: each answer is read before the next is written.
+// duplicatingPeer is a target that answers /one a second time after it has read the next request, and then that
+// request. A write on a pipe returns when it has been read: each answer is read before the next is written.
 func duplicatingPeer(far net.Conn, one, two string) {
 	in := bufio.NewReader(far)
 	for i := range 2 {
@@ -35,10 +35,10 @@
 			fmt.Fprintf(far, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(own), own)
 		}
 	}
-	http.ReadRequest(in) // until it is closed
+	http.ReadRequest(in) // returns when the connection is closed
 }
 
-// ask sends a request on a connection and returns the body of its answer.
+// sendGet sends a request on a connection and returns the body of its answer.
 func sendGet(t *testing.T, c *conn, path string) (body string, status control.Status, reuse bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -52,7 +52,7 @@
 	return body, o.Status, reuse
 }
 
-// Guards against one caller getting the answer of another, where a target answers twice and the second time late.
+// Guards against one caller getting another's answer when a target answers twice, the second time late.
 func TestSecondAnswerIsNotGivenToTheNextRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -71,7 +71,7 @@
 	}
 }
 
-// Where the target closes the connection behind the second answer, the next request has no answer of its own.
+// If the target closes the connection after the second answer, the next request has no answer of its own.
 func TestSecondAnswerBeforeTheEndIsAReset(t *testing.T) {
 	near, far := net.Pipe()
 	c := newConn(near, "pipe", &answerStats{})
@@ -92,7 +92,7 @@
 	}
 }
 
-// Guards against an answer that is known to be given to different requests being held back, or lost.
+// Guards against an answer that is known to be given to different requests being held back or lost.
 func TestAnswerGivenToDifferentRequestsIsNotHeldBack(t *testing.T) {
 	target := startTarget(t, 2, answersOnce(func(*http.Request) string { return "done" }))
 	for i := range 4 * baseSamples {
@@ -103,7 +103,7 @@
 	}
 }
 
-// The same request may have the same answer: it is not held back, and tells nothing of the target.
+// The same request may have the same answer: it is not held back, and reveals nothing about the target.
 func TestSameRequestMayHaveTheSameAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -124,14 +124,14 @@
 		}
 	}
 	if c.gaveCommon || c.stats.tracker.changes.Load() > 0 {
-		t.Error("it is taken for a target that answers all alike")
+		t.Error("the answer counts as given to different requests")
 	}
 }
 
-// A target that has sent something unasked gets one request on each connection, however long one has rested, within
-// the connections that it may have.
+// A target that has sent unsolicited bytes gets one request per connection, however long a connection has been
+// idle, within its limit on connections.
 func TestSuspectedTargetGetsOneRequestPerConnection(t *testing.T) {
-	a, c, _ := newReusedTarget(t) // its one permit is taken
+	a, c, _ := newReusedTarget(t) // its only permit is taken
 	a.lastUnsolicited, c.lastUsed = time.Now(), time.Now().Add(-time.Minute/2)
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
@@ -142,14 +142,15 @@
 		t.Error("the used connection is still open, and holds the permit")
 	}
 	for len(next.result) == 0 {
-		a.handle(<-a.mailbox) // dialed; before or after it, rested
+		a.handle(<-a.mailbox) // a dialResult; a reuseDue may come before or after it
 	}
 	if got := <-next.result; got == nil || got.answered {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// Guards against a second refusal being taken for the next request's answer, which would then count as never run.
+// Guards against a duplicate refusal being taken for the next request's answer, so that this request counts as
+// never run.
 func TestSecondRefusalIsNotGivenToTheNextRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -172,7 +173,7 @@
 	if status != control.Full {
 		t.Fatalf("the first got %v", status)
 	}
-	if !reuse { // nothing can cross
+	if !reuse { // no duplicate can reach the next request
 		return
 	}
 	if _, status, _ := sendGet(t, c, "/two"); status == control.Full {
@@ -180,7 +181,7 @@
 	}
 }
 
-// Guards against a second answer of a streamed one being taken for the next request's.
+// Guards against a duplicate of a streamed answer being taken for the next request's answer.
 func TestSecondStreamedAnswerIsNotGivenToTheNextRequest(t *testing.T) {
 	long := strings.Repeat("x", MaxBody+1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -241,7 +242,7 @@
 	}
 }
 
-// Guards against a second answer with no body being taken for the next request's.
+// Guards against a duplicate answer without a body being taken for the next request's answer.
 func TestSecondEmptyAnswerIsNotGivenToTheNextRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
--- a/internal/egress/dial_test.go
+++ b/internal/egress/dial_test.go
@@ -12,7 +12,7 @@
 	"junctionring/control"
 )
 
-// hangingDials is a Dial whose first connections never come up; it tells of each that is begun.
+// hangingDials returns a Dial whose first connections never come up. It sends on begun for each dial.
 func hangingDials(hanging int) (dial func(context.Context, string, string) (net.Conn, error), begun chan struct{}) {
 	begun = make(chan struct{}, maxConns)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -25,7 +25,7 @@
 	}, begun
 }
 
-// startHangingTarget is a target whose first connections never come up, and are given up after the time-out.
+// startHangingTarget starts a target whose first connections never come up and fail after the time-out.
 func startHangingTarget(t *testing.T, hanging int, timeout time.Duration) (target *scriptedTarget, begun chan struct{}) {
 	t.Helper()
 	target = startTarget(t, maxConns, answersOnce(ownBody))
@@ -34,7 +34,8 @@
 	return target, begun
 }
 
-// Guards against a request failing, or waiting as long as a dial may take, as one connection does not come up in time.
+// Guards against a request failing, or waiting for the whole connect time-out, because one connection does not
+// come up in time.
 func TestOverdueConnectionDoesNotHoldARequest(t *testing.T) {
 	target, _ := startHangingTarget(t, 1, 2*time.Second)
 	began := time.Now()
@@ -44,7 +45,7 @@
 	}
 }
 
-// Guards against dials without bound, and a longer wait, at a server to which no connection comes up.
+// Guards against unlimited dials, and a longer wait, at a server to which no connection comes up.
 func TestOverdueDialsAreBounded(t *testing.T) {
 	const timeout = time.Second
 	target, begun := startHangingTarget(t, maxConns, timeout)
@@ -58,7 +59,8 @@
 	}
 }
 
-// Guards against a request being told that it could not connect before its own dial is over, as an earlier one's are.
+// Guards against a request being told that it could not connect before its own dial has ended, because the dials
+// of an earlier request have.
 func TestFailedParallelDialsEndNoOtherRequest(t *testing.T) {
 	const timeout = time.Second
 	target, begun := startHangingTarget(t, maxConns, timeout)
@@ -84,8 +86,8 @@
 	}
 }
 
-// Guards against a request failing, and its target counting as restarted, as one connection is reset as it comes up; a target
-// that resets them all is told of.
+// Guards against a request failing, and its target counting as restarted, because one connection is reset as it
+// comes up. A target that resets all of them is reported.
 func TestConnectionResetAsItComesUpIsOpenedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		resets int
@@ -110,7 +112,8 @@
 	}
 }
 
-// Guards against a request being refused as another target takes the permit of the connection that was closed for it.
+// Guards against a request being refused because another target takes the permit of the connection that was closed
+// for it.
 func TestReplacementGetsTheClosedConnectionsPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pipe := func(context.Context, string, string) (net.Conn, error) {
@@ -124,20 +127,20 @@
 			site:    &site{Options: Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Dial: pipe}, permits: make(chan struct{}, 1)},
 			mailbox: make(chan any, mailboxSize), ctx: ctx, stop: cancel, ready: true,
 		}
-		a.dialOne() // takes the site's one permit
+		a.dialOne() // takes the site's only permit
 		a.handle(<-a.mailbox)
 		a.idle[0].answered = true
 		go func() {
 			select {
-			case a.site.permits <- struct{}{}: // as another target, as soon as there is one
+			case a.site.permits <- struct{}{}: // as another target would, as soon as a permit is free
 			case <-ctx.Done():
 			}
 		}()
-		synctest.Wait() // until it waits for that
+		synctest.Wait() // until the goroutine waits for the permit
 		next := &connRequest{result: make(chan *conn, 1), unusedOnly: true}
 		a.handle(next)
 		for a.dialing > 0 && len(next.result) == 0 {
-			a.handle(<-a.mailbox) // dialed; before or after it, rested
+			a.handle(<-a.mailbox) // a dialResult; a reuseDue may come before or after it
 		}
 		if len(next.result) == 0 {
 			t.Fatal("it waits, and no connection is being opened")
@@ -148,8 +151,8 @@
 	})
 }
 
-// Guards against a request that must have an unused connection waiting for a round trip at a target over a link, where only
-// used ones rest.
+// Guards against a request that needs an unused connection waiting for a round trip to a target over a link, where
+// only used connections are idle.
 func TestWarmConnectionsAreUnusedOnes(t *testing.T) {
 	a, _, _ := newReusedTarget(t)
 	a.site.Warm = 1
--- a/internal/egress/fuzz_test.go
+++ b/internal/egress/fuzz_test.go
@@ -9,7 +9,7 @@
 	"junctionring/control"
 )
 
-// script is a connection on which a peer has written all it will.
+// writtenConn is a connection on which a peer has written all that it will.
 type writtenConn struct {
 	net.Conn
 	*bytes.Reader
@@ -17,7 +17,7 @@
 
 func (s writtenConn) Read(b []byte) (int, error) { return s.Reader.Read(b) }
 
-// Whatever a target writes, what is served is a whole 200 within bounds, and a load is made of finite numbers.
+// Whatever a target writes, a served answer is a whole 200 within the limits, and a load has finite numbers only.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: {\"q\":1,\"rif\":2}\r\n\r\nhere",
--- a/internal/egress/reuse_test.go
+++ b/internal/egress/reuse_test.go
@@ -15,7 +15,7 @@
 	"junctionring/internal/core"
 )
 
-// Guards against one customer getting the private answer of another, who asked for the same path.
+// Guards against one customer getting the private answer of another who requested the same path.
 func TestPrivateAnswerIsNotGivenToAnotherCustomer(t *testing.T) {
 	const private = "account of customer 1"
 	c := scriptedConn(t, sampledStats(), answering(private), answering(private))
@@ -23,11 +23,12 @@
 	wantNoneOf(t, c, reuse, getFrom(2, "/account", "Cookie", "session=2"), private)
 }
 
-// Guards against all later answers of a connection going to the request after their own, once one customer was given
-// the private answer of another who asked for the same path.
+// Guards against all later answers on a connection going to the request after their own, once one customer was
+// given the private answer of another who requested the same path.
 func TestAnswersDoNotShiftBehindAPrivateSecondOne(t *testing.T) {
 	const private = "account of customer 1"
-	c := scriptedConn(t, sampledStats(), answering(private), answering(private), answering("account of customer 2"), answering("account of customer 3"))
+	c := scriptedConn(t, sampledStats(), answering(private), answering(private),
+		answering("account of customer 2"), answering("account of customer 3"))
 	_, reuse := sendOn(t, c, getFrom(1, "/account", "Cookie", "session=1"), faultDeadline)
 	for customer := uint64(2); reuse && customer <= 4; customer++ {
 		r := getFrom(customer, "/account", "Cookie", "session="+strconv.FormatUint(customer, 10))
@@ -43,8 +44,8 @@
 	}
 }
 
-// Guards against the same through the target's actor, at a server that answers one request twice, once, and whose later
-// answers each come when the next request has been read.
+// Guards against the same through the target's actor, at a server that answers one request twice, once, and whose
+// later answers each come when the next request has been read.
 func TestPrivateAnswersDoNotShiftThroughTheTarget(t *testing.T) {
 	target := startTarget(t, 1, func() connectionScript {
 		last := ""
@@ -71,7 +72,8 @@
 	}
 }
 
-// Guards against a request getting the own answer of a read, or of a probe, before it that was given the one before's again.
+// Guards against a request getting the own answer of an earlier read or probe that was given a duplicate of the
+// answer before it.
 func TestOwnAnswerOfAnEarlierReadIsNotGivenToTheNextRequest(t *testing.T) {
 	probe := func() *Request {
 		return &Request{Method: http.MethodGet, Head: []byte("GET /stats HTTP/1.1\r\nHost: target\r\n")}
@@ -94,8 +96,8 @@
 	}
 }
 
-// Guards against answers of a healthy server being lost time and again, where it answers requests with different paths
-// alike for a while, and then otherwise: an answer with the second in it, a revision, a tick.
+// Guards against answers of a healthy server being lost repeatedly when it gives requests with different paths
+// identical answers for a while and then others: an answer that contains the second, a revision or a tick.
 func TestIdenticalAnswersThatChangeAreNotLostRepeatedly(t *testing.T) {
 	for name, method := range map[string]string{"reads": http.MethodGet, "unsafe": http.MethodPost} {
 		t.Run(name, func(t *testing.T) {
@@ -112,7 +114,7 @@
 			var conn *conn
 			for i := range 2 * ticks {
 				r := Encode(method, "/orders/"+strconv.Itoa(i), "t", http.Header{}, nil, nil)
-				if conn == nil || !mayCarry(conn, r) { // as the target would
+				if conn == nil || !mayCarry(conn, r) { // as the target would choose
 					conn = healthyConn(t, h, body)
 				}
 				o, reuse := sendOn(t, conn, r, faultDeadline)
@@ -129,11 +131,12 @@
 	}
 }
 
-// Guards against a customer's read being lost on one connection after another, as each gave its answer to another before.
+// Guards against a customer's read being lost on one connection after another, because each gave the same answer
+// to another customer before.
 func TestCommonAnswerOfOneCustomerIsNotLostRepeatedlyForAnother(t *testing.T) {
 	h := sampledStats()
 	var conns []*conn
-	for i := range 4 { // customer 1 reads several lists, all empty
+	for i := range 4 { // customer 1 reads several lists, all of them empty
 		c := healthyConn(t, h, func(*http.Request) string { return "[]" })
 		if o, reuse := sendOn(t, c, getFrom(1, "/lists/"+strconv.Itoa(i)), faultDeadline); o.Status != control.OK || !reuse {
 			t.Fatalf("ended with %v", o.Status)
@@ -141,7 +144,7 @@
 		conns = append(conns, c)
 	}
 	lost := 0
-	for _, c := range conns { // as the core would repeat it
+	for _, c := range conns { // repeats as the core would
 		r := getFrom(2, "/orders")
 		if !mayCarry(c, r) {
 			t.Log("it goes out on another connection")
@@ -157,7 +160,7 @@
 	}
 }
 
-// healthyConn is a connection to a peer that answers each request once.
+// healthyConn returns a connection to a peer that answers each request once.
 func healthyConn(t *testing.T, stats *answerStats, body func(*http.Request) string) *conn {
 	t.Helper()
 	near, far := net.Pipe()
@@ -176,8 +179,8 @@
 	return newConn(near, "pipe", stats)
 }
 
-// Guards against a stream that never ends being held until its request's time is over, since it begins as an earlier
-// answer did: with more bytes than that one had it is another.
+// Guards against an endless stream being held until its request's deadline because it begins as an earlier answer
+// did: once it has more bytes than that answer, it is a different one.
 func TestStreamThatBeginsAsAnEarlierAnswerIsPassedOn(t *testing.T) {
 	for _, h := range []struct {
 		name    string
@@ -198,8 +201,8 @@
 	}
 }
 
-// Guards against a healthy server counting as one that answers twice, as it says that a connection ends with an answer
-// that is like an earlier one, and ends it.
+// Guards against a healthy server counting as one that answers twice, because it announces with an answer
+// identical to an earlier one that it closes the connection, and closes it.
 func TestAnnouncedCloseIsNotTakenForASecondAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close() })
@@ -219,10 +222,10 @@
 	}
 }
 
-// Guards against dials without end to a target that takes none, for one request, while a used connection rests that is
-// not to be used again.
+// Guards against endless dials for one request to a target that accepts none, while a used connection is idle that
+// is not to be used again.
 func TestFailedDialIsReportedAtASuspectedTarget(t *testing.T) {
-	a, _, _ := newReusedTarget(t) // its connection has not rested yet, and will not within this test
+	a, _, _ := newReusedTarget(t) // its connection's reuse delay does not end within this test
 	a.site.permits = make(chan struct{}, 4)
 	a.site.permits <- struct{}{}
 	a.site.Dial = refuseDial
@@ -232,19 +235,20 @@
 	dials := 0
 	for len(next.result) == 0 && a.dialing > 0 && dials < 100 {
 		dials += a.dialing
-		a.handle(<-a.mailbox) // dialed, in vain
+		a.handle(<-a.mailbox) // the dial failed
 	}
 	if len(next.result) == 0 || dials > 1 {
-		t.Errorf("%d dials failed for one request, and it was told: %t", dials, len(next.result) > 0)
+		t.Errorf("%d dials failed for one request; its failure was reported: %t", dials, len(next.result) > 0)
 	}
 }
 
-// Guards against a request being passed over for ever by later ones, which the connection in use fits and it does not.
+// Guards against a request being overtaken forever by later ones that can use the connection in use, while it
+// cannot.
 func TestRequestIsNotPassedOverForEver(t *testing.T) {
-	a, c, _ := newReusedTarget(t) // the only connection that it may have
+	a, c, _ := newReusedTarget(t) // the only connection that the site's permits allow
 	a.stats.tracker = newAnswerTracker()
 	c.equalOnly, c.onlyRequest = true, 1
-	a.idle = nil // its attempt is out
+	a.idle = nil // its attempt is under way
 	first := &connRequest{result: make(chan *conn, 1), identity: identity{request: 2}}
 	a.handle(first)
 	hot := func() *connRequest { return &connRequest{result: make(chan *conn, 1), identity: identity{request: 1}} }
@@ -252,7 +256,7 @@
 	a.handle(waits)
 	for passed := range 20 {
 		later := hot()
-		a.handle(later) // there is always one more of those
+		a.handle(later) // there is always one more waiting
 		c.lastUsed = time.Now().Add(-maxReuseDelay)
 		a.handle(connReleased{c})
 		if len(first.result) > 0 || a.dialing > 0 {
@@ -267,24 +271,25 @@
 	t.Error("20 requests that came later were served before it, on the one connection there may be")
 }
 
-// Guards against idle connections that nobody may use keeping those out that anybody may.
+// Guards against idle connections that no request can use displacing those that any request can use.
 func TestUnusableConnectionsDoNotKeepOthersOut(t *testing.T) {
 	a, c, _ := newReusedTarget(t)
 	h := sampledStats()
 	a.stats.tracker = h.tracker
-	a.idle = nil // its attempt is out
+	a.idle = nil // its attempt is under way
 	a.site.permits, a.open = make(chan struct{}, maxConns), 1
 	a.site.permits <- struct{}{}
 	for range maxIdle {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		other := newConn(near, a.address, &a.stats)
-		other.answered, other.lastUsed, other.pastAnswers = true, time.Now(), []pastAnswer{newPastAnswer([]byte("ok"), identity{})}
+		other.answered, other.lastUsed, other.pastAnswers = true, time.Now(),
+			[]pastAnswer{newPastAnswer([]byte("ok"), identity{})}
 		a.idle = append(a.idle, other)
 		a.site.permits <- struct{}{}
 		a.open++
 	}
-	for i := range 2 { // it becomes common
+	for i := range 2 { // the answer becomes common
 		h.tracker.record(fingerprintOf([]byte("ok")), fingerprint(5000+i), time.Now())
 	}
 	a.handle(connReleased{c})
@@ -293,13 +298,13 @@
 	}
 }
 
-// Guards against a target counting as heard of since an earlier request was answered on the connection, where the present
-// one could not be written.
+// Guards against a target counting as having answered, because an earlier request was answered on the connection,
+// when the present request could not be written.
 func TestFailedWriteDoesNotCountAsAnswered(t *testing.T) {
 	c := scriptedConn(t, sampledStats(), answering("of one"))
 	sendOn(t, c, getFrom(1, "/one"), faultDeadline)
 	c.Conn.Close()
 	if o, _ := sendOn(t, c, getFrom(1, "/two"), faultDeadline); o.Status != control.ConnectFailed || c.gotAnswer {
-		t.Errorf("ended with %v, heard of: %t", o.Status, c.gotAnswer)
+		t.Errorf("ended with %v, counts as answered: %t", o.Status, c.gotAnswer)
 	}
 }
--- a/internal/egress/second_answer_test.go
+++ b/internal/egress/second_answer_test.go
@@ -20,18 +20,19 @@
 )
 
 const (
-	warmUps       = 32                     // requests before a fault, so that connections are reused
-	maxAnswerTime = 500 * time.Millisecond // a request that the server answers at once takes no longer
-	faultDeadline = time.Second            // the deadline of a request that the server may leave unanswered
+	warmUps       = 32                     // requests sent before a fault, so that connections are reused
+	maxAnswerTime = 500 * time.Millisecond // for a request that the server answers at once
+	faultDeadline = time.Second            // deadline of a request that the server may leave unanswered
 
-	distinctQuery = "distinct=" // begins the queries of the requests that teach sends
+	distinctQuery = "distinct=" // prefix of the queries of the requests that sendDistinct sends
 )
 
-// connectionScript decides, for the requests of one connection in their order, what the server writes when it has read one, and
-// whether it then closes the connection.
+// connectionScript decides, for the requests of one connection in order, what the server writes after reading a
+// request, and whether it then closes the connection.
 type connectionScript func(r *http.Request) (output string, closes bool)
 
-// scriptedServer is a loopback server that records on which connection each request came, but for those of warmUp and teach.
+// scriptedServer is a loopback server that records on which connection each request came, except for those of
+// warmUp and sendDistinct.
 type scriptedServer struct {
 	address string
 
@@ -87,14 +88,14 @@
 	}
 }
 
-// accepted is how many connections came up.
+// accepted is the number of connections accepted.
 func (s *scriptedServer) accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connections
 }
 
-// onOneConnection tells whether the last n requests came on one connection.
+// onOneConnection reports whether the last n requests came on one connection.
 func (s *scriptedServer) onOneConnection(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +120,7 @@
 
 func ownBody(r *http.Request) string { return "answer to " + r.RequestURI }
 
-// okToPosts is the body of a server that answers all writes alike.
+// okForPosts is the answer body of a server that gives all writes the same answer.
 func okForPosts(r *http.Request) string {
 	if r.Method == http.MethodPost {
 		return "ok"
@@ -127,7 +128,7 @@
 	return ownBody(r)
 }
 
-// The framings of an answer.
+// withLength, chunked, afterContinue and afterEarlyHints are the framings of an answer.
 func withLength(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -146,27 +147,28 @@
 	return "HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n" + withLength(body)
 }
 
-// ending is what the server does when it has written a second answer.
+// ending is what the server does after it has written a second answer.
 type ending int
 
 const (
 	closesConnection ending = iota
 	staysSilent
-	answersItself // writes the own answer of the request that is under way
+	answersItself // writes the answer of the request under way
 )
 
 func (e ending) String() string { return [...]string{"closes", "silent", "own"}[e] }
 
-// secondAnswer is a fault: /one is answered a second time, on its connection, when a later request has been read there.
+// secondAnswer is a fault: /one is answered a second time, on its connection, when a later request has been read
+// there.
 type secondAnswer struct {
-	body          string              // of both answers to /one, with its query behind it
+	body          string              // of both answers to /one, followed by its query
 	frame         func(string) string // of the second answer
-	requestsAfter int                 // requests that come after /one, up to the one that is under way then
+	requestsAfter int                 // requests after /one, including the one under way then
 	then          ending
 }
 
 func (f secondAnswer) newScript() connectionScript {
-	since, body := -1, "" // requests since /one, which has not come yet
+	since, body := -1, "" // requests since /one; -1: it has not come yet
 	return func(r *http.Request) (string, bool) {
 		if since < 0 && r.URL.Path == "/one" {
 			since, body = 0, f.body+r.URL.RawQuery
@@ -187,7 +189,7 @@
 	}
 }
 
-// besideDistinct is a script whose server answers requests with distinctQuery each in its own way.
+// withDistinct is a script whose server gives each request with distinctQuery an answer of its own.
 func withDistinct(newScript func() connectionScript) func() connectionScript {
 	return func() connectionScript {
 		next := newScript()
@@ -200,12 +202,12 @@
 	}
 }
 
-// scriptedTarget is a fleet's one target, a scripted server.
+// scriptedTarget is a fleet's only target, a scripted server.
 type scriptedTarget struct {
 	*scriptedServer
 	t *testing.T
 	*entry
-	distinctSent int // requests that teach sent
+	distinctSent int // requests that sendDistinct sent
 }
 
 func startTarget(t *testing.T, conns int, newScript func() connectionScript) *scriptedTarget {
@@ -219,7 +221,7 @@
 
 func get(path string) *Request { return Encode(http.MethodGet, path, "t", http.Header{}, nil, nil) }
 
-// repeatOf is how requests may be repeated by their form, as those of the platform.
+// repeatOf is how a request may be repeated by its form, as the platform's requests may.
 func repeatOf(r *Request) control.Repeat {
 	switch {
 	case r.Method == http.MethodGet:
@@ -230,7 +232,8 @@
 	return control.Unsafe
 }
 
-// send carries a request out and returns its answer's body. One that the server did not answer is neither OK nor Full.
+// send carries out a request and returns its answer's body. The status of one that the server did not answer is
+// neither OK nor Full.
 func (s *scriptedTarget) send(r *Request, deadline time.Duration) (string, control.Status) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), deadline)
@@ -250,7 +253,7 @@
 	return string(body), o.Status
 }
 
-// wantOK sends a request that must be answered with want, and soon.
+// wantOK sends a request that must be answered with want, within maxAnswerTime.
 func (s *scriptedTarget) wantOK(name string, r *Request, want string) {
 	s.t.Helper()
 	began := time.Now()
@@ -272,8 +275,8 @@
 	}
 }
 
-// wantNotCrossed sends the request under way when the second answer comes, the last of n from /one on. Where it came on
-// another connection than they did nothing can cross, and it has its own answer.
+// wantNotCrossed sends the request that is under way when the second answer comes, the last of n from /one on. If
+// it came on another connection than they did, the second answer cannot reach it, and it must get its own.
 func (s *scriptedTarget) wantNotCrossed(r *Request, n int, own string, then ending) (sameConn bool) {
 	s.t.Helper()
 	body, status := s.send(r, faultDeadline)
@@ -291,7 +294,7 @@
 	return true
 }
 
-// wantForced is wantNotCrossed where the last n requests must come on one connection.
+// wantSameConnection is wantNotCrossed where the last n requests must come on one connection.
 func (s *scriptedTarget) wantSameConnection(r *Request, n int, own string, then ending) {
 	s.t.Helper()
 	if !s.wantNotCrossed(r, n, own, then) {
@@ -299,7 +302,7 @@
 	}
 }
 
-// testSecondAnswer has a second answer of /one come when a later request is under way.
+// testSecondAnswer has a second answer of /one come while a later request is under way.
 func testSecondAnswer(t *testing.T, f secondAnswer) {
 	t.Helper()
 	target := startTarget(t, 1, f.newScript)
@@ -322,7 +325,7 @@
 	}
 }
 
-// Guards against a second answer getting through where an earlier one at the same target has been waited out.
+// Guards against a second answer being passed on after an earlier one of the same target was dropped.
 func TestSecondAnswersInARowAreAllKeptBack(t *testing.T) {
 	for _, then := range []ending{closesConnection, staysSilent} {
 		t.Run(then.String(), func(t *testing.T) {
@@ -338,7 +341,7 @@
 	}
 }
 
-// Guards against a second answer that comes behind the answer of another request being taken for a third one's.
+// Guards against a second answer that comes after the answer of another request being given to a third request.
 func TestSecondAnswerIsNotGivenToTheRequestAfterTheNext(t *testing.T) {
 	for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 		t.Run(then.String(), func(t *testing.T) {
@@ -348,7 +351,7 @@
 	}
 }
 
-// Guards against a second answer not being known by its body because its head is another than the first one's.
+// Guards against a second answer not being recognized by its body because its head differs from the first one's.
 func TestSecondAnswerInOtherFramingIsNotGivenToTheNextRequest(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -363,7 +366,7 @@
 	}
 }
 
-// Guards against a second answer with no body being given to a request that is never answered, in any framing.
+// Guards against a second answer without a body being given to a request that is never answered, in any framing.
 func TestUnansweredRequestDoesNotGetASecondEmptyAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -378,8 +381,8 @@
 	}
 }
 
-// Guards against two requests that only a header tells apart being taken for one, so that the second gets the answer of
-// the first.
+// Guards against two requests that differ only in a header being taken for equal, so that the second gets the
+// answer of the first.
 func TestRequestsThatDifferInAHeaderDoNotShareAnAnswer(t *testing.T) {
 	for _, c := range []struct{ method, header string }{
 		{http.MethodPost, "Idempotency-Key"},
@@ -406,8 +409,8 @@
 	}
 }
 
-// cannotBeSentAgain makes requests to /one that differ only in their X-Request-ID, or in the rest of a body that is sent on as it
-// comes in.
+// nonRepeatable makes requests to /one that differ only in X-Request-ID, or in the rest of a body that is sent as
+// it comes in.
 var nonRepeatable = map[string]func(id string) *Request{
 	"unsafe": func(id string) *Request {
 		return Encode(http.MethodPost, "/one", "t", http.Header{"X-Request-ID": {id}}, []byte("move"), nil)
@@ -434,14 +437,14 @@
 	}
 }
 
-// upload is a request to /one whose body begins as that of the others does, and whose rest comes in as it is sent on.
+// upload is a request to /one whose body has the same beginning each time and whose rest comes in as it is sent.
 func upload(rest string) *Request {
 	return Encode(http.MethodPost, "/one", "t", http.Header{}, []byte("begins alike"),
 		&Upload{Length: -1, Next: strings.NewReader(rest).Read})
 }
 
-// Guards against an unsafe request or an upload getting the second answer of the one before it, and against its own answer
-// being lost, whatever the path was answered before.
+// Guards against an unsafe request or an upload getting the second answer of the one before it, and against its
+// own answer being lost, whatever answers the path had before.
 func TestSecondRequestOfAPathHasItsOwnAnswer(t *testing.T) {
 	for _, path := range []struct {
 		name            string
@@ -466,7 +469,7 @@
 	}
 }
 
-// Guards against a second answer getting through at a server that answers other requests alike.
+// Guards against a second answer being passed on at a server that gives other requests identical answers.
 func TestIdenticalAnswersLetNoSecondAnswerThrough(t *testing.T) {
 	for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 		t.Run(then.String(), func(t *testing.T) {
@@ -483,7 +486,7 @@
 	}
 }
 
-// Guards against equal reads, which may have equal answers, being held up or lost.
+// Guards against equal reads, which may have equal answers, being delayed or lost.
 func TestEqualReadsMayShareAnAnswer(t *testing.T) {
 	target := startTarget(t, 4, answersOnce(ownBody))
 	target.warmUp(warmUps)
@@ -505,13 +508,13 @@
 	}
 }
 
-// numbered is a request that a server without a fault answers with body.
+// numberedRequest is a request that a server without a fault answers with body.
 type numberedRequest struct {
 	request *Request
 	body    string
 }
 
-// alikeServers make the answers of servers that give different requests the same body.
+// identicalAnswerServers make the answers of servers that give different requests the same body.
 var identicalAnswerServers = []struct {
 	name string
 	body func(r *http.Request) string
@@ -525,7 +528,7 @@
 	{"one body for POST", okForPosts},
 }
 
-// numberedRequests are n different requests, GET and POST in turn.
+// numberedRequests returns n different requests, GET and POST in turn.
 func numberedRequests(n int, body func(*http.Request) string) []numberedRequest {
 	all := make([]numberedRequest, n)
 	for i := range all {
@@ -541,7 +544,8 @@
 	return all
 }
 
-// wantAll sends requests, some at a time, all of which must be answered with their own bodies, and soon.
+// wantAll sends requests, atATime of them concurrently. Each must be answered with its own body, within
+// maxAnswerTime.
 func (s *scriptedTarget) wantAll(all []numberedRequest, atATime int) {
 	s.t.Helper()
 	next := make(chan numberedRequest)
@@ -560,7 +564,7 @@
 	workers.Wait()
 }
 
-// Guards against answers being lost or held up for long where a server gives different requests the same body.
+// Guards against answers being lost or long delayed when a server gives different requests the same body.
 func TestIdenticalAnswersAreNeitherLostNorDelayed(t *testing.T) {
 	for _, c := range identicalAnswerServers {
 		for _, atATime := range []int{1, 8} {
@@ -574,7 +578,8 @@
 	}
 }
 
-// Guards against requests waiting for a connection that rests, or is kept from reuse, where few may be open.
+// Guards against requests waiting in vain for a connection in its reuse delay, or barred from reuse, when few may
+// be open.
 func TestFewConnectionsAnswerAll(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -589,7 +594,7 @@
 	}
 }
 
-// Guards against memory that grows with the number of different answers that a server has given.
+// Guards against memory that grows with the number of distinct answers that a server has given.
 func TestManyDifferentAnswersDoNotGrowTheHeap(t *testing.T) {
 	const most = 1 << 20
 	target := startTarget(t, 4, answersOnce(ownBody))
@@ -603,7 +608,7 @@
 
 func heapInUse() uint64 {
 	runtime.GC()
-	runtime.GC() // what finalizers held
+	runtime.GC() // collects what finalizers held
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
@@ -643,7 +648,7 @@
 	}
 }
 
-// Guards against a slow answer of a request's own being held back on a connection that was used before.
+// Guards against a request's own slow answer being held back on a connection that was used before.
 func TestSlowOwnAnswerIsStreamedOnAUsedConnection(t *testing.T) {
 	target := startTarget(t, 1, func() connectionScript {
 		return func(r *http.Request) (string, bool) {
--- a/internal/egress/target_test.go
+++ b/internal/egress/target_test.go
@@ -10,7 +10,7 @@
 	"junctionring/internal/core"
 )
 
-// over is the context of an attempt that ends just as its connection comes: whoever waits for both sees the
+// endedContext is the context of an attempt that ends just as its connection comes: a select on both gets the
 // connection.
 type endedContext struct {
 	context.Context
@@ -20,8 +20,8 @@
 func (c endedContext) Done() <-chan struct{} { return nil }
 func (c endedContext) Err() error            { return c.err }
 
-// An attempt whose time or client is gone when its connection comes up, or whose key is no longer known, is not sent,
-// and says that it never was; the next one has the connection.
+// An attempt whose deadline has passed, whose client is gone, or whose key is no longer known when its connection
+// comes up is not sent, and reports that it never was. The next attempt gets the connection.
 func TestLateConnectionIsNotUsed(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -75,7 +75,7 @@
 	}
 }
 
-// reused is a target's actor, not running, with one connection that has just been used.
+// newReusedTarget returns a target's actor, not running, with one connection that has just been used.
 func newReusedTarget(t *testing.T) (a *target, c *conn, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,7 +90,7 @@
 	}
 	req := &connRequest{result: make(chan *conn, 1)}
 	a.handle(req)
-	a.handle(<-a.mailbox) // dialed
+	a.handle(<-a.mailbox) // a dialResult
 	if c = <-req.result; c == nil {
 		t.Fatal("no connection")
 	}
@@ -99,13 +99,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { far.Close() })
-	c.lastUsed, c.answered, c.answerTime = time.Now().Add(time.Hour), true, time.Second // however slow this machine is, it has not rested yet
+	// However slow the machine is, the reuse delay is not over yet.
+	c.lastUsed, c.answered, c.answerTime = time.Now().Add(time.Hour), true, time.Second
 	a.handle(connReleased{c})
 	return a, c, far
 }
 
-// A second answer that comes some milliseconds behind the first is not taken for that of the next request: the
-// connection rests first, and the answer shows meanwhile.
+// Guards against a second answer that comes some milliseconds after the first being taken for that of the next
+// request: the connection stays idle first, and the second answer shows meanwhile.
 func TestSecondAnswerIsNotReadByTheNextRequest(t *testing.T) {
 	a, c, far := newReusedTarget(t)
 	next := &connRequest{result: make(chan *conn, 1)}
@@ -115,39 +116,40 @@
 		t.Fatal("the connection is used again before a second answer could show")
 	default:
 	}
-	far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore")) // on loopback it lies there at once
+	far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore")) // on loopback it can be read at once
 	c.lastUsed = time.Now().Add(-maxReuseDelay)
 	a.handle(reuseDue{})
 	if _, err := c.Write(nil); err == nil {
 		t.Error("the connection with an answer on it is still open")
 	}
-	a.handle(<-a.mailbox) // dialed
+	a.handle(<-a.mailbox) // a dialResult
 	if got := <-next.result; got == nil || got == c {
 		t.Errorf("got %v instead of a fresh connection", got)
 	}
 }
 
-// A connection that has rested with nothing on it is used again, with no other one opened for whoever waits for it.
+// A connection without unread bytes after its reuse delay is used again, and no other one is opened for the
+// request that waits for it.
 func TestConnectionIsReusedAfterDelay(t *testing.T) {
 	a, c, _ := newReusedTarget(t)
 	c.lastUsed = time.Now()
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
-	if len(next.result) == 0 { // else this machine has held the test up for so long
+	if len(next.result) == 0 { // else the machine has delayed the test for that long
 		a.handle(<-a.mailbox)
 	}
 	if got := <-next.result; got != c {
 		t.Errorf("got %v", got)
 	}
 	if rest := time.Since(c.lastUsed); rest < maxReuseDelay {
-		t.Errorf("it rested for %v", rest)
+		t.Errorf("it was idle for only %v", rest)
 	}
 	if a.open != 1 || a.dialing != 0 {
 		t.Errorf("%d open, %d dialling", a.open, a.dialing)
 	}
 }
 
-// A target that answers quickly is not held up by rests that take longer than its answers.
+// A target that answers quickly is not held up by reuse delays that take longer than its answers.
 func TestReuseDelayFollowsAnswerTime(t *testing.T) {
 	a, c, _ := newReusedTarget(t)
 	for range 100 {
@@ -155,11 +157,11 @@
 		a.handle(connReleased{<-acquireReused(a, c)})
 	}
 	if rest := a.reuseDelay(); rest > time.Millisecond/reuseDelayDivisor*11/10 {
-		t.Errorf("it rests for %v", rest)
+		t.Errorf("the reuse delay is %v", rest)
 	}
 }
 
-// leased hands a rested connection out.
+// acquireReused acquires the connection after its reuse delay.
 func acquireReused(a *target, c *conn) chan *conn {
 	c.lastUsed = time.Now().Add(-maxReuseDelay)
 	req := &connRequest{result: make(chan *conn, 1)}
@@ -167,18 +169,19 @@
 	return req.result
 }
 
-// Many connections are a load that rests would hold up: there each is used again at once.
+// Many open connections mean a load that reuse delays would hold up: each is used again at once.
 func TestManyConnectionsAreReusedAtOnce(t *testing.T) {
 	a, c, _ := newReusedTarget(t)
 	a.open += maxDelayedConns
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	if len(next.result) == 0 || <-next.result != c {
-		t.Error("it is held back")
+		t.Error("the request waits")
 	}
 }
 
-// two is reused with a second connection that has been used after the first, and a target that has many.
+// newTargetWithTwoConns is newReusedTarget with a second connection, used after the first, at a target with many
+// open connections.
 func newTargetWithTwoConns(t *testing.T) (a *target, first, second *conn, far net.Conn) {
 	t.Helper()
 	a, first, far = newReusedTarget(t)
@@ -194,28 +197,28 @@
 	return a, first, second, far
 }
 
-// Where there are many connections that have not rested, the one that has rested longest is used, and none is waited for.
+// If many connections are open and no reuse delay is over, the longest idle one is used, and no request waits.
 func TestManyConnectionsUseTheLongestIdleOne(t *testing.T) {
 	a, first, _, _ := newTargetWithTwoConns(t)
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	if len(next.result) == 0 {
-		t.Fatal("it is held back")
+		t.Fatal("the request waits")
 	}
 	if got := <-next.result; got != first {
 		t.Error("the connection that was used last is used again")
 	}
 }
 
-// A target that has sent something unasked has all its connections rest, many or few, and others are opened meanwhile;
-// some seconds later it is as before.
+// A target that has sent unsolicited bytes has the reuse of all its connections delayed, many or few, and others
+// are opened meanwhile; some seconds later it is treated as before.
 func TestSecondAnswerDelaysReuseOfAllConnections(t *testing.T) {
 	a, first, second, far := newTargetWithTwoConns(t)
-	far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore")) // on loopback it lies there at once
+	far.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore")) // on loopback it can be read at once
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	if len(next.result) > 0 {
-		t.Fatal("a connection is used again that has not rested")
+		t.Fatal("a connection is used again before its reuse delay is over")
 	}
 	if _, err := first.Write(nil); err == nil {
 		t.Error("the connection with an answer on it is still open")
@@ -226,34 +229,34 @@
 	a.lastUnsolicited = time.Now().Add(-unsolicitedWindow)
 	a.handle(reuseDue{})
 	if len(next.result) == 0 || <-next.result != second {
-		t.Error("it is still held back")
+		t.Error("the request still waits")
 	}
 	if a.reuseDelay() > maxReuseDelay {
-		t.Errorf("it rests for %v", a.reuseDelay())
+		t.Errorf("the reuse delay is %v", a.reuseDelay())
 	}
 }
 
-// Guards against the next request waiting for a handshake where a connection was given up for a refusal alone.
+// Guards against the next request waiting for a handshake after a connection was closed only because of a refusal.
 func TestRefusedConnectionIsReplacedAtOnce(t *testing.T) {
 	a, c, _ := newReusedTarget(t)
-	a.idle = nil // its attempt is out
+	a.idle = nil // its attempt is under way
 	c.Close()
 	a.handle(connClosed{answered: true, replace: true})
 	if a.open != 1 || a.dialing != 1 {
 		t.Fatalf("%d open, %d dialling", a.open, a.dialing)
 	}
-	a.handle(<-a.mailbox) // dialed
+	a.handle(<-a.mailbox) // a dialResult
 	if len(a.idle) != 1 || a.idle[0].answered {
 		t.Errorf("idle: %+v", a.idle)
 	}
 	a.idle[0].Close()
 }
 
-// Guards against connections of use for one request alone taking the place of those that any request may use.
+// Guards against connections that only equal requests can use displacing those that any request can use.
 func TestOneEqualOnlyConnectionIsKeptIdle(t *testing.T) {
 	a, first, second, _ := newTargetWithTwoConns(t)
 	first.equalOnly, first.onlyRequest = true, 1
-	a.idle = a.idle[:1] // second's attempt is out
+	a.idle = a.idle[:1] // second's attempt is under way
 	second.equalOnly, second.onlyRequest = true, 2
 	a.handle(connReleased{second})
 	if len(a.idle) != 1 || a.idle[0] != second {
--- a/internal/egress/timeleft_test.go
+++ b/internal/egress/timeleft_test.go
@@ -25,14 +25,14 @@
 	return false
 }
 
-// announcedTime is what one attempt told its server of the time that is left, and what was left.
+// announcedTime is the remaining time that an attempt announced to its server, and the time that was left.
 type announcedTime struct{ announced, left time.Duration }
 
-// slowServers are servers over pipes whose connections take a while to come up. They end the connection of a first
-// attempt when a share of the request's time is over, and answer every other one.
+// slowServers are servers over pipes whose connections take a while to come up. They close the connection of a
+// first attempt when a share of the request's time has passed, and answer all others.
 type slowServers struct {
 	connect  time.Duration // for a connection to come up
-	hold     time.Duration // of the first attempt, since the request came
+	hold     time.Duration // of the first attempt, from when the request came
 	began    time.Time
 	deadline time.Time
 
@@ -59,21 +59,21 @@
 	}
 	told, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Timeout"), "m"))
 	if err != nil {
-		told = int(time.Hour.Milliseconds()) // none told: as if there were no end
+		told = int(time.Hour.Milliseconds()) // none announced: counts as no limit
 	}
 	s.mu.Lock()
 	s.attempts = append(s.attempts, announcedTime{time.Duration(told) * time.Millisecond, time.Until(s.deadline)})
 	n := len(s.attempts)
 	s.mu.Unlock()
 	if n == 1 {
-		time.Sleep(time.Until(s.began.Add(s.hold))) // of the bubble's time
+		time.Sleep(time.Until(s.began.Add(s.hold))) // in the synctest bubble's time
 		return
 	}
 	fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 }
 
-// Every attempt tells its server at most the time that is left to the client: the first, and further ones after a large
-// part of the deadline, also where they waited for their connection.
+// Every attempt announces to its server at most the time that is left to the client: the first one, and further
+// ones after a large part of the deadline, even if they waited for their connection.
 func TestAttemptsTellNoMoreTimeThanIsLeft(t *testing.T) {
 	const deadline = 2 * time.Second
 	further := 0
@@ -85,10 +85,10 @@
 					attempts, _ := announcedTimes(t, control.Safe, connect, share, deadline)
 					for i, a := range attempts {
 						if a.announced > a.left {
-							t.Errorf("attempt %d tells %v with %v left", i+1, a.announced, a.left)
+							t.Errorf("attempt %d announces %v with %v left", i+1, a.announced, a.left)
 						}
 					}
-					t.Logf("attempts (told, left): %v", attempts)
+					t.Logf("attempts (announced, left): %v", attempts)
 					further += len(attempts) - 1
 				})
 			})
@@ -100,7 +100,8 @@
 	}
 }
 
-// An unsafe request whose connection is reset long after it began is answered at once as failed, and not sent again.
+// An unsafe request whose connection is reset long after it was sent is answered as failed at once, and not sent
+// again.
 func TestUnsafeThatIsResetLateIsAnsweredAtOnce(t *testing.T) {
 	for _, share := range []float64{0.5, 0.9, 0.99} {
 		t.Run(fmt.Sprintf("after %.0f %%", 100*share), func(t *testing.T) {
@@ -125,8 +126,10 @@
 }
 
 // announcedTimes has one request sent whose first attempt ends after a share of its deadline.
-func announcedTimes(t *testing.T, repeat control.Repeat, connect time.Duration, share float64, deadline time.Duration) ([]announcedTime, timedAnswer) {
-	s := &slowServers{connect: connect, hold: time.Duration(share * float64(deadline)), began: time.Now(), deadline: time.Now().Add(deadline)}
+func announcedTimes(t *testing.T, repeat control.Repeat, connect time.Duration, share float64,
+	deadline time.Duration) ([]announcedTime, timedAnswer) {
+	s := &slowServers{connect: connect, hold: time.Duration(share * float64(deadline)), began: time.Now(),
+		deadline: time.Now().Add(deadline)}
 	fleet := egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 16, Dial: s.dial})
 	c, err := core.New(control.Settings{
 		Gateways:   1,
@@ -152,7 +155,7 @@
 	fleet.Update(core.Table{Kind: control.Snapshot})
 	cancel()
 	ended.Wait()
-	time.Sleep(time.Minute) // of the bubble's time: what hangs has ended
+	time.Sleep(time.Minute) // in the synctest bubble's time: whatever hangs has ended by then
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.attempts, timed
--- a/internal/egress/unsafe_test.go
+++ b/internal/egress/unsafe_test.go
@@ -12,13 +12,13 @@
 	"junctionring/control"
 )
 
-const distinctRun = 8 // different answers of a path in a row, after which the next might be expected to differ, too
+const distinctRun = 8 // distinct answers of a path in a row, after which the next one might be expected to differ, too
 
 func post(uri, body string) *Request {
 	return Encode(http.MethodPost, uri, "t", http.Header{}, []byte(body), nil)
 }
 
-// teach has n unsafe requests of a path answered, each in its own way.
+// sendDistinct sends n unsafe requests of a path, each of which gets an answer of its own.
 func (s *scriptedTarget) sendDistinct(path string, n int) {
 	s.t.Helper()
 	for range n {
@@ -28,7 +28,7 @@
 	}
 }
 
-// alikeAt answers all requests to a path alike, and others each in its own way.
+// identicalAt gives all requests to a path the same answer, and each other request one of its own.
 func identicalAt(path string) func() connectionScript {
 	return answersOnce(func(r *http.Request) string {
 		if r.URL.Path == path && r.URL.RawQuery == "" {
@@ -38,7 +38,7 @@
 	})
 }
 
-// wantAlike sends requests that are all answered alike, and none of whose answers may be lost.
+// wantIdentical sends requests that all get the same answer, none of which may be lost.
 func (s *scriptedTarget) wantIdentical(requests ...*Request) {
 	s.t.Helper()
 	for i, r := range requests {
@@ -48,7 +48,8 @@
 	}
 }
 
-// Guards against an unsafe request being lost on a path answered alike, since other paths are answered each in its own way.
+// Guards against an unsafe request being lost on a path with identical answers, because other paths have distinct
+// ones.
 func TestIdenticalAnswerAfterPathsOfDistinctOnesIsNotLost(t *testing.T) {
 	target := startTarget(t, 1, identicalAt("/write"))
 	target.warmUp(warmUps)
@@ -59,7 +60,7 @@
 	target.wantIdentical(post("/write", "0"), post("/write", "1"), post("/write", "2"))
 }
 
-// Guards against a keyed request being lost whose body was still coming in, and so can't be sent again.
+// Guards against a keyed request being lost whose body was still coming in, so that it can't be sent again.
 func TestIdenticalAnswerToAKeyedUploadIsNotLost(t *testing.T) {
 	target := startTarget(t, 1, identicalAt("/write"))
 	target.warmUp(warmUps)
@@ -70,8 +71,8 @@
 	target.wantIdentical(keyed("a"), keyed("b"), keyed("c"))
 }
 
-// Guards against requests that can't be sent again opening more than one connection each, and against more being open at
-// once than are needed, as a server holds only so many.
+// Guards against requests that can't be sent again opening more than one connection each, and against more being
+// open at once than are needed, as a server holds only so many.
 func TestRequestsThatCannotBeSentAgainOpenOneConnectionEach(t *testing.T) {
 	const (
 		writes = 64
@@ -114,7 +115,7 @@
 	}
 }
 
-// Guards against reads and keyed requests opening connections where only requests that can't be sent again have to.
+// Guards against reads and keyed requests opening connections when only requests that can't be sent again have to.
 func TestRequestsThatCanBeSentAgainUseFewConnections(t *testing.T) {
 	target := startTarget(t, 4, answersOnce(ownBody))
 	target.warmUp(warmUps)
@@ -131,23 +132,24 @@
 	}
 }
 
-// Guards against more open connections than a server may hold where many requests that can't be sent again are out at once.
+// Guards against more open connections than a server may hold when many requests that can't be sent again are
+// under way at once.
 func TestConnectionsOpenAtOnceKeepToWhatIsNeeded(t *testing.T) {
 	const atATime = 8
 	target := startTarget(t, maxConns, answersOnce(ownBody))
 	mostOpen := target.watchOpen()
 	target.warmUp(warmUps)
 	target.wantAll(numberedRequests(256, ownBody), atATime)
-	if most := mostOpen.Load(); most > 2*atATime { // as many at rest as are in use
+	if most := mostOpen.Load(); most > 2*atATime { // as many idle as in use
 		t.Errorf("%d connections were open at once, for %d requests", most, atATime)
 	}
 }
 
-// watchOpen records how many connections are open at the most, from before the first request on.
+// watchOpen records the maximum number of open connections, from before the first request on.
 func (s *scriptedTarget) watchOpen() *atomic.Int64 {
 	most := new(atomic.Int64)
 	s.site.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		open := int64(len(s.site.permits)) // with the one for this dial
+		open := int64(len(s.site.permits)) // including the one for this dial
 		for before := most.Load(); open > before && !most.CompareAndSwap(before, open); before = most.Load() {
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, address)
@@ -155,7 +157,8 @@
 	return most
 }
 
-// Guards against an unsafe request that ran being lost on a path of whose answers many differed before, and then are alike.
+// Guards against an unsafe request that ran being lost on a path with many distinct answers followed by identical
+// ones.
 func TestIdenticalAnswersAfterDistinctOnesAreNotLost(t *testing.T) {
 	for _, conns := range []int{1, 4} {
 		t.Run(strconv.Itoa(conns), func(t *testing.T) {
@@ -167,7 +170,7 @@
 	}
 }
 
-// Guards against the same where another answer came between the two that are alike, on another connection.
+// Guards against the same when another answer came between the two identical ones, on another connection.
 func TestIdenticalAnswersAmongDistinctOnesAreNotLost(t *testing.T) {
 	target := startTarget(t, 2, identicalAt("/write"))
 	target.warmUp(warmUps)
@@ -177,8 +180,8 @@
 	target.wantIdentical(post("/write", "1"))
 }
 
-// Guards against a second answer that refuses saying of the next request that it never ran, on a path of whose answers many
-// differed before.
+// Guards against a duplicate refusal being taken for the next request's, so that this counts as never run, on a
+// path that had many distinct answers before.
 func TestSecondAnswerThatRefusesOnAKnownPathDoesNotCountAsNeverRun(t *testing.T) {
 	const refusal = "HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 	target := startTarget(t, 4, withDistinct(func() connectionScript {
--- a/internal/egress/upload_test.go
+++ b/internal/egress/upload_test.go
@@ -10,8 +10,8 @@
 	"junctionring/control"
 )
 
-// pausedUpload is a message whose client has sent a part of its body and pauses until the test ends. It tells when it
-// is asked for more.
+// pausedUpload is a message whose client has sent a part of its body and pauses until the test ends. It sends on
+// asked when more is requested.
 func pausedUpload(t *testing.T) (r *Request, asked <-chan struct{}) {
 	waits, resume := make(chan struct{}, 1), make(chan struct{})
 	t.Cleanup(func() { close(resume) })
@@ -24,7 +24,7 @@
 	return &Request{Method: "POST", Head: head, Body: []byte("begin"), Rest: &Upload{Length: 100000, Next: next}}, waits
 }
 
-// tcpPair is a connection on loopback, and its far end.
+// tcpPair returns a loopback connection and its far end.
 func tcpPair(t *testing.T) (near *conn, far net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,8 @@
 	return near, far
 }
 
-// Guards against an attempt that waits for a paused client's body although its connection, or the request, has ended.
+// Guards against an attempt that waits for a paused client's body although its connection, or the request, has
+// ended.
 func TestPausedBodyDoesNotHoldAnEndedAttempt(t *testing.T) {
 	const mostWait = time.Second
 	for _, c := range []struct {
--- a/internal/egress/used_connection_test.go
+++ b/internal/egress/used_connection_test.go
@@ -25,16 +25,17 @@
 	return nil, errors.New("refused")
 }
 
-// step is what a scripted peer writes when it has read the next request of a connection.
+// step is what a scripted peer writes after it has read the next request of a connection.
 type step string
 
-// scriptedConn is a connection to a peer that writes one step for each request, in order, and then nothing more.
+// scriptedConn returns a connection to a peer that writes one step for each request, in order, and then nothing
+// more.
 func scriptedConn(t *testing.T, stats *answerStats, steps ...step) *conn {
 	t.Helper()
 	return scriptedConnThen(t, stats, staysSilent, steps...)
 }
 
-// scriptedConnThen is scriptedConn whose peer may close the connection behind the last step.
+// scriptedConnThen is scriptedConn with a peer that may close the connection after the last step.
 func scriptedConnThen(t *testing.T, stats *answerStats, then ending, steps ...step) *conn {
 	t.Helper()
 	near, far := net.Pipe()
@@ -52,12 +53,12 @@
 		if then == closesConnection {
 			far.Close()
 		}
-		http.ReadRequest(in) // until it is closed
+		http.ReadRequest(in) // returns when the connection is closed
 	}()
 	return newConn(near, "pipe", stats)
 }
 
-// of is a step that answers with these bodies, one after another.
+// answering is a step that writes these answers, one after another.
 func answering(bodies ...string) step {
 	var s strings.Builder
 	for _, b := range bodies {
@@ -66,7 +67,7 @@
 	return step(s.String())
 }
 
-// asked carries a request out on a connection as an attempt would.
+// sendOn carries out a request on a connection as an attempt would.
 func sendOn(t *testing.T, c *conn, r *Request, deadline time.Duration) (o core.Outcome, reuse bool) {
 	t.Helper()
 	ctx, cancel := contextFor(t, deadline)
@@ -86,7 +87,7 @@
 	return ""
 }
 
-// by is a request of a customer, with headers in pairs.
+// getFrom is a GET request of a customer, with headers in pairs.
 func getFrom(customer uint64, path string, headers ...string) *Request {
 	header := http.Header{}
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -97,8 +98,7 @@
 	return r
 }
 
-// knowing is a history that has learned enough for connections to be used for different requests, and that these
-// answers are common.
+// sampledStats has enough samples for a connection to carry differing requests, and knows these answers as common.
 func sampledStats(common ...string) *answerStats {
 	stats := &answerStats{tracker: newAnswerTracker()}
 	for i := range baseSamples {
@@ -112,17 +112,18 @@
 	return stats
 }
 
-// isCommon tells whether a body is known to be given to different requests.
+// isCommon reports whether a body is known to be given to different requests.
 func isCommon(stats *answerStats, body string) bool {
 	return stats.tracker.anyCommon([]pastAnswer{{answer: fingerprintOf([]byte(body))}}, time.Now())
 }
 
-// goesOn tells whether the target would use the connection for the request, once it has rested.
+// mayCarry reports whether the target would send the request on the connection after its reuse delay.
 func mayCarry(c *conn, r *Request) bool {
 	return !c.unusable() && newConnRequest(r.identity(repeatOf(r))).canUse(c)
 }
 
-// wantNoneOf sends the last request on the connection where the target would, and wants none of these answers for it.
+// wantNoneOf sends the last request on the connection if the target would, and requires that it gets none of these
+// answers.
 func wantNoneOf(t *testing.T, c *conn, reuse bool, r *Request, others ...string) {
 	t.Helper()
 	if !reuse || !mayCarry(c, r) {
@@ -137,7 +138,7 @@
 	}
 }
 
-// Guards against a request getting the own answer of the one before, which was given a common second answer.
+// Guards against a request getting the own answer of the one before it, which was given a common second answer.
 func TestOwnAnswerBehindACommonOneIsNotGivenToTheNextRequest(t *testing.T) {
 	c := scriptedConn(t, sampledStats("ok"), answering("ok"), answering("ok"), answering("private of two"))
 	if o, reuse := sendOn(t, c, getFrom(1, "/one"), faultDeadline); bodyOf(o) != "ok" || !reuse {
@@ -158,7 +159,7 @@
 			case r.URL.Path == "/common", r.URL.Path == "/one":
 				last = withLength("ok")
 				return last, false
-			case r.URL.Path == "/two" && last != "": // first /one's again; its own is late
+			case r.URL.Path == "/two" && last != "": // first /one's a second time; its own is late
 				owed = own
 				return last, false
 			case owed != "":
@@ -169,7 +170,7 @@
 		}
 	})
 	target.warmUp(warmUps)
-	for i := range 2 { // each is the first with its body on its connection
+	for i := range 2 { // each is the first answer with this body on its connection
 		target.post(closeAllIdle{})
 		target.wantOK("/common", get("/common?"+strconv.Itoa(i)), "ok")
 	}
@@ -186,7 +187,8 @@
 
 // Guards against a request getting the own answer of an equal read before it, which was given a second answer.
 func TestOwnAnswerOfAnEqualReadIsNotGivenToTheNextRequest(t *testing.T) {
-	c := scriptedConn(t, sampledStats(), answering("cart: 1 thing"), answering("cart: 1 thing"), answering("cart: 2 things"))
+	c := scriptedConn(t, sampledStats(), answering("cart: 1 thing"), answering("cart: 1 thing"),
+		answering("cart: 2 things"))
 	sendOn(t, c, getFrom(1, "/cart", "X-Request-ID", "a"), faultDeadline)
 	_, reuse := sendOn(t, c, getFrom(1, "/cart", "X-Request-ID", "b"), faultDeadline)
 	wantNoneOf(t, c, reuse, getFrom(2, "/cart", "X-Request-ID", "c"), "cart: 2 things")
@@ -197,13 +199,14 @@
 	probe := func() *Request {
 		return &Request{Method: http.MethodGet, Head: []byte("GET /stats HTTP/1.1\r\nHost: target\r\n")}
 	}
-	c := scriptedConn(t, sampledStats(), answering(`{"inflight":1}`), answering(`{"inflight":1}`), answering(`{"inflight":2}`))
+	c := scriptedConn(t, sampledStats(), answering(`{"inflight":1}`), answering(`{"inflight":1}`),
+		answering(`{"inflight":2}`))
 	sendOn(t, c, probe(), faultDeadline)
 	_, reuse := sendOn(t, c, probe(), faultDeadline)
 	wantNoneOf(t, c, reuse, getFrom(2, "/view"), `{"inflight":2}`)
 }
 
-// Guards against an equal read getting an answer from before, with its own behind it.
+// Guards against an equal read getting an earlier answer when its own follows.
 func TestEqualReadDoesNotGetAnAnswerFromBefore(t *testing.T) {
 	c := scriptedConn(t, sampledStats(), answering("cart: empty"), answering("cart: empty", "cart: 1 thing"))
 	sendOn(t, c, getFrom(1, "/cart", "X-Request-ID", "a"), faultDeadline)
@@ -213,7 +216,7 @@
 	}
 }
 
-// Guards against a second answer that comes behind many others being given to the next request.
+// Guards against a second answer that comes after many others being given to the next request.
 func TestSecondAnswerBehindManyIsNotGivenToTheNextRequest(t *testing.T) {
 	for _, behind := range []int{maxPastAnswers, maxPastAnswers + 1} {
 		t.Run(strconv.Itoa(behind), func(t *testing.T) {
@@ -234,7 +237,7 @@
 	}
 }
 
-// Guards against one customer's answer counting as common since he asked twice.
+// Guards against one customer's answer counting as common because this customer requested it twice.
 func TestOneCustomersAnswerIsNotCommon(t *testing.T) {
 	h := sampledStats()
 	const private = "account of customer 1"
@@ -260,7 +263,7 @@
 	}
 }
 
-// Guards against a common answer being taken with the own one behind it.
+// Guards against a common answer being accepted when the request's own follows it.
 func TestOwnAnswerBehindACommonOneIsTaken(t *testing.T) {
 	c := scriptedConn(t, sampledStats("ok"), answering("ok"), answering("ok", "of two"))
 	sendOn(t, c, getFrom(1, "/one"), faultDeadline)
@@ -269,9 +272,10 @@
 	}
 }
 
-// Guards against a second answer that refuses saying of the next request that it never ran.
+// Guards against a duplicate refusal being taken for the next request's, so that this counts as never run.
 func TestSecondAnswerThatRefusesDoesNotCountAsNeverRun(t *testing.T) {
-	c := scriptedConn(t, sampledStats(), answering("of one"), "HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"+answering("of two"))
+	c := scriptedConn(t, sampledStats(), answering("of one"),
+		"HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"+answering("of two"))
 	_, reuse := sendOn(t, c, getFrom(1, "/one"), faultDeadline)
 	r := Encode(http.MethodPost, "/two", "t", http.Header{}, []byte("move"), nil)
 	if !reuse || !mayCarry(c, r) {
@@ -282,11 +286,11 @@
 	}
 }
 
-// Guards against a failed dial leaving those waiting for whom no idle connection is.
+// Guards against a failed dial leaving a request waiting that can use no idle connection.
 func TestFailedDialIsReportedIfNoIdleConnectionSuits(t *testing.T) {
 	a, c, _ := newReusedTarget(t)
 	c.lastUsed = time.Now().Add(-maxReuseDelay)
-	a.stats.tracker = newAnswerTracker() // knows nothing: no connection is used for different requests
+	a.stats.tracker = newAnswerTracker() // has no samples: no connection carries differing requests
 	a.site.permits = make(chan struct{}, 4)
 	a.site.permits <- struct{}{}
 	a.site.Dial = refuseDial
@@ -295,16 +299,16 @@
 	if a.dialing != 1 {
 		t.Fatalf("%d dialling", a.dialing)
 	}
-	a.handle(<-a.mailbox) // dialed, in vain
+	a.handle(<-a.mailbox) // the dial failed
 	if len(next.result) == 0 && a.dialing == 0 && !a.reuseScheduled {
 		t.Errorf("%d wait, with %d idle that they may not use, and nothing that could end that", len(a.waiting), len(a.idle))
 	}
 }
 
-// Guards against failed dials leaving those waiting that are more than may be dialled for at once.
+// Guards against failed dials leaving requests waiting when more wait than may be dialled for at once.
 func TestFailedDialsAreReportedToAllThatWait(t *testing.T) {
 	a, c, _ := newReusedTarget(t)
-	a.idle = nil // its attempt is out
+	a.idle = nil // its attempt is under way
 	c.Close()
 	a.handle(connClosed{})
 	a.site.permits = make(chan struct{}, 2*maxDials)
@@ -322,7 +326,7 @@
 	}
 }
 
-// Guards against an unsafe request that ran being lost, as its answer is not known to be common yet.
+// Guards against an unsafe request that ran being lost because its answer is not known to be common yet.
 func TestIdenticalAnswerOfAHealthyServerIsNotLost(t *testing.T) {
 	target := startTarget(t, 1, answersOnce(okForPosts))
 	target.warmUp(warmUps)
@@ -334,7 +338,7 @@
 	}
 }
 
-// Guards against common answers being forgotten behind those that are given once.
+// Guards against common answers being evicted by answers that are given once.
 func TestCommonAnswerOutlivesAnswersGivenOnce(t *testing.T) {
 	h := sampledStats("ok")
 	for i := range maxTrackedEntries {
@@ -345,7 +349,7 @@
 	}
 }
 
-// Guards against keyed requests of different users with one key being taken for equal.
+// Guards against keyed requests of different users with the same key being taken for equal.
 func TestSameKeyOfDifferentUsersIsNotEqual(t *testing.T) {
 	with := func(user string) *Request {
 		return Encode(http.MethodPost, "/pay", "t", http.Header{"Idempotency-Key": {"1"}, "Authorization": {user}}, []byte("5"), nil)
@@ -391,7 +395,7 @@
 	}
 }
 
-// Guards against something false being learned behind a common second answer.
+// Guards against a private answer being recorded as common after a common second answer.
 func TestNothingWrongIsRecordedAfterACommonAnswer(t *testing.T) {
 	h := sampledStats("ok")
 	c := scriptedConn(t, h, answering("ok"), answering("ok"), answering("private of two"))
@@ -407,7 +411,7 @@
 	}
 }
 
-// Guards against reads of a state that two customers see being run again and again.
+// Guards against reads of a state that two customers see being run repeatedly.
 func TestTwoReadersOfOneStateAreNotHeldUp(t *testing.T) {
 	const states = 20
 	var state atomic.Int64
@@ -438,7 +442,7 @@
 	}
 }
 
-// Guards against an answer that is dropped time and again, as nothing is learned from it.
+// Guards against an answer being dropped repeatedly because nothing is recorded of it.
 func TestDroppedAnswersAreEventuallyRecorded(t *testing.T) {
 	target := startTarget(t, 1, answersOnce(func(r *http.Request) string {
 		if r.URL.Path != "/board" {
@@ -458,7 +462,7 @@
 	}
 }
 
-// Guards against a target that answered counting as silent, where its answer was dropped.
+// Guards against a target that answered counting as silent because its answer was dropped.
 func TestDroppedAnswerDoesNotCountAsSilence(t *testing.T) {
 	for round := range 8 {
 		t.Run(strconv.Itoa(round), func(t *testing.T) {
@@ -473,7 +477,7 @@
 	target := startTarget(t, 8, answersOnce(okForPosts))
 	target.warmUp(warmUps)
 	status := control.OK
-	for i := 0; status == control.OK; i++ { // until one comes on a connection that gave the answer before
+	for i := 0; status == control.OK; i++ { // until one goes out on a connection that gave the answer before
 		if i == warmUps {
 			t.Log("no answer is dropped")
 			return
