--- a/internal/egress/crossed_answer_test.go
+++ b/internal/egress/crossed_answer_test.go
@@ -15,9 +15,9 @@
 	"junctionring/internal/core"
 )
 
-// crossedPeer is a target whose second answer to /one comes when it has taken the next request; then comes that one's own.
-// Writes on a pipe end when they are read: each answer is read before the next is written.
-func crossedPeer(far net.Conn, one, two string) {
+// duplicatingPeer is a target that answers /one a second time after it has read the next request, and then that
+// request. A write on a pipe returns when it has been read: each answer is read before the next is written.
+func duplicatingPeer(far net.Conn, one, two string) {
 	in := bufio.NewReader(far)
 	for i := range 2 {
 		request, err := http.ReadRequest(in)
@@ -35,16 +35,16 @@
 			fmt.Fprintf(far, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(own), own)
 		}
 	}
-	http.ReadRequest(in) // until it is closed
+	http.ReadRequest(in) // returns when the connection is closed
 }
 
-// ask sends a request on a connection and returns the body of its answer.
-func ask(t *testing.T, c *conn, path string) (body string, status control.Status, reuse bool) {
+// sendGet sends a request on a connection and returns the body of its answer.
+func sendGet(t *testing.T, c *conn, path string) (body string, status control.Status, reuse bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	r := &Request{Method: "GET", Head: []byte("GET " + path + " HTTP/1.1\r\nHost: t\r\n")}
-	c.asked = r.question(control.Safe)
+	c.inFlight = r.identity(control.Safe)
 	o, reuse := c.roundTrip(ctx, r, nil, nil, 0)
 	if reply, ok := o.Reply.(*Reply); ok {
 		body = string(reply.Body)
@@ -52,17 +52,17 @@
 	return body, o.Status, reuse
 }
 
-// Guards against one caller getting the answer of another, where a target answers twice and the second time late.
+// Guards against one caller getting another's answer when a target answers twice, the second time late.
 func TestSecondAnswerIsNotGivenToTheNextRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := newConn(near, "pipe", &history{})
+	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
-	go crossedPeer(far, "of one", "of two")
-	if body, status, reuse := ask(t, c, "/one"); body != "of one" || status != control.OK || !reuse {
+	go duplicatingPeer(far, "of one", "of two")
+	if body, status, reuse := sendGet(t, c, "/one"); body != "of one" || status != control.OK || !reuse {
 		t.Fatalf("the first got %q, %v, to be used again: %t", body, status, reuse)
 	}
-	body, status, reuse := ask(t, c, "/two")
+	body, status, reuse := sendGet(t, c, "/two")
 	if body != "of two" || status != control.OK {
 		t.Errorf("/two got the answer of /one: %q, %v", body, status)
 	}
@@ -71,10 +71,10 @@
 	}
 }
 
-// Where the target closes the connection behind the second answer, the next request has no answer of its own.
+// If the target closes the connection after the second answer, the next request has no answer of its own.
 func TestSecondAnswerBeforeTheEndIsAReset(t *testing.T) {
 	near, far := net.Pipe()
-	c := newConn(near, "pipe", &history{})
+	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
 	go func() {
 		defer far.Close()
@@ -86,16 +86,16 @@
 			fmt.Fprint(far, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nof one")
 		}
 	}()
-	ask(t, c, "/one")
-	if body, status, _ := ask(t, c, "/two"); status != control.Reset {
+	sendGet(t, c, "/one")
+	if body, status, _ := sendGet(t, c, "/two"); status != control.Reset {
 		t.Errorf("/two got %q, %v", body, status)
 	}
 }
 
-// Guards against an answer that is known to be given to different requests being held back, or lost.
+// Guards against an answer that is known to be given to different requests being held back or lost.
 func TestAnswerGivenToDifferentRequestsIsNotHeldBack(t *testing.T) {
 	target := startTarget(t, 2, answersOnce(func(*http.Request) string { return "done" }))
-	for i := range 4 * learnedFrom {
+	for i := range 4 * baseSamples {
 		path := fmt.Sprintf("/%d", i)
 		target.wantOK(path, get(path), "done")
 		path += "/move"
@@ -103,11 +103,11 @@
 	}
 }
 
-// The same request may have the same answer: it is not held back, and tells nothing of the target.
+// The same request may have the same answer: it is not held back, and reveals nothing about the target.
 func TestSameRequestMayHaveTheSameAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := newConn(near, "pipe", &history{memory: newAnswerMemory()})
+	c := newConn(near, "pipe", &answerStats{tracker: newAnswerTracker()})
 	defer c.Close()
 	go func() {
 		in := bufio.NewReader(far)
@@ -119,41 +119,42 @@
 		}
 	}()
 	for range 3 {
-		if body, status, reuse := ask(t, c, "/view"); body != "same" || status != control.OK || !reuse {
+		if body, status, reuse := sendGet(t, c, "/view"); body != "same" || status != control.OK || !reuse {
 			t.Errorf("got %q, %v, to be used again: %t", body, status, reuse)
 		}
 	}
-	if c.gaveCommon || c.history.memory.changes.Load() > 0 {
-		t.Error("it is taken for a target that answers all alike")
+	if c.gaveCommon || c.stats.tracker.changes.Load() > 0 {
+		t.Error("the answer counts as given to different requests")
 	}
 }
 
-// A target that has sent something unasked gets one request on each connection, however long one has rested, within
-// the connections that it may have.
-func TestWaryTargetGetsOneRequestAConnection(t *testing.T) {
-	a, c, _ := reused(t) // its one permit is taken
-	a.unasked, c.used = time.Now(), time.Now().Add(-time.Minute/2)
-	next := &lease{got: make(chan *conn, 1)}
+// A target that has sent unsolicited bytes gets one request per connection, however long a connection has been
+// idle, within its limit on connections.
+func TestSuspectedTargetGetsOneRequestPerConnection(t *testing.T) {
+	a, c, _ := newReusedTarget(t) // its only permit is taken
+	a.lastUnsolicited, c.lastUsed = time.Now(), time.Now().Add(-time.Minute/2)
+	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
-	if len(next.got) > 0 {
+	if len(next.result) > 0 {
 		t.Fatal("the used connection is used again")
 	}
 	if _, err := c.Write(nil); err == nil {
 		t.Error("the used connection is still open, and holds the permit")
 	}
-	for len(next.got) == 0 {
-		a.handle(<-a.mailbox) // dialed; before or after it, rested
+	for len(next.result) == 0 {
+		a.handle(<-a.mailbox) // a dialResult; a reuseDue may come before or after it
 	}
-	if got := <-next.got; got == nil || got.answered {
+	if got := <-next.result; got == nil || got.answered {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// Guards against a second refusal being taken for the next request's answer, which would then count as never run.
+// Guards against a duplicate refusal being taken for the next request's answer, so that this request counts as
+// never run.
 func TestSecondRefusalIsNotGivenToTheNextRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := newConn(near, "pipe", &history{})
+	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
 	go func() {
 		const refusal = "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -168,19 +169,19 @@
 		fmt.Fprint(far, refusal)
 		fmt.Fprint(far, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nof two")
 	}()
-	_, status, reuse := ask(t, c, "/one")
+	_, status, reuse := sendGet(t, c, "/one")
 	if status != control.Full {
 		t.Fatalf("the first got %v", status)
 	}
-	if !reuse { // nothing can cross
+	if !reuse { // no duplicate can reach the next request
 		return
 	}
-	if _, status, _ := ask(t, c, "/two"); status == control.Full {
+	if _, status, _ := sendGet(t, c, "/two"); status == control.Full {
 		t.Error("/two got the refusal of /one, and counts as never run")
 	}
 }
 
-// Guards against a second answer of a streamed one being taken for the next request's.
+// Guards against a duplicate of a streamed answer being taken for the next request's answer.
 func TestSecondStreamedAnswerIsNotGivenToTheNextRequest(t *testing.T) {
 	long := strings.Repeat("x", MaxBody+1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -241,17 +242,17 @@
 	}
 }
 
-// Guards against a second answer with no body being taken for the next request's.
+// Guards against a duplicate answer without a body being taken for the next request's answer.
 func TestSecondEmptyAnswerIsNotGivenToTheNextRequest(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := newConn(near, "pipe", &history{})
+	c := newConn(near, "pipe", &answerStats{})
 	defer c.Close()
-	go crossedPeer(far, "", "of two")
-	if _, status, reuse := ask(t, c, "/one"); status != control.OK || !reuse {
+	go duplicatingPeer(far, "", "of two")
+	if _, status, reuse := sendGet(t, c, "/one"); status != control.OK || !reuse {
 		t.Fatalf("the first got %v, to be used again: %t", status, reuse)
 	}
-	if body, status, _ := ask(t, c, "/two"); body != "of two" || status != control.OK {
+	if body, status, _ := sendGet(t, c, "/two"); body != "of two" || status != control.OK {
 		t.Errorf("/two got the answer of /one: %q, %v", body, status)
 	}
 }
--- a/internal/egress/egress.go
+++ b/internal/egress/egress.go
@@ -1,5 +1,6 @@
-// Package egress carries attempts to the egress targets: a RoundTripper for httputil.ReverseProxy that hands
-// each exchange to the core, and an actor for each target that owns its connections.
+// Package egress sends attempts to the egress targets: a RoundTripper for httputil.ReverseProxy hands each
+// exchange to the core, and an actor for each target owns its connections. It neither chooses targets nor repeats
+// requests by itself: the core does.
 package egress
 
 import (
@@ -16,17 +17,17 @@
 	"junctionring/internal/core"
 )
 
-// Fleet is all egress targets. Its methods are called from the core's goroutine only, and never block.
+// Fleet holds all egress targets. Its methods are called from the core's goroutine only, and never block.
 type Fleet struct {
-	sites   []*site // the first also for targets of no known site
+	sites   []*site // the first one also serves targets of an unknown site
 	targets map[string]*entry
 }
 
-// site is what the targets of one site share.
+// site holds what the targets of one site share.
 type site struct {
 	Options
 	permits chan struct{}
-	answers *answerMemory
+	tracker *answerTracker
 }
 
 func (s *site) connect(ctx context.Context, network, address string) (net.Conn, error) {
@@ -41,21 +42,21 @@
 	route route
 }
 
-// NewFleet makes an empty fleet. Where there are sites each has options of its own, and descriptors: what
-// hangs over a link to one takes none from another.
+// NewFleet returns a fleet without targets. Each site has its own options and its own limit on connections, so
+// that connections hanging on the link to one site take no descriptors from another.
 func NewFleet(bySite ...Options) *Fleet {
 	f := &Fleet{targets: map[string]*entry{}}
 	for _, o := range bySite {
-		f.sites = append(f.sites, &site{o, make(chan struct{}, o.Conns), newAnswerMemory()})
+		f.sites = append(f.sites, &site{o, make(chan struct{}, o.Conns), newAnswerTracker()})
 	}
 	return f
 }
 
 // Update implements core.Egress.
 func (f *Fleet) Update(table core.Table) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, m := range table.Targets {
-		named[m.Server] = true
+		listed[m.Server] = true
 		if m.State == control.Removed {
 			f.remove(m.Server)
 			continue
@@ -65,25 +66,25 @@
 			s = f.sites[m.Site]
 		}
 		e := f.targets[m.Server]
-		if e != nil && e.site != s { // it moved
+		if e != nil && e.site != s { // the target moved to another site
 			f.remove(m.Server)
 			e = nil
 		}
 		if e == nil {
 			ctx, cancel := context.WithCancel(context.Background())
-			e = &entry{target: &target{site: s, mailbox: make(chan any, mailboxSize), ctx: ctx, end: cancel}}
-			e.history.memory = s.answers
+			e = &entry{target: &target{site: s, mailbox: make(chan any, mailboxSize), ctx: ctx, stop: cancel}}
+			e.stats.tracker = s.tracker
 			f.targets[m.Server] = e
 			go e.run()
 		}
 		if r := (route{m.Address, m.State == control.Ready}); r != e.route {
 			e.route = r
-			e.tell(r)
+			e.send(r)
 		}
 	}
-	if table.Kind != control.Delta { // a whole list: what it does not name is gone
+	if table.Kind != control.Delta { // a complete table: targets that it does not list are gone
 		for id := range f.targets {
-			if !named[id] {
+			if !listed[id] {
 				f.remove(id)
 			}
 		}
@@ -92,13 +93,13 @@
 
 func (f *Fleet) remove(id string) {
 	if e := f.targets[id]; e != nil {
-		e.tell(retire{})
+		e.send(targetRemoved{})
 		delete(f.targets, id)
 	}
 }
 
-// tell hands a message to the actor without waiting for it.
-func (e *entry) tell(m any) {
+// send posts a message to the actor without waiting for it.
+func (e *entry) send(m any) {
 	select {
 	case e.mailbox <- m:
 	default:
@@ -146,45 +147,47 @@
 // CloseIdle implements core.Egress.
 func (f *Fleet) CloseIdle(id string) {
 	if e := f.targets[id]; e != nil {
-		e.tell(dropIdle{})
+		e.send(closeAllIdle{})
 	}
 }
 
 type exchangeKey struct{}
 
-// carried is what rides through httputil.ReverseProxy in a request's context.
-type carried struct {
-	target   string // of the request, as it came: httputil.ReverseProxy writes some queries anew
+// carriedExchange is what a request's context carries through httputil.ReverseProxy.
+type carriedExchange struct {
+	target   string // request target as received: httputil.ReverseProxy rewrites some queries
 	exchange *core.Exchange
 	body     []byte
-	rest     *Upload
-	ended    func(core.Answer)
+	upload   *Upload
+	onAnswer func(core.Answer)
 }
 
-// WithExchange returns a request that carries its exchange through httputil.ReverseProxy to the RoundTripper.
-// rest is what of its body follows; ended is told the final answer before the client is; both may be nil.
-func WithExchange(r *http.Request, x *core.Exchange, body []byte, rest *Upload, ended func(core.Answer)) *http.Request {
+// WithExchange returns a request that carries its exchange through httputil.ReverseProxy to the RoundTripper. rest
+// is the part of the body that follows; onAnswer gets the final answer before the client does; both may be nil.
+func WithExchange(r *http.Request, x *core.Exchange, body []byte, rest *Upload,
+	onAnswer func(core.Answer)) *http.Request {
 	if rest != nil {
 		x.Arriving, x.BodyConsumed = true, rest.Spent
 	}
-	return r.WithContext(context.WithValue(r.Context(), exchangeKey{}, &carried{r.RequestURI, x, body, rest, ended}))
+	return r.WithContext(context.WithValue(r.Context(), exchangeKey{},
+		&carriedExchange{r.RequestURI, x, body, rest, onAnswer}))
 }
 
-// RoundTripper has the core decide and carry out the exchange that a request holds.
+// RoundTripper has the core decide and carry out the exchange that a request carries.
 type RoundTripper struct {
 	Core       *core.Core
-	RetryAfter func(time.Duration) string // words a wait for the front's clients
+	RetryAfter func(time.Duration) string // formats a wait for the front's clients
 }
 
 // RoundTrip implements http.RoundTripper.
 func (t *RoundTripper) RoundTrip(r *http.Request) (*http.Response, error) {
-	c := r.Context().Value(exchangeKey{}).(*carried)
-	message := Encode(r.Method, c.target, r.Host, r.Header, c.body, c.rest)
+	c := r.Context().Value(exchangeKey{}).(*carriedExchange)
+	message := Encode(r.Method, c.target, r.Host, r.Header, c.body, c.upload)
 	message.Customer = c.exchange.Customer
 	c.exchange.Payload = message
 	a := t.Core.Do(r.Context(), *c.exchange)
-	if c.ended != nil {
-		c.ended(a)
+	if c.onAnswer != nil {
+		c.onAnswer(a)
 	}
 	resp := &http.Response{ProtoMajor: 1, ProtoMinor: 1, Request: r, Header: http.Header{}, Body: http.NoBody}
 	switch a.Kind {
@@ -195,7 +198,7 @@
 			if resp.ContentLength = reply.Length; reply.Length >= 0 {
 				resp.Header.Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 			}
-			resp.Body = pass(r.Context(), reply.Long, t.Core, c.exchange.Class)
+			resp.Body = newClientBody(r.Context(), reply.Long, t.Core, c.exchange.Class)
 			return resp, nil
 		}
 		resp.ContentLength = int64(len(reply.Body))
@@ -219,13 +222,13 @@
 	return resp, nil
 }
 
-// Encode writes a message once, for all attempts.
+// Encode encodes a message once, for all attempts.
 func Encode(method, uri, host string, h http.Header, body []byte, rest *Upload) *Request {
 	var b bytes.Buffer
 	b.WriteString(method + " " + uri + " HTTP/1.1\r\nHost: " + host + "\r\n")
 	h = h.Clone()
 	h.Del("X-Timeout")
-	h.Del("Expect") // answered here: the body has come in whole
+	h.Del("Expect") // answered by the gateway, as the body has come in
 	h.Del("Content-Length")
 	h.Del("Transfer-Encoding")
 	switch {
@@ -236,14 +239,14 @@
 	case len(body) > 0 || method == http.MethodPost:
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	h.Write(&b) // into memory: it does not fail
+	h.Write(&b) // writing to memory does not fail
 	return &Request{Method: method, Head: b.Bytes(), Body: body, Rest: rest, Key: h.Get("Idempotency-Key")}
 }
 
-// DecimalSeconds words a wait as the platform's clients read it.
+// DecimalSeconds formats a wait as the platform's clients read it: seconds with three decimals.
 func DecimalSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// WholeSeconds words a wait as HTTP at large does, rounded up.
+// WholeSeconds formats a wait as HTTP specifies it: whole seconds, rounded up.
 func WholeSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
--- a/internal/egress/fuzz_test.go
+++ b/internal/egress/fuzz_test.go
@@ -9,15 +9,15 @@
 	"junctionring/control"
 )
 
-// script is a connection on which a peer has written all it will.
-type script struct {
+// writtenConn is a connection on which a peer has written all that it will.
+type writtenConn struct {
 	net.Conn
 	*bytes.Reader
 }
 
-func (s script) Read(b []byte) (int, error) { return s.Reader.Read(b) }
+func (s writtenConn) Read(b []byte) (int, error) { return s.Reader.Read(b) }
 
-// Whatever a target writes, what is served is a whole 200 within bounds, and a load is made of finite numbers.
+// Whatever a target writes, a served answer is a whole 200 within the limits, and a load has finite numbers only.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: {\"q\":1,\"rif\":2}\r\n\r\nhere",
@@ -27,8 +27,8 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := newConn(script{Reader: bytes.NewReader(text)}, "", &history{})
-		o, reuse := c.read("GET", []string{"q", "rif"})
+		c := newConn(writtenConn{Reader: bytes.NewReader(text)}, "", &answerStats{})
+		o, reuse := c.readAnswer("GET", []string{"q", "rif"})
 		if reply, ok := o.Reply.(*Reply); o.Status == control.OK && (!ok || reply.Status != 200 || len(reply.Body) > MaxBody) {
 			t.Errorf("served %+v", o)
 		}
--- a/internal/egress/long.go
+++ b/internal/egress/long.go
@@ -12,48 +12,48 @@
 	"junctionring/internal/core"
 )
 
-// MaxLong is the most that a body may hold that is streamed.
+// MaxLong is the maximum size in bytes of a streamed body.
 const MaxLong = 32 << 20
 
 const (
-	pieceSize  = 32 << 10
-	pieceWait  = 10 * time.Second // a target that neither takes nor gives anything
-	mostFrames = 8                // a chunked body may take so many times its size
-	gatherFor  = 250 * time.Millisecond
-	pacedLeast = 64 // bytes buffered, in which a chunk's frame may be all there is
+	bufferSize          = 32 << 10               // bytes
+	streamIOTimeout     = 10 * time.Second       // for a target that neither accepts nor sends anything
+	chunkedSizeFactor   = 8                      // a chunked body may take this many times its size on the wire
+	streamAfter         = 250 * time.Millisecond // delay before the beginning of a slow body is passed on
+	minChunkFrameBuffer = 64                     // bytes; fewer buffered ones may be only a chunk's framing
 )
 
-// Pieces are the buffers through which bodies pass, both ways (httputil.BufferPool).
-type Pieces struct{}
+// BufferPool provides the buffers for bodies in both directions. It implements httputil.BufferPool.
+type BufferPool struct{}
 
-var pieces = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
 // Get implements httputil.BufferPool.
-func (Pieces) Get() []byte { return pieces.Get().(*[pieceSize]byte)[:] }
+func (BufferPool) Get() []byte { return buffers.Get().(*[bufferSize]byte)[:] }
 
 // Put implements httputil.BufferPool.
-func (Pieces) Put(b []byte) { pieces.Put((*[pieceSize]byte)(b)) }
+func (BufferPool) Put(b []byte) { buffers.Put((*[bufferSize]byte)(b)) }
 
-// Stream is the body of a long answer, passed on as it comes. Reading it to its end, or Close, ends the attempt's
-// connection with the target, or frees it.
+// Stream is the body of a long answer, passed on as it comes. Reading it to its end, or Close, closes the
+// attempt's connection to the target or releases it.
 type Stream struct {
-	c      *conn
-	body   io.Reader
-	left   int64 // that may still come
-	reuse  func() bool
-	finish func(reuse bool) // set by the target; once
+	c         *conn
+	body      io.Reader
+	remaining int64 // bytes that may still come
+	reuse     func() bool
+	finish    func(reuse bool) // set by the target; called once
 
-	mu   sync.Mutex
-	over bool
+	mu     sync.Mutex
+	closed bool
 }
 
-var errTooLong = errors.New("the answer is too long")
+var errTooLong = errors.New("answer body exceeds the size limit")
 
-// Read implements io.Reader. What is cut by the target ends in an error, so that the client can tell.
+// Read implements io.Reader. A body that the target cuts short ends in an error, so that the client can tell.
 func (s *Stream) Read(b []byte) (int, error) {
-	s.c.SetReadDeadline(time.Now().Add(pieceWait))
+	s.c.SetReadDeadline(time.Now().Add(streamIOTimeout))
 	n, err := s.body.Read(b)
-	if s.left -= int64(n); s.left < 0 {
+	if s.remaining -= int64(n); s.remaining < 0 {
 		n, err = 0, errTooLong
 	}
 	switch {
@@ -75,131 +75,131 @@
 func (s *Stream) end(reuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.over {
-		s.over = true
+	if !s.closed {
+		s.closed = true
 		s.finish(reuse)
 	}
 }
 
-// gathered is the beginning of a body whose length is not said, up to MaxBody, read in while it is not known yet
-// whether it is taken whole or passed on; then it is the whole body's reader.
-type gathered struct {
-	rest  io.Reader
-	first chan struct{} // something of it is
-	done  chan struct{} // the beginning is in
+// bodyPrefix is the beginning of a body of unknown length, up to MaxBody. It is read in the background until it is
+// known whether the body is taken whole or streamed; then it is the reader of the whole body.
+type bodyPrefix struct {
+	body    io.Reader
+	started chan struct{} // closed when the first bytes are in
+	done    chan struct{} // closed when the whole prefix is in
 
-	mu   sync.Mutex
-	more *sync.Cond
-	buf  []byte
-	full bool // it is in, and buf has got all there was, up to err
-	err  error
+	mu       sync.Mutex
+	changed  *sync.Cond
+	buf      []byte
+	complete bool // the prefix is in: buf has got all of it, up to err
+	err      error
 }
 
-func gather(body io.Reader) *gathered {
-	g := &gathered{rest: body, first: make(chan struct{}), done: make(chan struct{})}
-	g.more = sync.NewCond(&g.mu)
-	go g.run()
-	return g
+func readPrefix(body io.Reader) *bodyPrefix {
+	p := &bodyPrefix{body: body, started: make(chan struct{}), done: make(chan struct{})}
+	p.changed = sync.NewCond(&p.mu)
+	go p.run()
+	return p
 }
 
-func (g *gathered) run() {
-	defer close(g.done)
-	piece := Pieces{}.Get()
-	defer Pieces{}.Put(piece)
-	for n, all := 0, 0; ; {
+func (p *bodyPrefix) run() {
+	defer close(p.done)
+	buffer := BufferPool{}.Get()
+	defer BufferPool{}.Put(buffer)
+	for n, total := 0, 0; ; {
 		var err error
-		n, err = g.rest.Read(piece[:min(pieceSize, MaxBody+1-all)])
-		all += n
-		if n > 0 && all == n {
-			close(g.first)
+		n, err = p.body.Read(buffer[:min(bufferSize, MaxBody+1-total)])
+		total += n
+		if n > 0 && total == n {
+			close(p.started)
 		}
-		g.mu.Lock()
-		g.buf = append(g.buf, piece[:n]...)
-		g.full, g.err = err != nil || all > MaxBody, err
-		full := g.full
-		g.more.Broadcast()
-		g.mu.Unlock()
-		if full {
+		p.mu.Lock()
+		p.buf = append(p.buf, buffer[:n]...)
+		p.complete, p.err = err != nil || total > MaxBody, err
+		complete := p.complete
+		p.changed.Broadcast()
+		p.mu.Unlock()
+		if complete {
 			return
 		}
 	}
 }
 
-// wait returns the body if it ends within MaxBody. One that has not ended is to be read: in a hurry also soon after its
-// first bytes, unless these are to be held.
-func (g *gathered) wait(hurry bool, hold func(first []byte) bool) (body []byte, ended bool, err error) {
+// wait returns the body if it ends within MaxBody. If complete is false, the body is to be read as a stream: with
+// streamEarly also soon after its first bytes, unless hold asks to keep these back.
+func (p *bodyPrefix) wait(streamEarly bool, hold func(first []byte) bool) (body []byte, complete bool, err error) {
 	select {
-	case <-g.done:
-	case <-g.first:
-		if hurry && !g.endsBeforeItIsDue(hold) {
+	case <-p.done:
+	case <-p.started:
+		if streamEarly && !p.endsBeforeStreaming(hold) {
 			return nil, false, nil
 		}
-		<-g.done
+		<-p.done
 	}
 	switch {
-	case g.err == io.EOF:
-		return g.buf, true, nil
-	case g.err != nil:
-		return nil, true, g.err
+	case p.err == io.EOF:
+		return p.buf, true, nil
+	case p.err != nil:
+		return nil, true, p.err
 	}
 	return nil, false, nil
 }
 
-// endsBeforeItIsDue tells whether the beginning is in before it is to be passed on: at the first moment, gatherFor from
-// now and then again and again, at which it is not to be held.
-func (g *gathered) endsBeforeItIsDue(hold func(first []byte) bool) bool {
-	due := time.NewTicker(gatherFor)
-	defer due.Stop()
+// endsBeforeStreaming reports whether the prefix is in before it is to be passed on. Every streamAfter it checks
+// with hold whether the bytes so far must still be kept back.
+func (p *bodyPrefix) endsBeforeStreaming(hold func(first []byte) bool) bool {
+	ticker := time.NewTicker(streamAfter)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-g.done:
+		case <-p.done:
 			return true
-		case <-due.C:
-			if !hold(g.soFar()) {
+		case <-ticker.C:
+			if !hold(p.received()) {
 				return false
 			}
 		}
 	}
 }
 
-// soFar is what has come in.
-func (g *gathered) soFar() []byte {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.buf
+// received returns what has come in so far.
+func (p *bodyPrefix) received() []byte {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.buf
 }
 
 // Read implements io.Reader.
-func (g *gathered) Read(b []byte) (int, error) {
-	g.mu.Lock()
-	for len(g.buf) == 0 && !g.full {
-		g.more.Wait()
+func (p *bodyPrefix) Read(b []byte) (int, error) {
+	p.mu.Lock()
+	for len(p.buf) == 0 && !p.complete {
+		p.changed.Wait()
 	}
-	if len(g.buf) > 0 {
-		n := copy(b, g.buf)
-		if g.buf = g.buf[n:]; len(g.buf) == 0 {
-			g.buf = nil // a stream may last long
+	if len(p.buf) > 0 {
+		n := copy(b, p.buf)
+		if p.buf = p.buf[n:]; len(p.buf) == 0 {
+			p.buf = nil // releases the memory, as a stream may last long
 		}
-		g.mu.Unlock()
+		p.mu.Unlock()
 		return n, nil
 	}
-	err := g.err
-	g.mu.Unlock()
+	err := p.err
+	p.mu.Unlock()
 	if err != nil {
 		return 0, err
 	}
-	return g.rest.Read(b)
+	return p.body.Read(b)
 }
 
-// paced reads a chunked body without waiting for more than has come. net/http's reader of chunks waits until what it
-// is to fill is full, or the chunk at its end: a slow one would be held back.
-type paced struct {
-	in   *bufio.Reader // below body
+// availableReader reads a chunked body without waiting for more than has come. net/http's chunk reader waits until
+// the buffer is full or the chunk ends, which would hold back a slow body.
+type availableReader struct {
+	in   *bufio.Reader // that body reads from
 	body io.Reader
 }
 
-// Read implements io.Reader. Of what is buffered an eighth is surely body, however small the chunks are.
-func (p paced) Read(b []byte) (n int, err error) {
+// Read implements io.Reader. At least an eighth of what is buffered is body, however small the chunks are.
+func (p availableReader) Read(b []byte) (n int, err error) {
 	for n < len(b) && err == nil {
 		if p.in.Buffered() == 0 {
 			if n > 0 {
@@ -209,7 +209,7 @@
 		}
 		var k int
 		k, err = p.body.Read(b[n:min(len(b), n+max(1, p.in.Buffered()/8))])
-		if n += k; p.in.Buffered() < pacedLeast {
+		if n += k; p.in.Buffered() < minChunkFrameBuffer {
 			break
 		}
 	}
@@ -227,35 +227,36 @@
 	return nil
 }
 
-// passed is a streamed body on its way to the client: its end is counted, and a client that leaves ends it.
-type passed struct {
+// clientBody is a streamed body on its way to the client: its end is counted, and a client that disconnects closes
+// it.
+type clientBody struct {
 	*Stream
 	stop  func() bool
-	ended func(whole bool)
+	onEnd func(whole bool)
 	once  sync.Once
 }
 
-func pass(ctx context.Context, s *Stream, c *core.Core, class int) *passed {
-	p := &passed{Stream: s, ended: func(whole bool) { c.CountStreamed(class, whole) }}
+func newClientBody(ctx context.Context, s *Stream, c *core.Core, class int) *clientBody {
+	p := &clientBody{Stream: s, onEnd: func(whole bool) { c.CountStreamed(class, whole) }}
 	p.stop = context.AfterFunc(ctx, func() { s.Close() })
 	return p
 }
 
-func (p *passed) Read(b []byte) (int, error) {
+func (p *clientBody) Read(b []byte) (int, error) {
 	n, err := p.Stream.Read(b)
 	if err != nil {
-		p.once.Do(func() { p.ended(err == io.EOF) })
+		p.once.Do(func() { p.onEnd(err == io.EOF) })
 	}
 	return n, err
 }
 
-func (p *passed) Close() error {
+func (p *clientBody) Close() error {
 	p.stop()
-	p.once.Do(func() { p.ended(false) })
+	p.once.Do(func() { p.onEnd(false) })
 	return p.Stream.Close()
 }
 
-// long makes a stream of an answer that is too long to be taken in whole, or nil: it cannot be one.
-func (c *conn) long(resp *http.Response, body io.Reader, left int64) *Stream {
-	return &Stream{c: c, body: body, left: left, reuse: func() bool { return !resp.Close && c.in.Buffered() == 0 }}
+// newStream returns a stream of an answer that is too long to be taken whole, of at most limit bytes.
+func (c *conn) newStream(resp *http.Response, body io.Reader, limit int64) *Stream {
+	return &Stream{c: c, body: body, remaining: limit, reuse: func() bool { return !resp.Close && c.in.Buffered() == 0 }}
 }
--- a/internal/egress/reuse_test.go
+++ b/internal/egress/reuse_test.go
@@ -15,27 +15,28 @@
 	"junctionring/internal/core"
 )
 
-// Guards against one customer getting the private answer of another, who asked for the same path.
+// Guards against one customer getting the private answer of another who requested the same path.
 func TestPrivateAnswerIsNotGivenToAnotherCustomer(t *testing.T) {
 	const private = "account of customer 1"
-	c := scriptedConn(t, knowing(), of(private), of(private))
-	_, reuse := asked(t, c, by(1, "/account", "Cookie", "session=1"), faultyWait)
-	wantNoneOf(t, c, reuse, by(2, "/account", "Cookie", "session=2"), private)
+	c := scriptedConn(t, sampledStats(), answering(private), answering(private))
+	_, reuse := sendOn(t, c, getFrom(1, "/account", "Cookie", "session=1"), faultDeadline)
+	wantNoneOf(t, c, reuse, getFrom(2, "/account", "Cookie", "session=2"), private)
 }
 
-// Guards against all later answers of a connection going to the request after their own, once one customer was given
-// the private answer of another who asked for the same path.
+// Guards against all later answers on a connection going to the request after their own, once one customer was
+// given the private answer of another who requested the same path.
 func TestAnswersDoNotShiftBehindAPrivateSecondOne(t *testing.T) {
 	const private = "account of customer 1"
-	c := scriptedConn(t, knowing(), of(private), of(private), of("account of customer 2"), of("account of customer 3"))
-	_, reuse := asked(t, c, by(1, "/account", "Cookie", "session=1"), faultyWait)
+	c := scriptedConn(t, sampledStats(), answering(private), answering(private),
+		answering("account of customer 2"), answering("account of customer 3"))
+	_, reuse := sendOn(t, c, getFrom(1, "/account", "Cookie", "session=1"), faultDeadline)
 	for customer := uint64(2); reuse && customer <= 4; customer++ {
-		r := by(customer, "/account", "Cookie", "session="+strconv.FormatUint(customer, 10))
-		if !goesOn(c, r) {
+		r := getFrom(customer, "/account", "Cookie", "session="+strconv.FormatUint(customer, 10))
+		if !mayCarry(c, r) {
 			return
 		}
 		var o core.Outcome
-		o, reuse = asked(t, c, r, faultyWait)
+		o, reuse = sendOn(t, c, r, faultDeadline)
 		want := "account of customer " + strconv.FormatUint(customer, 10)
 		if body := bodyOf(o); o.Status == control.OK && body != want {
 			t.Errorf("customer %d got %q", customer, body)
@@ -43,8 +44,8 @@
 	}
 }
 
-// Guards against the same through the target's actor, at a server that answers one request twice, once, and whose later
-// answers each come when the next request has been read.
+// Guards against the same through the target's actor, at a server that answers one request twice, once, and whose
+// later answers each come when the next request has been read.
 func TestPrivateAnswersDoNotShiftThroughTheTarget(t *testing.T) {
 	target := startTarget(t, 1, func() connectionScript {
 		last := ""
@@ -64,19 +65,20 @@
 	target.warmUp(warmUps)
 	for customer := range uint64(8) {
 		cookie := "customer " + strconv.FormatUint(1+customer, 10)
-		body, status := target.send(by(1+customer, "/account", "Cookie", cookie), faultyWait)
+		body, status := target.send(getFrom(1+customer, "/account", "Cookie", cookie), faultDeadline)
 		if status == control.OK && body != "account of "+cookie {
 			t.Errorf("%s got %q", cookie, body)
 		}
 	}
 }
 
-// Guards against a request getting the own answer of a read, or of a probe, before it that was given the one before's again.
+// Guards against a request getting the own answer of an earlier read or probe that was given a duplicate of the
+// answer before it.
 func TestOwnAnswerOfAnEarlierReadIsNotGivenToTheNextRequest(t *testing.T) {
 	probe := func() *Request {
 		return &Request{Method: http.MethodGet, Head: []byte("GET /stats HTTP/1.1\r\nHost: target\r\n")}
 	}
-	cart := func() *Request { return by(1, "/cart") }
+	cart := func() *Request { return getFrom(1, "/cart") }
 	for _, c := range []struct {
 		name         string
 		equal        func() *Request
@@ -86,17 +88,17 @@
 		{"probe", probe, `{"inflight":1}`, `{"inflight":2}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conn := scriptedConn(t, knowing(), of(c.first), of(c.first), of(c.later))
-			asked(t, conn, c.equal(), faultyWait)
-			_, reuse := asked(t, conn, c.equal(), faultyWait)
-			wantNoneOf(t, conn, reuse, by(2, "/view"), c.later)
+			conn := scriptedConn(t, sampledStats(), answering(c.first), answering(c.first), answering(c.later))
+			sendOn(t, conn, c.equal(), faultDeadline)
+			_, reuse := sendOn(t, conn, c.equal(), faultDeadline)
+			wantNoneOf(t, conn, reuse, getFrom(2, "/view"), c.later)
 		})
 	}
 }
 
-// Guards against answers of a healthy server being lost time and again, where it answers requests with different paths
-// alike for a while, and then otherwise: an answer with the second in it, a revision, a tick.
-func TestAlikeAnswersThatChangeAreNotLostAgainAndAgain(t *testing.T) {
+// Guards against answers of a healthy server being lost repeatedly when it gives requests with different paths
+// identical answers for a while and then others: an answer that contains the second, a revision or a tick.
+func TestIdenticalAnswersThatChangeAreNotLostRepeatedly(t *testing.T) {
 	for name, method := range map[string]string{"reads": http.MethodGet, "unsafe": http.MethodPost} {
 		t.Run(name, func(t *testing.T) {
 			const ticks = 12
@@ -107,15 +109,15 @@
 				}
 				return "tick " + strconv.Itoa(number/2)
 			}
-			h := knowing()
+			h := sampledStats()
 			lost := 0
 			var conn *conn
 			for i := range 2 * ticks {
 				r := Encode(method, "/orders/"+strconv.Itoa(i), "t", http.Header{}, nil, nil)
-				if conn == nil || !goesOn(conn, r) { // as the target would
+				if conn == nil || !mayCarry(conn, r) { // as the target would choose
 					conn = healthyConn(t, h, body)
 				}
-				o, reuse := asked(t, conn, r, faultyWait)
+				o, reuse := sendOn(t, conn, r, faultDeadline)
 				if o.Status != control.OK {
 					if lost++; lost > 2 {
 						t.Fatalf("%d of the first %d answers lost", lost, i+1)
@@ -129,25 +131,26 @@
 	}
 }
 
-// Guards against a customer's read being lost on one connection after another, as each gave its answer to another before.
-func TestCommonAnswerOfOneCustomerIsNotLostAgainAndAgainForAnother(t *testing.T) {
-	h := knowing()
+// Guards against a customer's read being lost on one connection after another, because each gave the same answer
+// to another customer before.
+func TestCommonAnswerOfOneCustomerIsNotLostRepeatedlyForAnother(t *testing.T) {
+	h := sampledStats()
 	var conns []*conn
-	for i := range 4 { // customer 1 reads several lists, all empty
+	for i := range 4 { // customer 1 reads several lists, all of them empty
 		c := healthyConn(t, h, func(*http.Request) string { return "[]" })
-		if o, reuse := asked(t, c, by(1, "/lists/"+strconv.Itoa(i)), faultyWait); o.Status != control.OK || !reuse {
+		if o, reuse := sendOn(t, c, getFrom(1, "/lists/"+strconv.Itoa(i)), faultDeadline); o.Status != control.OK || !reuse {
 			t.Fatalf("ended with %v", o.Status)
 		}
 		conns = append(conns, c)
 	}
 	lost := 0
-	for _, c := range conns { // as the core would repeat it
-		r := by(2, "/orders")
-		if !goesOn(c, r) {
+	for _, c := range conns { // repeats as the core would
+		r := getFrom(2, "/orders")
+		if !mayCarry(c, r) {
 			t.Log("it goes out on another connection")
 			return
 		}
-		if o, _ := asked(t, c, r, faultyWait); o.Status == control.OK {
+		if o, _ := sendOn(t, c, r, faultDeadline); o.Status == control.OK {
 			break
 		}
 		lost++
@@ -157,8 +160,8 @@
 	}
 }
 
-// healthyConn is a connection to a peer that answers each request once.
-func healthyConn(t *testing.T, h *history, body func(*http.Request) string) *conn {
+// healthyConn returns a connection to a peer that answers each request once.
+func healthyConn(t *testing.T, stats *answerStats, body func(*http.Request) string) *conn {
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
@@ -173,23 +176,23 @@
 			io.WriteString(far, withLength(body(r)))
 		}
 	}()
-	return newConn(near, "pipe", h)
+	return newConn(near, "pipe", stats)
 }
 
-// Guards against a stream that never ends being held until its request's time is over, since it begins as an earlier
-// answer did: with more bytes than that one had it is another.
+// Guards against an endless stream being held until its request's deadline because it begins as an earlier answer
+// did: once it has more bytes than that answer, it is a different one.
 func TestStreamThatBeginsAsAnEarlierAnswerIsPassedOn(t *testing.T) {
 	for _, h := range []struct {
 		name    string
-		history *history
-	}{{"learned", knowing()}} {
+		history *answerStats
+	}{{"learned", sampledStats()}} {
 		t.Run(h.name, func(t *testing.T) {
 			const short, long = "event: connected\n\n", "event: connected\ndata: 1\n\nevent: tick\ndata: 2\n\n"
-			c := scriptedConn(t, h.history, of(short),
+			c := scriptedConn(t, h.history, answering(short),
 				step(fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(long), long)))
-			_, reuse := asked(t, c, by(1, "/events?closed=1"), faultyWait)
-			if r := by(2, "/events"); reuse && goesOn(c, r) {
-				o, _ := asked(t, c, r, faultyWait)
+			_, reuse := sendOn(t, c, getFrom(1, "/events?closed=1"), faultDeadline)
+			if r := getFrom(2, "/events"); reuse && mayCarry(c, r) {
+				o, _ := sendOn(t, c, r, faultDeadline)
 				if reply, ok := o.Reply.(*Reply); !ok || reply.Long == nil {
 					t.Errorf("the stream, with %d bytes there, ended with %v", len(long), o.Status)
 				}
@@ -198,9 +201,9 @@
 	}
 }
 
-// Guards against a healthy server counting as one that answers twice, as it says that a connection ends with an answer
-// that is like an earlier one, and ends it.
-func TestEndThatWasToldIsNotTakenForASecondAnswer(t *testing.T) {
+// Guards against a healthy server counting as one that answers twice, because it announces with an answer
+// identical to an earlier one that it closes the connection, and closes it.
+func TestAnnouncedCloseIsNotTakenForASecondAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close() })
 	go func() {
@@ -211,55 +214,56 @@
 		http.ReadRequest(in)
 		io.WriteString(far, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone")
 	}()
-	c := newConn(near, "pipe", knowing())
-	asked(t, c, by(1, "/one"), faultyWait)
-	o, _ := asked(t, c, by(2, "/two"), faultyWait)
-	if c.unasked {
+	c := newConn(near, "pipe", sampledStats())
+	sendOn(t, c, getFrom(1, "/one"), faultDeadline)
+	o, _ := sendOn(t, c, getFrom(2, "/two"), faultDeadline)
+	if c.unsolicited {
 		t.Errorf("/two ended with %v, and the target counts as one that answers twice", o.Status)
 	}
 }
 
-// Guards against dials without end to a target that takes none, for one request, while a used connection rests that is
-// not to be used again.
-func TestFailedDialIsToldToWhoeverWaitsAtAWaryTarget(t *testing.T) {
-	a, _, _ := reused(t) // its connection has not rested yet, and will not within this test
+// Guards against endless dials for one request to a target that accepts none, while a used connection is idle that
+// is not to be used again.
+func TestFailedDialIsReportedAtASuspectedTarget(t *testing.T) {
+	a, _, _ := newReusedTarget(t) // its connection's reuse delay does not end within this test
 	a.site.permits = make(chan struct{}, 4)
 	a.site.permits <- struct{}{}
-	a.site.Dial = refusesDials
-	a.unasked = time.Now()
-	next := &lease{got: make(chan *conn, 1)}
+	a.site.Dial = refuseDial
+	a.lastUnsolicited = time.Now()
+	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	dials := 0
-	for len(next.got) == 0 && a.dialing > 0 && dials < 100 {
+	for len(next.result) == 0 && a.dialing > 0 && dials < 100 {
 		dials += a.dialing
-		a.handle(<-a.mailbox) // dialed, in vain
+		a.handle(<-a.mailbox) // the dial failed
 	}
-	if len(next.got) == 0 || dials > 1 {
-		t.Errorf("%d dials failed for one request, and it was told: %t", dials, len(next.got) > 0)
+	if len(next.result) == 0 || dials > 1 {
+		t.Errorf("%d dials failed for one request; its failure was reported: %t", dials, len(next.result) > 0)
 	}
 }
 
-// Guards against a request being passed over for ever by later ones, which the connection in use fits and it does not.
+// Guards against a request being overtaken forever by later ones that can use the connection in use, while it
+// cannot.
 func TestRequestIsNotPassedOverForEver(t *testing.T) {
-	a, c, _ := reused(t) // the only connection that it may have
-	a.history.memory = newAnswerMemory()
-	c.bound, c.sole = true, 1
-	a.idle = nil // its attempt is out
-	first := &lease{got: make(chan *conn, 1), question: question{request: 2}}
+	a, c, _ := newReusedTarget(t) // the only connection that the site's permits allow
+	a.stats.tracker = newAnswerTracker()
+	c.equalOnly, c.onlyRequest = true, 1
+	a.idle = nil // its attempt is under way
+	first := &connRequest{result: make(chan *conn, 1), identity: identity{request: 2}}
 	a.handle(first)
-	hot := func() *lease { return &lease{got: make(chan *conn, 1), question: question{request: 1}} }
+	hot := func() *connRequest { return &connRequest{result: make(chan *conn, 1), identity: identity{request: 1}} }
 	waits := hot()
 	a.handle(waits)
 	for passed := range 20 {
 		later := hot()
-		a.handle(later) // there is always one more of those
-		c.used = time.Now().Add(-restMost)
-		a.handle(back{c})
-		if len(first.got) > 0 || a.dialing > 0 {
+		a.handle(later) // there is always one more waiting
+		c.lastUsed = time.Now().Add(-maxReuseDelay)
+		a.handle(connReleased{c})
+		if len(first.result) > 0 || a.dialing > 0 {
 			t.Logf("after %d others", passed)
 			return
 		}
-		if len(waits.got) == 0 {
+		if len(waits.result) == 0 {
 			t.Fatal("nobody has the connection")
 		}
 		waits = later
@@ -267,39 +271,40 @@
 	t.Error("20 requests that came later were served before it, on the one connection there may be")
 }
 
-// Guards against idle connections that nobody may use keeping those out that anybody may.
-func TestConnectionsOfNoUseDoNotKeepOthersOut(t *testing.T) {
-	a, c, _ := reused(t)
-	h := knowing()
-	a.history.memory = h.memory
-	a.idle = nil // its attempt is out
-	a.site.permits, a.open = make(chan struct{}, mostConns), 1
+// Guards against idle connections that no request can use displacing those that any request can use.
+func TestUnusableConnectionsDoNotKeepOthersOut(t *testing.T) {
+	a, c, _ := newReusedTarget(t)
+	h := sampledStats()
+	a.stats.tracker = h.tracker
+	a.idle = nil // its attempt is under way
+	a.site.permits, a.open = make(chan struct{}, maxConns), 1
 	a.site.permits <- struct{}{}
-	for range mostIdle {
+	for range maxIdle {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
-		other := newConn(near, a.address, &a.history)
-		other.answered, other.used, other.given = true, time.Now(), []givenAnswer{newGivenAnswer([]byte("ok"), question{})}
+		other := newConn(near, a.address, &a.stats)
+		other.answered, other.lastUsed, other.pastAnswers = true, time.Now(),
+			[]pastAnswer{newPastAnswer([]byte("ok"), identity{})}
 		a.idle = append(a.idle, other)
 		a.site.permits <- struct{}{}
 		a.open++
 	}
-	for i := range 2 { // it becomes common
-		h.memory.learn(fingerprintOf([]byte("ok")), fingerprint(5000+i), time.Now())
+	for i := range 2 { // the answer becomes common
+		h.tracker.record(fingerprintOf([]byte("ok")), fingerprint(5000+i), time.Now())
 	}
-	a.handle(back{c})
+	a.handle(connReleased{c})
 	if _, err := c.Write(nil); err != nil {
 		t.Errorf("the one connection of use is closed; %d are idle", len(a.idle))
 	}
 }
 
-// Guards against a target counting as heard of since an earlier request was answered on the connection, where the present
-// one could not be written.
-func TestFailedWriteDoesNotCountAsHeard(t *testing.T) {
-	c := scriptedConn(t, knowing(), of("of one"))
-	asked(t, c, by(1, "/one"), faultyWait)
+// Guards against a target counting as having answered, because an earlier request was answered on the connection,
+// when the present request could not be written.
+func TestFailedWriteDoesNotCountAsAnswered(t *testing.T) {
+	c := scriptedConn(t, sampledStats(), answering("of one"))
+	sendOn(t, c, getFrom(1, "/one"), faultDeadline)
 	c.Conn.Close()
-	if o, _ := asked(t, c, by(1, "/two"), faultyWait); o.Status != control.ConnectFailed || c.heard {
-		t.Errorf("ended with %v, heard of: %t", o.Status, c.heard)
+	if o, _ := sendOn(t, c, getFrom(1, "/two"), faultDeadline); o.Status != control.ConnectFailed || c.gotAnswer {
+		t.Errorf("ended with %v, counts as answered: %t", o.Status, c.gotAnswer)
 	}
 }
--- a/internal/egress/second_answer_test.go
+++ b/internal/egress/second_answer_test.go
@@ -20,18 +20,19 @@
 )
 
 const (
-	warmUps     = 32                     // requests before a fault, so that connections are reused
-	answersSoon = 500 * time.Millisecond // a request that the server answers at once takes no longer
-	faultyWait  = time.Second            // the deadline of a request that the server may leave unanswered
+	warmUps       = 32                     // requests sent before a fault, so that connections are reused
+	maxAnswerTime = 500 * time.Millisecond // for a request that the server answers at once
+	faultDeadline = time.Second            // deadline of a request that the server may leave unanswered
 
-	distinctQuery = "distinct=" // begins the queries of the requests that teach sends
+	distinctQuery = "distinct=" // prefix of the queries of the requests that sendDistinct sends
 )
 
-// connectionScript decides, for the requests of one connection in their order, what the server writes when it has read one, and
-// whether it then closes the connection.
+// connectionScript decides, for the requests of one connection in order, what the server writes after reading a
+// request, and whether it then closes the connection.
 type connectionScript func(r *http.Request) (output string, closes bool)
 
-// scriptedServer is a loopback server that records on which connection each request came, but for those of warmUp and teach.
+// scriptedServer is a loopback server that records on which connection each request came, except for those of
+// warmUp and sendDistinct.
 type scriptedServer struct {
 	address string
 
@@ -87,14 +88,14 @@
 	}
 }
 
-// accepted is how many connections came up.
+// accepted is the number of connections accepted.
 func (s *scriptedServer) accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connections
 }
 
-// onOneConnection tells whether the last n requests came on one connection.
+// onOneConnection reports whether the last n requests came on one connection.
 func (s *scriptedServer) onOneConnection(n int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,15 +120,15 @@
 
 func ownBody(r *http.Request) string { return "answer to " + r.RequestURI }
 
-// okToPosts is the body of a server that answers all writes alike.
-func okToPosts(r *http.Request) string {
+// okForPosts is the answer body of a server that gives all writes the same answer.
+func okForPosts(r *http.Request) string {
 	if r.Method == http.MethodPost {
 		return "ok"
 	}
 	return ownBody(r)
 }
 
-// The framings of an answer.
+// withLength, chunked, afterContinue and afterEarlyHints are the framings of an answer.
 func withLength(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
@@ -140,43 +141,44 @@
 	return fmt.Sprintf("%s%x\r\n%s\r\n0\r\n\r\n", head, len(body), body)
 }
 
-func behindContinue(body string) string { return "HTTP/1.1 100 Continue\r\n\r\n" + withLength(body) }
+func afterContinue(body string) string { return "HTTP/1.1 100 Continue\r\n\r\n" + withLength(body) }
 
-func behindEarlyHints(body string) string {
+func afterEarlyHints(body string) string {
 	return "HTTP/1.1 103 Early Hints\r\nLink: </style.css>\r\n\r\n" + withLength(body)
 }
 
-// ending is what the server does when it has written a second answer.
+// ending is what the server does after it has written a second answer.
 type ending int
 
 const (
 	closesConnection ending = iota
 	staysSilent
-	answersItself // writes the own answer of the request that is under way
+	answersItself // writes the answer of the request under way
 )
 
 func (e ending) String() string { return [...]string{"closes", "silent", "own"}[e] }
 
-// secondAnswer is a fault: /one is answered a second time, on its connection, when a later request has been read there.
+// secondAnswer is a fault: /one is answered a second time, on its connection, when a later request has been read
+// there.
 type secondAnswer struct {
-	body   string              // of both answers to /one, with its query behind it
-	frame  func(string) string // of the second answer
-	behind int                 // requests that come after /one, up to the one that is under way then
-	then   ending
+	body          string              // of both answers to /one, followed by its query
+	frame         func(string) string // of the second answer
+	requestsAfter int                 // requests after /one, including the one under way then
+	then          ending
 }
 
 func (f secondAnswer) newScript() connectionScript {
-	since, body := -1, "" // requests since /one, which has not come yet
+	since, body := -1, "" // requests since /one; -1: it has not come yet
 	return func(r *http.Request) (string, bool) {
 		if since < 0 && r.URL.Path == "/one" {
 			since, body = 0, f.body+r.URL.RawQuery
 			return withLength(body), false
 		}
-		own := withLength(okToPosts(r))
+		own := withLength(okForPosts(r))
 		if since >= 0 {
 			since++
 		}
-		if since != f.behind {
+		if since != f.requestsAfter {
 			return own, false
 		}
 		since = -1
@@ -187,8 +189,8 @@
 	}
 }
 
-// besideDistinct is a script whose server answers requests with distinctQuery each in its own way.
-func besideDistinct(newScript func() connectionScript) func() connectionScript {
+// withDistinct is a script whose server gives each request with distinctQuery an answer of its own.
+func withDistinct(newScript func() connectionScript) func() connectionScript {
 	return func() connectionScript {
 		next := newScript()
 		return func(r *http.Request) (string, bool) {
@@ -200,12 +202,12 @@
 	}
 }
 
-// scriptedTarget is a fleet's one target, a scripted server.
+// scriptedTarget is a fleet's only target, a scripted server.
 type scriptedTarget struct {
 	*scriptedServer
 	t *testing.T
 	*entry
-	taught int // requests that teach sent
+	distinctSent int // requests that sendDistinct sent
 }
 
 func startTarget(t *testing.T, conns int, newScript func() connectionScript) *scriptedTarget {
@@ -219,7 +221,7 @@
 
 func get(path string) *Request { return Encode(http.MethodGet, path, "t", http.Header{}, nil, nil) }
 
-// repeatOf is how requests may be repeated by their form, as those of the platform.
+// repeatOf is how a request may be repeated by its form, as the platform's requests may.
 func repeatOf(r *Request) control.Repeat {
 	switch {
 	case r.Method == http.MethodGet:
@@ -230,7 +232,8 @@
 	return control.Unsafe
 }
 
-// send carries a request out and returns its answer's body. One that the server did not answer is neither OK nor Full.
+// send carries out a request and returns its answer's body. The status of one that the server did not answer is
+// neither OK nor Full.
 func (s *scriptedTarget) send(r *Request, deadline time.Duration) (string, control.Status) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), deadline)
@@ -250,12 +253,12 @@
 	return string(body), o.Status
 }
 
-// wantOK sends a request that must be answered with want, and soon.
+// wantOK sends a request that must be answered with want, within maxAnswerTime.
 func (s *scriptedTarget) wantOK(name string, r *Request, want string) {
 	s.t.Helper()
 	began := time.Now()
 	body, status := s.send(r, 5*time.Second)
-	if took := time.Since(began); took > answersSoon {
+	if took := time.Since(began); took > maxAnswerTime {
 		s.t.Errorf("%s took %v", name, took)
 	}
 	if body != want || status != control.OK {
@@ -272,18 +275,18 @@
 	}
 }
 
-// wantNotCrossed sends the request under way when the second answer comes, the last of n from /one on. Where it came on
-// another connection than they did nothing can cross, and it has its own answer.
-func (s *scriptedTarget) wantNotCrossed(r *Request, n int, own string, then ending) (forced bool) {
+// wantNotCrossed sends the request that is under way when the second answer comes, the last of n from /one on. If
+// it came on another connection than they did, the second answer cannot reach it, and it must get its own.
+func (s *scriptedTarget) wantNotCrossed(r *Request, n int, own string, then ending) (sameConn bool) {
 	s.t.Helper()
-	body, status := s.send(r, faultyWait)
-	forced = s.onOneConnection(n)
-	s.t.Logf("one connection for all: %t; got %q, %v", forced, body, status)
-	if !forced || then == answersItself {
+	body, status := s.send(r, faultDeadline)
+	sameConn = s.onOneConnection(n)
+	s.t.Logf("one connection for all: %t; got %q, %v", sameConn, body, status)
+	if !sameConn || then == answersItself {
 		if body != own || status != control.OK {
 			s.t.Errorf("got %q, %v, want its own answer %q", body, status, own)
 		}
-		return forced
+		return sameConn
 	}
 	if status != control.Reset && status != control.Timeout {
 		s.t.Errorf("got the answer of /one: %q, %v", body, status)
@@ -291,25 +294,25 @@
 	return true
 }
 
-// wantForced is wantNotCrossed where the last n requests must come on one connection.
-func (s *scriptedTarget) wantForced(r *Request, n int, own string, then ending) {
+// wantSameConnection is wantNotCrossed where the last n requests must come on one connection.
+func (s *scriptedTarget) wantSameConnection(r *Request, n int, own string, then ending) {
 	s.t.Helper()
 	if !s.wantNotCrossed(r, n, own, then) {
 		s.t.Error("the requests came on different connections")
 	}
 }
 
-// testSecondAnswer has a second answer of /one come when a later request is under way.
+// testSecondAnswer has a second answer of /one come while a later request is under way.
 func testSecondAnswer(t *testing.T, f secondAnswer) {
 	t.Helper()
 	target := startTarget(t, 1, f.newScript)
 	target.warmUp(warmUps)
 	target.wantOK("/one", get("/one"), f.body)
-	for i := range f.behind - 1 {
+	for i := range f.requestsAfter - 1 {
 		path := "/between/" + strconv.Itoa(i)
 		target.wantOK(path, get(path), "answer to "+path)
 	}
-	target.wantForced(get("/last"), f.behind+1, "answer to /last", f.then)
+	target.wantSameConnection(get("/last"), f.requestsAfter+1, "answer to /last", f.then)
 }
 
 // Guards against a request that is never answered getting the second answer of the one before it.
@@ -317,17 +320,17 @@
 	for _, then := range []ending{closesConnection, staysSilent} {
 		t.Run(then.String(), func(t *testing.T) {
 			t.Parallel()
-			testSecondAnswer(t, secondAnswer{body: "of one", frame: withLength, behind: 1, then: then})
+			testSecondAnswer(t, secondAnswer{body: "of one", frame: withLength, requestsAfter: 1, then: then})
 		})
 	}
 }
 
-// Guards against a second answer getting through where an earlier one at the same target has been waited out.
+// Guards against a second answer being passed on after an earlier one of the same target was dropped.
 func TestSecondAnswersInARowAreAllKeptBack(t *testing.T) {
 	for _, then := range []ending{closesConnection, staysSilent} {
 		t.Run(then.String(), func(t *testing.T) {
 			t.Parallel()
-			target := startTarget(t, 1, secondAnswer{body: "of one, ", frame: withLength, behind: 1, then: then}.newScript)
+			target := startTarget(t, 1, secondAnswer{body: "of one, ", frame: withLength, requestsAfter: 1, then: then}.newScript)
 			target.warmUp(warmUps)
 			for round := range 3 {
 				query := "round=" + strconv.Itoa(round)
@@ -338,32 +341,32 @@
 	}
 }
 
-// Guards against a second answer that comes behind the answer of another request being taken for a third one's.
+// Guards against a second answer that comes after the answer of another request being given to a third request.
 func TestSecondAnswerIsNotGivenToTheRequestAfterTheNext(t *testing.T) {
 	for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 		t.Run(then.String(), func(t *testing.T) {
 			t.Parallel()
-			testSecondAnswer(t, secondAnswer{body: "of one", frame: withLength, behind: 2, then: then})
+			testSecondAnswer(t, secondAnswer{body: "of one", frame: withLength, requestsAfter: 2, then: then})
 		})
 	}
 }
 
-// Guards against a second answer not being known by its body because its head is another than the first one's.
+// Guards against a second answer not being recognized by its body because its head differs from the first one's.
 func TestSecondAnswerInOtherFramingIsNotGivenToTheNextRequest(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		frame func(string) string
-	}{{"chunked", chunked}, {"behind 100", behindContinue}, {"behind 103", behindEarlyHints}} {
+	}{{"chunked", chunked}, {"behind 100", afterContinue}, {"behind 103", afterEarlyHints}} {
 		for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 			t.Run(c.name+"/"+then.String(), func(t *testing.T) {
 				t.Parallel()
-				testSecondAnswer(t, secondAnswer{body: "of one", frame: c.frame, behind: 1, then: then})
+				testSecondAnswer(t, secondAnswer{body: "of one", frame: c.frame, requestsAfter: 1, then: then})
 			})
 		}
 	}
 }
 
-// Guards against a second answer with no body being given to a request that is never answered, in any framing.
+// Guards against a second answer without a body being given to a request that is never answered, in any framing.
 func TestUnansweredRequestDoesNotGetASecondEmptyAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -372,14 +375,14 @@
 		for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 			t.Run(c.name+"/"+then.String(), func(t *testing.T) {
 				t.Parallel()
-				testSecondAnswer(t, secondAnswer{frame: c.frame, behind: 1, then: then})
+				testSecondAnswer(t, secondAnswer{frame: c.frame, requestsAfter: 1, then: then})
 			})
 		}
 	}
 }
 
-// Guards against two requests that only a header tells apart being taken for one, so that the second gets the answer of
-// the first.
+// Guards against two requests that differ only in a header being taken for equal, so that the second gets the
+// answer of the first.
 func TestRequestsThatDifferInAHeaderDoNotShareAnAnswer(t *testing.T) {
 	for _, c := range []struct{ method, header string }{
 		{http.MethodPost, "Idempotency-Key"},
@@ -389,7 +392,7 @@
 		for _, then := range []ending{closesConnection, staysSilent} {
 			t.Run(c.method+" "+c.header+"/"+then.String(), func(t *testing.T) {
 				t.Parallel()
-				fault := secondAnswer{body: "run as 1", frame: withLength, behind: 1, then: then}
+				fault := secondAnswer{body: "run as 1", frame: withLength, requestsAfter: 1, then: then}
 				target := startTarget(t, 1, fault.newScript)
 				target.warmUp(warmUps)
 				with := func(value string) *Request {
@@ -400,15 +403,15 @@
 					return Encode(c.method, "/one", "t", http.Header{c.header: {value}}, body, nil)
 				}
 				target.wantOK("the first", with("a"), "run as 1")
-				target.wantForced(with("b"), 2, "run as 1", then)
+				target.wantSameConnection(with("b"), 2, "run as 1", then)
 			})
 		}
 	}
 }
 
-// cannotBeSentAgain makes requests to /one that differ only in their X-Request-ID, or in the rest of a body that is sent on as it
-// comes in.
-var cannotBeSentAgain = map[string]func(id string) *Request{
+// nonRepeatable makes requests to /one that differ only in X-Request-ID, or in the rest of a body that is sent as
+// it comes in.
+var nonRepeatable = map[string]func(id string) *Request{
 	"unsafe": func(id string) *Request {
 		return Encode(http.MethodPost, "/one", "t", http.Header{"X-Request-ID": {id}}, []byte("move"), nil)
 	},
@@ -417,15 +420,15 @@
 
 // Guards against an unsafe request or an upload getting the second answer of the one before it on its connection.
 func TestRequestThatCannotBeSentAgainDoesNotGetASecondAnswer(t *testing.T) {
-	for name, with := range cannotBeSentAgain {
+	for name, with := range nonRepeatable {
 		for _, then := range []ending{closesConnection, staysSilent} {
 			t.Run(name+"/"+then.String(), func(t *testing.T) {
 				t.Parallel()
-				c := scriptedConnThen(t, knowing(), then, of("run as 1"), of("run as 1"))
-				if o, reuse := asked(t, c, with("a"), faultyWait); bodyOf(o) != "run as 1" || !reuse {
+				c := scriptedConnThen(t, sampledStats(), then, answering("run as 1"), answering("run as 1"))
+				if o, reuse := sendOn(t, c, with("a"), faultDeadline); bodyOf(o) != "run as 1" || !reuse {
 					t.Fatalf("the first got %q, %v", bodyOf(o), o.Status)
 				}
-				o, _ := asked(t, c, with("b"), faultyWait)
+				o, _ := sendOn(t, c, with("b"), faultDeadline)
 				if o.Status != control.Reset && o.Status != control.Timeout {
 					t.Errorf("got the answer of the first: %q, %v", bodyOf(o), o.Status)
 				}
@@ -434,29 +437,29 @@
 	}
 }
 
-// upload is a request to /one whose body begins as that of the others does, and whose rest comes in as it is sent on.
+// upload is a request to /one whose body has the same beginning each time and whose rest comes in as it is sent.
 func upload(rest string) *Request {
 	return Encode(http.MethodPost, "/one", "t", http.Header{}, []byte("begins alike"),
 		&Upload{Length: -1, Next: strings.NewReader(rest).Read})
 }
 
-// Guards against an unsafe request or an upload getting the second answer of the one before it, and against its own answer
-// being lost, whatever the path was answered before.
+// Guards against an unsafe request or an upload getting the second answer of the one before it, and against its
+// own answer being lost, whatever answers the path had before.
 func TestSecondRequestOfAPathHasItsOwnAnswer(t *testing.T) {
 	for _, path := range []struct {
 		name            string
 		conns, distinct int
-	}{{"new path", 1, 0}, {"path of different answers", 2, distinctFrom}} {
-		for name, with := range cannotBeSentAgain {
+	}{{"new path", 1, 0}, {"path of different answers", 2, distinctRun}} {
+		for name, with := range nonRepeatable {
 			for _, then := range []ending{closesConnection, staysSilent} {
 				t.Run(path.name+"/"+name+"/"+then.String(), func(t *testing.T) {
 					t.Parallel()
-					fault := secondAnswer{body: "run as 1", frame: withLength, behind: 1, then: then}
-					target := startTarget(t, path.conns, besideDistinct(fault.newScript))
+					fault := secondAnswer{body: "run as 1", frame: withLength, requestsAfter: 1, then: then}
+					target := startTarget(t, path.conns, withDistinct(fault.newScript))
 					target.warmUp(warmUps)
-					target.teach("/one", path.distinct)
+					target.sendDistinct("/one", path.distinct)
 					target.wantOK("the first", with("a"), "run as 1")
-					target.teach("/one", min(1, path.distinct))
+					target.sendDistinct("/one", min(1, path.distinct))
 					if target.wantNotCrossed(with("b"), 2, "run as 1", then) {
 						t.Error("both came on one connection")
 					}
@@ -466,24 +469,24 @@
 	}
 }
 
-// Guards against a second answer getting through at a server that answers other requests alike.
-func TestAlikeAnswersLetNoSecondAnswerThrough(t *testing.T) {
+// Guards against a second answer being passed on at a server that gives other requests identical answers.
+func TestIdenticalAnswersLetNoSecondAnswerThrough(t *testing.T) {
 	for _, then := range []ending{closesConnection, staysSilent, answersItself} {
 		t.Run(then.String(), func(t *testing.T) {
 			t.Parallel()
-			target := startTarget(t, 1, secondAnswer{body: "of one", frame: withLength, behind: 1, then: then}.newScript)
-			target.wantAll(numberedRequests(2*warmUps, okToPosts), 1)
+			target := startTarget(t, 1, secondAnswer{body: "of one", frame: withLength, requestsAfter: 1, then: then}.newScript)
+			target.wantAll(numberedRequests(2*warmUps, okForPosts), 1)
 			for i := range 4 {
 				r := Encode(http.MethodPost, "/write", "t", http.Header{}, []byte(strconv.Itoa(i)), nil)
 				target.wantOK("POST /write", r, "ok")
 			}
 			target.wantOK("/one", get("/one"), "of one")
-			target.wantForced(get("/last"), 2, "answer to /last", then)
+			target.wantSameConnection(get("/last"), 2, "answer to /last", then)
 		})
 	}
 }
 
-// Guards against equal reads, which may have equal answers, being held up or lost.
+// Guards against equal reads, which may have equal answers, being delayed or lost.
 func TestEqualReadsMayShareAnAnswer(t *testing.T) {
 	target := startTarget(t, 4, answersOnce(ownBody))
 	target.warmUp(warmUps)
@@ -505,14 +508,14 @@
 	}
 }
 
-// numbered is a request that a server without a fault answers with body.
-type numbered struct {
+// numberedRequest is a request that a server without a fault answers with body.
+type numberedRequest struct {
 	request *Request
 	body    string
 }
 
-// alikeServers make the answers of servers that give different requests the same body.
-var alikeServers = []struct {
+// identicalAnswerServers make the answers of servers that give different requests the same body.
+var identicalAnswerServers = []struct {
 	name string
 	body func(r *http.Request) string
 }{
@@ -522,12 +525,12 @@
 		number, _ := strconv.ParseUint(strings.TrimPrefix(r.URL.Path, "/"), 10, 64)
 		return "choice " + strconv.Itoa(rand.New(rand.NewPCG(1, number)).IntN(3))
 	}},
-	{"one body for POST", okToPosts},
+	{"one body for POST", okForPosts},
 }
 
-// numberedRequests are n different requests, GET and POST in turn.
-func numberedRequests(n int, body func(*http.Request) string) []numbered {
-	all := make([]numbered, n)
+// numberedRequests returns n different requests, GET and POST in turn.
+func numberedRequests(n int, body func(*http.Request) string) []numberedRequest {
+	all := make([]numberedRequest, n)
 	for i := range all {
 		method, uri := http.MethodGet, "/"+strconv.Itoa(i)
 		var content []byte
@@ -536,15 +539,16 @@
 		}
 		r, _ := http.NewRequest(method, uri, nil)
 		r.RequestURI = uri
-		all[i] = numbered{Encode(method, uri, "t", http.Header{}, content, nil), body(r)}
+		all[i] = numberedRequest{Encode(method, uri, "t", http.Header{}, content, nil), body(r)}
 	}
 	return all
 }
 
-// wantAll sends requests, some at a time, all of which must be answered with their own bodies, and soon.
-func (s *scriptedTarget) wantAll(all []numbered, atATime int) {
+// wantAll sends requests, atATime of them concurrently. Each must be answered with its own body, within
+// maxAnswerTime.
+func (s *scriptedTarget) wantAll(all []numberedRequest, atATime int) {
 	s.t.Helper()
-	next := make(chan numbered)
+	next := make(chan numberedRequest)
 	var workers sync.WaitGroup
 	for range atATime {
 		workers.Go(func() {
@@ -560,9 +564,9 @@
 	workers.Wait()
 }
 
-// Guards against answers being lost or held up for long where a server gives different requests the same body.
-func TestAlikeAnswersAreNeitherLostNorHeldUp(t *testing.T) {
-	for _, c := range alikeServers {
+// Guards against answers being lost or long delayed when a server gives different requests the same body.
+func TestIdenticalAnswersAreNeitherLostNorDelayed(t *testing.T) {
+	for _, c := range identicalAnswerServers {
 		for _, atATime := range []int{1, 8} {
 			t.Run(fmt.Sprintf("%s/%d at a time", c.name, atATime), func(t *testing.T) {
 				target := startTarget(t, 16, answersOnce(c.body))
@@ -574,7 +578,8 @@
 	}
 }
 
-// Guards against requests waiting for a connection that rests, or is kept from reuse, where few may be open.
+// Guards against requests waiting in vain for a connection in its reuse delay, or barred from reuse, when few may
+// be open.
 func TestFewConnectionsAnswerAll(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -589,8 +594,8 @@
 	}
 }
 
-// Guards against memory that grows with the number of different answers that a server has given.
-func TestManyDifferentAnswersTakeNoMemory(t *testing.T) {
+// Guards against memory that grows with the number of distinct answers that a server has given.
+func TestManyDifferentAnswersDoNotGrowTheHeap(t *testing.T) {
 	const most = 1 << 20
 	target := startTarget(t, 4, answersOnce(ownBody))
 	target.warmUp(1000)
@@ -603,7 +608,7 @@
 
 func heapInUse() uint64 {
 	runtime.GC()
-	runtime.GC() // what finalizers held
+	runtime.GC() // collects what finalizers held
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
@@ -627,7 +632,7 @@
 	})
 	target.warmUp(warmUps)
 	target.wantOK("/one", get("/one"), body)
-	ctx, cancel := context.WithTimeout(t.Context(), faultyWait)
+	ctx, cancel := context.WithTimeout(t.Context(), faultDeadline)
 	defer cancel()
 	o := target.exchange(core.Attempt{Ctx: ctx, Payload: get("/last")})
 	reply, ok := o.Reply.(*Reply)
@@ -643,7 +648,7 @@
 	}
 }
 
-// Guards against a slow answer of a request's own being held back on a connection that was used before.
+// Guards against a request's own slow answer being held back on a connection that was used before.
 func TestSlowOwnAnswerIsStreamedOnAUsedConnection(t *testing.T) {
 	target := startTarget(t, 1, func() connectionScript {
 		return func(r *http.Request) (string, bool) {
--- a/internal/egress/timeleft_test.go
+++ b/internal/egress/timeleft_test.go
@@ -19,28 +19,28 @@
 	"junctionring/internal/egress"
 )
 
-type uncounted struct{}
+type noCounter struct{}
 
-func (uncounted) Add(uint64, float64, time.Duration, func(control.Status, float64)) bool {
+func (noCounter) Add(uint64, float64, time.Duration, func(control.Status, float64)) bool {
 	return false
 }
 
-// toldTime is what one attempt told its server of the time that is left, and what was left.
-type toldTime struct{ told, left time.Duration }
+// announcedTime is the remaining time that an attempt announced to its server, and the time that was left.
+type announcedTime struct{ announced, left time.Duration }
 
-// lateServers are servers over pipes whose connections take a while to come up. They end the connection of a first
-// attempt when a share of the request's time is over, and answer every other one.
-type lateServers struct {
+// slowServers are servers over pipes whose connections take a while to come up. They close the connection of a
+// first attempt when a share of the request's time has passed, and answer all others.
+type slowServers struct {
 	connect  time.Duration // for a connection to come up
-	hold     time.Duration // of the first attempt, since the request came
+	hold     time.Duration // of the first attempt, from when the request came
 	began    time.Time
 	deadline time.Time
 
 	mu       sync.Mutex
-	attempts []toldTime
+	attempts []announcedTime
 }
 
-func (s *lateServers) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (s *slowServers) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -51,7 +51,7 @@
 	return near, nil
 }
 
-func (s *lateServers) serve(c net.Conn) {
+func (s *slowServers) serve(c net.Conn) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -59,21 +59,21 @@
 	}
 	told, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("X-Timeout"), "m"))
 	if err != nil {
-		told = int(time.Hour.Milliseconds()) // none told: as if there were no end
+		told = int(time.Hour.Milliseconds()) // none announced: counts as no limit
 	}
 	s.mu.Lock()
-	s.attempts = append(s.attempts, toldTime{time.Duration(told) * time.Millisecond, time.Until(s.deadline)})
+	s.attempts = append(s.attempts, announcedTime{time.Duration(told) * time.Millisecond, time.Until(s.deadline)})
 	n := len(s.attempts)
 	s.mu.Unlock()
 	if n == 1 {
-		time.Sleep(time.Until(s.began.Add(s.hold))) // of the bubble's time
+		time.Sleep(time.Until(s.began.Add(s.hold))) // in the synctest bubble's time
 		return
 	}
 	fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 }
 
-// Every attempt tells its server at most the time that is left to the client: the first, and further ones after a large
-// part of the deadline, also where they waited for their connection.
+// Every attempt announces to its server at most the time that is left to the client: the first one, and further
+// ones after a large part of the deadline, even if they waited for their connection.
 func TestAttemptsTellNoMoreTimeThanIsLeft(t *testing.T) {
 	const deadline = 2 * time.Second
 	further := 0
@@ -82,13 +82,13 @@
 			name := fmt.Sprintf("connections take %v, first attempt ends after %.0f %%", connect, 100*share)
 			t.Run(name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					attempts, _ := timesTold(t, control.Safe, connect, share, deadline)
+					attempts, _ := announcedTimes(t, control.Safe, connect, share, deadline)
 					for i, a := range attempts {
-						if a.told > a.left {
-							t.Errorf("attempt %d tells %v with %v left", i+1, a.told, a.left)
+						if a.announced > a.left {
+							t.Errorf("attempt %d announces %v with %v left", i+1, a.announced, a.left)
 						}
 					}
-					t.Logf("attempts (told, left): %v", attempts)
+					t.Logf("attempts (announced, left): %v", attempts)
 					further += len(attempts) - 1
 				})
 			})
@@ -100,13 +100,14 @@
 	}
 }
 
-// An unsafe request whose connection is reset long after it began is answered at once as failed, and not sent again.
+// An unsafe request whose connection is reset long after it was sent is answered as failed at once, and not sent
+// again.
 func TestUnsafeThatIsResetLateIsAnsweredAtOnce(t *testing.T) {
 	for _, share := range []float64{0.5, 0.9, 0.99} {
 		t.Run(fmt.Sprintf("after %.0f %%", 100*share), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const deadline = 20 * time.Second
-				attempts, answer := timesTold(t, control.Unsafe, 0, share, deadline)
+				attempts, answer := announcedTimes(t, control.Unsafe, 0, share, deadline)
 				if len(attempts) != 1 || answer.Kind != core.Failed {
 					t.Errorf("%d attempts, ended as %v", len(attempts), answer.Kind)
 				}
@@ -124,9 +125,11 @@
 	took time.Duration
 }
 
-// timesTold has one request sent whose first attempt ends after a share of its deadline.
-func timesTold(t *testing.T, repeat control.Repeat, connect time.Duration, share float64, deadline time.Duration) ([]toldTime, timedAnswer) {
-	s := &lateServers{connect: connect, hold: time.Duration(share * float64(deadline)), began: time.Now(), deadline: time.Now().Add(deadline)}
+// announcedTimes has one request sent whose first attempt ends after a share of its deadline.
+func announcedTimes(t *testing.T, repeat control.Repeat, connect time.Duration, share float64,
+	deadline time.Duration) ([]announcedTime, timedAnswer) {
+	s := &slowServers{connect: connect, hold: time.Duration(share * float64(deadline)), began: time.Now(),
+		deadline: time.Now().Add(deadline)}
 	fleet := egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 16, Dial: s.dial})
 	c, err := core.New(control.Settings{
 		Gateways:   1,
@@ -134,7 +137,7 @@
 		Plans:      []control.Plan{{Rate: 100, Burst: 100, Worth: 1, OverCost: 1}},
 		Limits:     control.Limits{MaxAttempts: 3, Cancel: true},
 		Guarantees: control.Guarantees{ColdFrom: 0.2, Ramp: 5, FallMultiple: 3, FallAfter: 1.5},
-	}, 1, fleet, uncounted{}, slog.New(slog.DiscardHandler))
+	}, 1, fleet, noCounter{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +155,7 @@
 	fleet.Update(core.Table{Kind: control.Snapshot})
 	cancel()
 	ended.Wait()
-	time.Sleep(time.Minute) // of the bubble's time: what hangs has ended
+	time.Sleep(time.Minute) // in the synctest bubble's time: whatever hangs has ended by then
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.attempts, timed
