--- a/cmd/junctionring/drain.go
+++ b/cmd/junctionring/drain.go
@@ -95,7 +95,7 @@
 // handOver gives every connection to a successor; false: there is none, or it did not take all. One that asked and does
 // not serve yet is waited for until latest.
 func (s *service) handOver(drain context.Context, latest time.Time) bool {
-	begun, alone, lost := s.predecessor.Told()
+	begun, alone, lost := s.predecessor.NotifyShutdown()
 	wait, waited := context.WithDeadline(drain, latest)
 	defer waited()
 	select {
@@ -105,7 +105,7 @@
 	case <-wait.Done():
 		return false
 	}
-	if err := s.server.HandOver(drain, s.predecessor.Give, lost); err != nil {
+	if err := s.server.HandOver(drain, s.predecessor.Transfer, lost); err != nil {
 		s.log.Warn("handover: not all could be handed over", "err", err)
 		return false
 	}
--- a/cmd/junctionring/listeners.go
+++ b/cmd/junctionring/listeners.go
@@ -22,7 +22,7 @@
 // openListeners asks the process that serves these addresses, if there is one, for their sockets.
 func openListeners(log *slog.Logger, addresses ...string) *listeners {
 	l := &listeners{addresses: addresses, open: map[string]net.Listener{}, log: log}
-	successor, err := handoff.Ask(os.TempDir(), log, addresses...)
+	successor, err := handoff.Connect(os.TempDir(), log, addresses...)
 	switch {
 	case err == nil:
 		l.successor = successor
--- a/internal/configuration/manager.go
+++ b/internal/configuration/manager.go
@@ -72,7 +72,7 @@
 	done    chan struct{}
 	started time.Time
 
-	life      *versions.Life
+	life      *versions.Lifecycle
 	slots     config.Slots
 	documents map[key][]byte
 	old       []key // documents that are kept though no version needs them, oldest first
--- a/internal/controlplane/client_test.go
+++ b/internal/controlplane/client_test.go
@@ -24,7 +24,7 @@
 // gate is a gateway with the real life of versions: a document that says "broken" has a fault.
 type gate struct {
 	mu      sync.Mutex
-	life    *versions.Life
+	life    *versions.Lifecycle
 	now     float64
 	offered []int64
 	hold    chan struct{} // not nil: an offer waits for it
--- a/internal/egress/upload.go
+++ b/internal/egress/upload.go
@@ -116,7 +116,7 @@
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
-		socket.Ended(connection)
+		socket.WaitEnd(connection)
 	}()
 	return over, func() {
 		c.SetReadDeadline(time.Unix(1, 0)) // in the past
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -133,7 +133,7 @@
 	}
 	c.mu.Unlock()
 	if look {
-		return 0, socket.Ended(c.TCPConn)
+		return 0, socket.WaitEnd(c.TCPConn)
 	}
 	n, err := c.TCPConn.Read(b)
 	c.mu.Lock()
--- a/internal/front/slots.go
+++ b/internal/front/slots.go
@@ -94,7 +94,7 @@
 			return nil, err
 		}
 		if s.stopping.Load() {
-			if socket.Arrived(s.Listener) {
+			if socket.HasPending(s.Listener) {
 				continue // the deadline had passed before the look at the queue
 			}
 			s.Listener.Close()
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -84,7 +84,7 @@
 // process's descriptor may be closed.
 func TestHandedOver(t *testing.T) {
 	o := newOld(t)
-	h, err := Ask(o.dir, quiet, o.address, "127.0.0.1:1")
+	h, err := Connect(o.dir, quiet, o.address, "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	adopted := make(chan *net.TCPConn, 1)
 	ran := make(chan error, 1)
 	client, server := o.pair(t)
-	begun, _, _ := o.Told()
+	begun, _, _ := o.NotifyShutdown()
 	select {
 	case <-begun:
 		t.Fatal("it begins before the successor serves")
@@ -105,7 +105,7 @@
 	go func() { ran <- h.Run(context.Background(), func(c *net.TCPConn) bool { adopted <- c; return true }) }()
 	closed(t, begun, "the handover begins")
 	io.WriteString(client, "sent mean")
-	if !o.Give(server) {
+	if !o.Transfer(server) {
 		t.Fatal("the successor did not take the connection")
 	}
 	server.Close()
@@ -165,11 +165,11 @@
 			}
 			l.send(message{Kind: ready})
 			client, server := o.pair(t)
-			begun, _, lost := o.Told()
+			begun, _, lost := o.NotifyShutdown()
 			closed(t, begun, "the handover begins")
 			sent := make(chan bool, 1)
 			go script(t, l, sent)
-			if o.Give(server) {
+			if o.Transfer(server) {
 				t.Error("a connection that was not acknowledged counts as taken")
 			}
 			sent <- true
@@ -191,24 +191,24 @@
 // gone, another may.
 func TestTwoSuccessors(t *testing.T) {
 	o := newOld(t)
-	first, err := Ask(o.dir, quiet, o.address)
+	first, err := Connect(o.dir, quiet, o.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Ask(o.dir, quiet, o.address); err == nil || !strings.Contains(err.Error(), "another process succeeds") {
+	if _, err := Connect(o.dir, quiet, o.address); err == nil || !strings.Contains(err.Error(), "another process succeeds") {
 		t.Errorf("the second was told %v", err)
 	}
 	first.Close()
 	await(t, func() bool {
-		h, err := Ask(o.dir, quiet, o.address)
+		h, err := Connect(o.dir, quiet, o.address)
 		if err == nil {
 			h.Close()
 		}
 		return err == nil
 	})
-	_, alone, _ := o.Told()
+	_, alone, _ := o.NotifyShutdown()
 	closed(t, alone, "nobody follows")
-	if _, err := Ask(o.dir, quiet, o.address); err == nil {
+	if _, err := Connect(o.dir, quiet, o.address); err == nil {
 		t.Error("a process that ends took a successor")
 	}
 }
@@ -260,7 +260,7 @@
 				l.receive()
 				l.send(message{Kind: lend, Listen: []string{address}}, fds...)
 			}()
-			if h, err := Ask(dir, quiet, address); err == nil {
+			if h, err := Connect(dir, quiet, address); err == nil {
 				h.Close()
 				t.Error("it was taken")
 			}
@@ -303,7 +303,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := c.make(t, t.TempDir())
-			if h, err := Ask(dir, quiet, "a:1"); err == nil {
+			if h, err := Connect(dir, quiet, "a:1"); err == nil {
 				h.Close()
 				t.Fatal("somebody was found")
 			}
--- a/internal/handoff/predecessor.go
+++ b/internal/handoff/predecessor.go
@@ -129,16 +129,16 @@
 	}
 }
 
-// Told says that this process is to end. begun is closed once the successor serves and connections go to it, alone
+// NotifyShutdown says that this process is to end. begun is closed once the successor serves and connections go to it, alone
 // once it is known that there is none; lost when one that there was is gone.
-func (e *Predecessor) Told() (begun, alone, lost <-chan struct{}) {
+func (e *Predecessor) NotifyShutdown() (begun, alone, lost <-chan struct{}) {
 	e.post(tell{})
 	return e.begun, e.alone, e.lost
 }
 
-// Give passes a connection to the successor, and returns false if that has not taken it: then it is still the
+// Transfer passes a connection to the successor, and returns false if that has not taken it: then it is still the
 // caller's, and nobody else has read from it.
-func (e *Predecessor) Give(c *net.TCPConn) bool {
+func (e *Predecessor) Transfer(c *net.TCPConn) bool {
 	p := &passing{conn: c, taken: make(chan bool, 1)}
 	if !e.post(give{p}) {
 		return false
@@ -177,12 +177,12 @@
 		e.heard(m)
 	case tell:
 		e.log.Info("handover: told to end", "state", e.machine.State())
-		e.do(replacement.Told{})
+		e.do(replacement.ShutdownRequested{})
 	case give:
 		e.last++
 		id := replacement.Conn(e.last)
 		e.waiting[id] = m.passing
-		e.do(replacement.Rested{Conn: id})
+		e.do(replacement.ConnIdle{Conn: id})
 	case late:
 		if e.waiting[m.conn] != nil {
 			e.log.Warn("handover: the successor is silent", "conn", m.conn)
@@ -209,11 +209,11 @@
 	switch m.message.Kind {
 	case ask:
 		e.wants[m.successor] = m.message.Listen
-		e.do(replacement.Asked{Successor: m.successor})
+		e.do(replacement.Requested{Successor: m.successor})
 	case ready:
 		e.do(replacement.Ready{Successor: m.successor})
 	case took:
-		e.do(replacement.Took{Successor: m.successor, Conn: conn})
+		e.do(replacement.Acknowledged{Successor: m.successor, Conn: conn})
 	case decline:
 		e.do(replacement.Declined{Successor: m.successor, Conn: conn})
 	default:
@@ -233,18 +233,18 @@
 func (e *Predecessor) do(event any) {
 	for _, a := range e.machine.Handle(event, nil) {
 		switch a := a.(type) {
-		case replacement.Lend:
+		case replacement.SendListeners:
 			if err := e.lend(a.Successor); err != nil {
 				e.log.Warn("handover: the listening sockets cannot be lent", "err", err)
 				e.cut(a.Successor)
 			}
-		case replacement.TurnAway:
-			e.log.Info("handover: a process is turned away", "why", a.Why)
-			e.links[a.Successor].send(message{Kind: refuse, Why: a.Why})
-		case replacement.Begin:
+		case replacement.Refuse:
+			e.log.Info("handover: a process is turned away", "why", a.Reason)
+			e.links[a.Successor].send(message{Kind: refuse, Why: a.Reason})
+		case replacement.BeginHandover:
 			e.log.Info("handover: begins")
 			close(e.begun)
-		case replacement.Resume:
+		case replacement.ResumeAccepting:
 			e.log.Warn("handover: the successor is lost; this process drains")
 			close(e.lost)
 		case replacement.Drain:
--- a/internal/handoff/successor.go
+++ b/internal/handoff/successor.go
@@ -22,9 +22,9 @@
 	log     *slog.Logger
 }
 
-// Ask looks for the process that serves the first address and asks it for the listening sockets of all of them. An
+// Connect looks for the process that serves the first address and asks it for the listening sockets of all of them. An
 // error says why this process has to open them itself.
-func Ask(dir string, log *slog.Logger, addresses ...string) (*Successor, error) {
+func Connect(dir string, log *slog.Logger, addresses ...string) (*Successor, error) {
 	l, err := dial(Path(dir, addresses[0]))
 	if err != nil {
 		return nil, err
--- a/internal/operations/config.go
+++ b/internal/operations/config.go
@@ -44,9 +44,9 @@
 }
 
 func configOf(s configuration.Status) *Config {
-	c := &Config{Version: s.InForce.Number, Age: s.Age.Seconds(), Pinned: s.Pinned, OnItsWay: s.OnItsWay}
-	if s.Down.Reason != "" {
-		h := historyOf(s.Down)
+	c := &Config{Version: s.InForce.Number, Age: s.Age.Seconds(), Pinned: s.Pinned, OnItsWay: s.InProgress}
+	if s.LastRejected.Reason != "" {
+		h := historyOf(s.LastRejected)
 		c.Down = &h
 	}
 	for _, e := range s.History {
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Arrived tells, without waiting, whether a connection waits to be accepted.
-func Arrived(l net.Listener) (waits bool) {
+// HasPending tells, without waiting, whether a connection waits to be accepted.
+func HasPending(l net.Listener) (waits bool) {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -47,9 +47,9 @@
 	return n, err == nil, e
 }
 
-// Ended waits until the other side has ended a connection, or its read deadline, and returns what a read would have
+// WaitEnd waits until the other side has ended a connection, or its read deadline, and returns what a read would have
 // said. Bytes that come meanwhile are left unread; an end behind them is seen all the same.
-func Ended(c syscall.Conn) error {
+func WaitEnd(c syscall.Conn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
--- a/replacement/replacement.go
+++ b/replacement/replacement.go
@@ -8,11 +8,11 @@
 
 // The states of the old process.
 const (
-	Alone    State = iota // it serves, and nobody is to follow
-	Paired                // a successor holds the listening sockets too, and does not serve yet
-	Both                  // both accept and serve
-	Handing               // told to end: each connection at rest passes to the successor
-	Draining              // told to end with no successor: it serves on, and closes with its answers
+	NoSuccessor State = iota // it serves, and nobody is to follow
+	Paired                   // a successor holds the listening sockets too, and does not serve yet
+	BothServing              // both accept and serve
+	HandingOver              // told to end: each connection at rest passes to the successor
+	Draining                 // told to end with no successor: it serves on, and closes with its answers
 )
 
 // Successor is a process that asked to succeed, numbered by the caller from 1.
@@ -23,18 +23,18 @@
 
 // Events.
 type (
-	// Asked: a process wants to succeed.
-	Asked struct{ Successor Successor }
+	// Requested: a process wants to succeed.
+	Requested struct{ Successor Successor }
 	// Ready: it serves.
 	Ready struct{ Successor Successor }
 	// Lost: it ended, fell silent, or spoke what cannot be read. What it still acknowledged came before.
 	Lost struct{ Successor Successor }
-	// Told: this process is to end.
-	Told struct{}
-	// Rested: a connection has nothing of a request read from it, and nobody reads it here any more.
-	Rested struct{ Conn Conn }
-	// Took: the successor has a connection, and has not read from it yet.
-	Took struct {
+	// ShutdownRequested: this process is to end.
+	ShutdownRequested struct{}
+	// ConnIdle: a connection has nothing of a request read from it, and nobody reads it here any more.
+	ConnIdle struct{ Conn Conn }
+	// Acknowledged: the successor has a connection, and has not read from it yet.
+	Acknowledged struct {
 		Successor Successor
 		Conn      Conn
 	}
@@ -47,17 +47,17 @@
 
 // Actions.
 type (
-	// Lend gives the listening sockets to a process.
-	Lend struct{ Successor Successor }
-	// TurnAway tells a process that it does not succeed.
-	TurnAway struct {
+	// SendListeners gives the listening sockets to a process.
+	SendListeners struct{ Successor Successor }
+	// Refuse tells a process that it does not succeed.
+	Refuse struct {
 		Successor Successor
-		Why       string
+		Reason    string
 	}
-	// Begin: accept no more, and report each connection that rests. The listening sockets stay open.
-	Begin struct{}
-	// Resume: accept again, and drain as one that nobody follows.
-	Resume struct{}
+	// BeginHandover: accept no more, and report each connection that rests. The listening sockets stay open.
+	BeginHandover struct{}
+	// ResumeAccepting: accept again, and drain as one that nobody follows.
+	ResumeAccepting struct{}
 	// Pass gives a connection's descriptor to the successor; this process keeps its own, and reads nothing.
 	Pass struct {
 		Successor Successor
@@ -88,21 +88,21 @@
 // Handle takes one event in, and appends what follows from it.
 func (m *Machine) Handle(event any, do []any) []any {
 	switch e := event.(type) {
-	case Asked:
+	case Requested:
 		switch {
 		case m.successor != 0:
-			return append(do, TurnAway{e.Successor, "another process succeeds already"})
+			return append(do, Refuse{e.Successor, "another process succeeds already"})
 		case m.told:
-			return append(do, TurnAway{e.Successor, "this process is ending"})
+			return append(do, Refuse{e.Successor, "this process is ending"})
 		}
 		m.successor, m.state = e.Successor, Paired
-		return append(do, Lend(e))
+		return append(do, SendListeners(e))
 	case Ready:
 		if e.Successor == m.successor && m.state == Paired {
-			m.state = Both
+			m.state = BothServing
 			return m.begin(do)
 		}
-	case Told:
+	case ShutdownRequested:
 		if m.told {
 			return do
 		}
@@ -112,13 +112,13 @@
 			return append(do, Drain{})
 		}
 		return m.begin(do)
-	case Rested:
-		if m.state != Handing {
+	case ConnIdle:
+		if m.state != HandingOver {
 			return append(do, Keep(e))
 		}
 		m.passed[e.Conn] = struct{}{}
 		return append(do, Pass{m.successor, e.Conn})
-	case Took:
+	case Acknowledged:
 		if m.mine(e.Successor, e.Conn) {
 			return append(do, Release{e.Conn})
 		}
@@ -136,11 +136,11 @@
 		clear(m.passed)
 		m.successor = 0
 		was := m.state
-		m.state = Alone
+		m.state = NoSuccessor
 		if m.told {
 			m.state = Draining
-			if was == Handing {
-				return append(do, Resume{})
+			if was == HandingOver {
+				return append(do, ResumeAccepting{})
 			}
 			return append(do, Drain{})
 		}
@@ -150,9 +150,9 @@
 
 // begin starts the handing over once this process is to end and the other serves.
 func (m *Machine) begin(do []any) []any {
-	if m.told && m.state == Both {
-		m.state = Handing
-		do = append(do, Begin{})
+	if m.told && m.state == BothServing {
+		m.state = HandingOver
+		do = append(do, BeginHandover{})
 	}
 	return do
 }
--- a/replacement/replacement_test.go
+++ b/replacement/replacement_test.go
@@ -25,13 +25,13 @@
 	}
 	event := trail[len(trail)-1]
 	switch e := event.(type) {
-	case Told:
+	case ShutdownRequested:
 		w.told = true
 	case Ready:
 		w.serves = w.serves || e.Successor == w.lent
-	case Rested:
+	case ConnIdle:
 		w.owner[e.Conn] = "none"
-	case Took:
+	case Acknowledged:
 		if w.owner[e.Conn] == "passed" {
 			w.owner[e.Conn] = "there"
 		}
@@ -40,21 +40,21 @@
 	}
 	for _, a := range w.m.Handle(event, nil) {
 		switch a := a.(type) {
-		case Lend:
+		case SendListeners:
 			if w.lent != 0 && !w.dead[w.lent] {
 				fail("lent to %d while %d succeeds", a.Successor, w.lent)
 			}
 			w.lent, w.serves = a.Successor, false
-		case TurnAway:
-			if a.Successor == w.lent || a.Why == "" {
-				fail("%d turned away (%q)", a.Successor, a.Why)
+		case Refuse:
+			if a.Successor == w.lent || a.Reason == "" {
+				fail("%d turned away (%q)", a.Successor, a.Reason)
 			}
-		case Begin:
+		case BeginHandover:
 			if !w.told || !w.serves || w.dead[w.lent] {
 				fail("handing begins with nobody to hand to, or before it is told")
 			}
 			w.accepting = false
-		case Resume:
+		case ResumeAccepting:
 			w.accepting, w.drains = true, true
 		case Drain:
 			w.drains = true
@@ -88,11 +88,11 @@
 // end; two connections come to rest. No connection ever has two readers or none, none is passed to a process that
 // does not serve or is dead, and a process that loses its successor serves on and drains.
 func TestEveryOrder(t *testing.T) {
-	events := []any{Told{}}
+	events := []any{ShutdownRequested{}}
 	for h := Successor(1); h <= 2; h++ {
-		events = append(events, Asked{h}, Ready{h}, Lost{h}, Took{h, 1}, Declined{h, 2}, Took{h, 2})
+		events = append(events, Requested{h}, Ready{h}, Lost{h}, Acknowledged{h, 1}, Declined{h, 2}, Acknowledged{h, 2})
 	}
-	events = append(events, Rested{1}, Rested{2})
+	events = append(events, ConnIdle{1}, ConnIdle{2})
 	const depth = 6
 	orders := 0
 	var walk func(trail []any)
@@ -113,9 +113,9 @@
 			}
 		}
 	}
-	walk([]any{Asked{1}}) // the orders that matter have a successor, and the word to end, in some place
-	walk([]any{Told{}})
-	walk([]any{Asked{1}, Ready{1}, Told{}, Rested{1}}) // deeper where handing has begun
+	walk([]any{Requested{1}}) // the orders that matter have a successor, and the word to end, in some place
+	walk([]any{ShutdownRequested{}})
+	walk([]any{Requested{1}, Ready{1}, ShutdownRequested{}, ConnIdle{1}}) // deeper where handing has begun
 	if orders < 100_000 {
 		t.Errorf("only %d orders were gone through", orders)
 	}
@@ -125,15 +125,15 @@
 // asked, or a connection rests that is not read here.
 func possible(w *world, event any) bool {
 	switch e := event.(type) {
-	case Asked:
+	case Requested:
 		return !w.dead[e.Successor] && e.Successor != w.lent
 	case Ready:
 		return !w.dead[e.Successor]
-	case Took:
+	case Acknowledged:
 		return !w.dead[e.Successor] && e.Successor == w.lent
 	case Declined:
 		return !w.dead[e.Successor]
-	case Rested:
+	case ConnIdle:
 		return w.owner[e.Conn] == "here"
 	}
 	return true
--- a/versions/versions.go
+++ b/versions/versions.go
@@ -42,7 +42,7 @@
 	Saving
 	Applying
 	InForce
-	TurnedDown
+	Rejected
 	Superseded // a newer one came, or took its place
 )
 
@@ -126,8 +126,8 @@
 	reasonMost  = 2000 // bytes of a reason
 )
 
-// Life is the life of all versions at one gateway. It is not safe for concurrent use.
-type Life struct {
+// Lifecycle is the life of all versions at one gateway. It is not safe for concurrent use.
+type Lifecycle struct {
 	saves bool // versions are saved; without a disk they are not
 
 	now     Seconds
@@ -147,14 +147,14 @@
 }
 
 // New makes a Life in which a version is in force already: the file's (number 0) or the snapshot's.
-func New(now Seconds, force Offer, saves bool) *Life {
-	l := &Life{saves: saves, force: force, since: now, highest: force.Number}
+func New(now Seconds, force Offer, saves bool) *Lifecycle {
+	l := &Lifecycle{saves: saves, force: force, since: now, highest: force.Number}
 	l.note(now, force, InForce, "")
 	return l
 }
 
 // Handle takes one event in and appends the actions it calls for.
-func (l *Life) Handle(now Seconds, ev Event, actions []Action) []Action {
+func (l *Lifecycle) Handle(now Seconds, ev Event, actions []Action) []Action {
 	l.now, l.out = now, actions
 	switch e := ev.(type) {
 	case Offer:
@@ -178,10 +178,10 @@
 	return l.out
 }
 
-func (l *Life) do(a Action) { l.out = append(l.out, a) }
+func (l *Lifecycle) do(a Action) { l.out = append(l.out, a) }
 
 // offered decides whether a version is looked at at all. Every offer gets an answer, now or when its turn ends.
-func (l *Life) offered(o Offer) {
+func (l *Lifecycle) offered(o Offer) {
 	switch reason := l.against(o); {
 	case same(o, l.force):
 		l.do(Answer{o, ""}) // in force already: a source that asks again is told so
@@ -206,7 +206,7 @@
 }
 
 // against says what speaks against an offer by its number alone.
-func (l *Life) against(o Offer) string {
+func (l *Lifecycle) against(o Offer) string {
 	known := func(k Offer) bool { return k.Number == o.Number && k.Digest != o.Digest }
 	switch {
 	case o.Number <= 0:
@@ -225,7 +225,7 @@
 func newer(a, b Offer) bool { return a.Rollback || a.Number > b.Number }
 
 // queue puts an offer behind the one that is on its way. What waited there is superseded.
-func (l *Life) queue(o Offer) {
+func (l *Lifecycle) queue(o Offer) {
 	if n := l.next; n != nil {
 		if same(*n, o) {
 			l.do(Answer{*n, fmt.Sprintf("version %d was offered again", n.Number)})
@@ -237,26 +237,26 @@
 	l.note(l.now, o, Offered, "")
 }
 
-func (l *Life) supersede(o, by Offer) {
+func (l *Lifecycle) supersede(o, by Offer) {
 	reason := fmt.Sprintf("superseded by version %d", by.Number)
 	l.note(l.now, o, Superseded, reason)
 	l.do(Drop{o})
 	l.do(Answer{o, reason})
 }
 
-func (l *Life) begin(o Offer) {
+func (l *Lifecycle) begin(o Offer) {
 	l.current, l.waiting = o, nil
 	l.to(Checking)
 	l.do(Check{o})
 }
 
-func (l *Life) to(s State) {
+func (l *Lifecycle) to(s State) {
 	l.step = s
 	l.note(l.now, l.current, s, "")
 }
 
 // done goes on to the next step. A step that was not asked for, or of another version, is passed over.
-func (l *Life) done(e Done) {
+func (l *Lifecycle) done(e Done) {
 	o := l.current
 	if l.step == Offered || e.Number != o.Number || e.Digest != o.Digest {
 		return
@@ -309,19 +309,19 @@
 	}
 }
 
-func (l *Life) apply() {
+func (l *Lifecycle) apply() {
 	l.to(Applying)
 	l.do(Apply{l.current})
 }
 
 // Needs tells whether a version's content is still needed: it is in force, on its way, or may yet come.
-func (l *Life) Needs(o Offer) bool {
+func (l *Lifecycle) Needs(o Offer) bool {
 	is := func(k *Offer) bool { return k != nil && k.Number == o.Number && k.Digest == o.Digest }
 	return is(&l.force) || l.step != Offered && is(&l.current) || is(l.next) || is(l.waiting) || is(l.held)
 }
 
 // follow begins the version that waited.
-func (l *Life) follow() {
+func (l *Lifecycle) follow() {
 	if n := l.next; n != nil {
 		l.next = nil
 		l.offered(*n)
@@ -329,12 +329,12 @@
 }
 
 // turnDown answers an offer with a reason. What is kept may still come into force.
-func (l *Life) turnDown(o Offer, reason string, keep bool) {
+func (l *Lifecycle) turnDown(o Offer, reason string, keep bool) {
 	if len(reason) > reasonMost {
 		reason = reason[:reasonMost] + " ..."
 	}
-	l.note(l.now, o, TurnedDown, reason)
-	l.down = Entry{o, TurnedDown, reason, l.now}
+	l.note(l.now, o, Rejected, reason)
+	l.down = Entry{o, Rejected, reason, l.now}
 	if !keep {
 		l.do(Drop{o})
 	}
@@ -342,7 +342,7 @@
 }
 
 // note books a version's state in the history: one line for each, the newest last.
-func (l *Life) note(now Seconds, o Offer, s State, reason string) {
+func (l *Lifecycle) note(now Seconds, o Offer, s State, reason string) {
 	e := Entry{o, s, reason, now}
 	for i := len(l.history) - 1; i >= 0; i-- {
 		if h := &l.history[i]; h.Number == o.Number && h.Digest == o.Digest && h.Source == o.Source {
@@ -357,22 +357,22 @@
 
 // Status is what operators and control services are told.
 type Status struct {
-	InForce  Offer
-	Since    Seconds
-	Highest  int64
-	Pinned   bool
-	Now      State // of the one on its way; Offered: none
-	OnItsWay int64
-	Down     Entry // the last that was turned down; Number 0: none
-	History  []Entry
+	InForce      Offer
+	Since        Seconds
+	Highest      int64
+	Pinned       bool
+	Step         State // of the one on its way; Offered: none
+	InProgress   int64
+	LastRejected Entry // the last that was turned down; Number 0: none
+	History      []Entry
 }
 
 // Status tells how things stand.
-func (l *Life) Status() Status {
-	s := Status{InForce: l.force, Since: l.since, Highest: l.highest, Pinned: l.pinned, Now: l.step, Down: l.down,
+func (l *Lifecycle) Status() Status {
+	s := Status{InForce: l.force, Since: l.since, Highest: l.highest, Pinned: l.pinned, Step: l.step, LastRejected: l.down,
 		History: append([]Entry(nil), l.history...)}
 	if l.step != Offered {
-		s.OnItsWay = l.current.Number
+		s.InProgress = l.current.Number
 	}
 	return s
 }
--- a/versions/versions_test.go
+++ b/versions/versions_test.go
@@ -10,7 +10,7 @@
 // rig carries a Life's actions out as a test says, and keeps what it promised.
 type rig struct {
 	t       testing.TB
-	life    *Life
+	life    *Lifecycle
 	now     Seconds
 	pending []Action // steps that are not done yet
 	answers []Answer
@@ -106,7 +106,7 @@
 		if want := "plan club: rate must be above 0; route 3: no class x"; r.last() != want {
 			t.Errorf("%q", r.last())
 		}
-		if s := r.life.Status(); s.InForce.Number != 1 || s.Down.Number != 2 {
+		if s := r.life.Status(); s.InForce.Number != 1 || s.LastRejected.Number != 2 {
 			t.Errorf("%+v", s)
 		}
 		r.tell(offer(3)) // it blocks nothing
@@ -237,7 +237,7 @@
 				if len(r.saved) == 0 || r.saved[len(r.saved)-1] != n.Number {
 					t.Fatalf("version %d is in force and not saved", n.Number)
 				}
-				if before.Pinned && before.Now < Saving {
+				if before.Pinned && before.Step < Saving {
 					t.Fatal("it changed under a pin")
 				}
 			}
