--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -17,24 +17,24 @@
 	"golang.org/x/sys/unix"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 // old is a process that serves, as far as a handover sees it.
-type old struct {
+type oldProcess struct {
 	*Predecessor
 	dir, address string
 	l            net.Listener
 }
 
-func newOld(t *testing.T) *old {
+func newOldProcess(t *testing.T) *oldProcess {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	o := &old{dir: t.TempDir(), address: l.Addr().String(), l: l}
-	o.Predecessor = NewPredecessor(o.dir, o.address, map[string]net.Listener{o.address: l}, quiet)
+	o := &oldProcess{dir: t.TempDir(), address: l.Addr().String(), l: l}
+	o.Predecessor = NewPredecessor(o.dir, o.address, map[string]net.Listener{o.address: l}, discardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { o.Run(ctx); close(done) }()
@@ -54,7 +54,7 @@
 	}
 }
 
-func closed(t *testing.T, c <-chan struct{}, what string) {
+func awaitClosed(t *testing.T, c <-chan struct{}, what string) {
 	t.Helper()
 	select {
 	case <-c:
@@ -64,7 +64,7 @@
 }
 
 // pair is a client's connection and its end at the old process.
-func (o *old) pair(t *testing.T) (client net.Conn, server *net.TCPConn) {
+func (o *oldProcess) pair(t *testing.T) (client net.Conn, server *net.TCPConn) {
 	t.Helper()
 	client, err := net.Dial("tcp", o.address)
 	if err != nil {
@@ -83,13 +83,13 @@
 // The successor gets the listening socket itself, and a connection with what its client sends meanwhile; the old
 // process's descriptor may be closed.
 func TestHandedOver(t *testing.T) {
-	o := newOld(t)
-	h, err := Connect(o.dir, quiet, o.address, "127.0.0.1:1")
+	o := newOldProcess(t)
+	s, err := Connect(o.dir, discardLog, o.address, "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := h.Listener(o.address)
-	if l == nil || h.Listener("127.0.0.1:1") != nil {
+	l := s.Listener(o.address)
+	if l == nil || s.Listener("127.0.0.1:1") != nil {
 		t.Fatal("not the sockets that the old process has were lent")
 	}
 	defer l.Close()
@@ -102,8 +102,8 @@
 		t.Fatal("it begins before the successor serves")
 	default:
 	}
-	go func() { ran <- h.Run(context.Background(), func(c *net.TCPConn) bool { adopted <- c; return true }) }()
-	closed(t, begun, "the handover begins")
+	go func() { ran <- s.Run(context.Background(), func(c *net.TCPConn) bool { adopted <- c; return true }) }()
+	awaitClosed(t, begun, "the handover begins")
 	io.WriteString(client, "sent mean")
 	if !o.Transfer(server) {
 		t.Fatal("the successor did not take the connection")
@@ -141,32 +141,32 @@
 			l.receive()
 			l.Write([]byte(`{"v":1,"kind":"too`))
 		},
-		"says what is no message of its": func(t *testing.T, l link, sent <-chan bool) { l.send(message{Kind: lend}) },
+		"says what is no message of its": func(t *testing.T, l link, sent <-chan bool) { l.send(message{Kind: kindLend}) },
 		"declines": func(t *testing.T, l link, sent <-chan bool) {
 			m, _ := l.receive()
-			l.send(message{Kind: decline, Conn: m.Conn})
+			l.send(message{Kind: kindDecline, Conn: m.Conn})
 		},
 		"takes another connection": func(t *testing.T, l link, sent <-chan bool) {
 			m, _ := l.receive()
-			l.send(message{Kind: took, Conn: m.Conn + 1})
+			l.send(message{Kind: kindTook, Conn: m.Conn + 1})
 			l.Close()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := newOld(t)
+			o := newOldProcess(t)
 			l, err := dial(Path(o.dir, o.address))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer l.Close()
-			l.send(message{Kind: ask, Listen: []string{o.address}})
-			if m, err := l.receive(); err != nil || m.Kind != lend || len(m.fds) != 1 {
+			l.send(message{Kind: kindAsk, Addresses: []string{o.address}})
+			if m, err := l.receive(); err != nil || m.Kind != kindLend || len(m.fds) != 1 {
 				t.Fatalf("lent %+v, %v", m, err)
 			}
-			l.send(message{Kind: ready})
+			l.send(message{Kind: kindReady})
 			client, server := o.pair(t)
 			begun, _, lost := o.NotifyShutdown()
-			closed(t, begun, "the handover begins")
+			awaitClosed(t, begun, "the handover begins")
 			sent := make(chan bool, 1)
 			go script(t, l, sent)
 			if o.Transfer(server) {
@@ -178,8 +178,8 @@
 				t.Errorf("the connection is not the old process's any more: %v", err)
 			}
 			if name != "declines" {
-				closed(t, lost, "the successor counts as lost")
-				if err := l.send(message{Kind: took, Conn: 1}); err == nil { // else both would read
+				awaitClosed(t, lost, "the successor counts as lost")
+				if err := l.send(message{Kind: kindTook, Conn: 1}); err == nil { // else both would read
 					t.Error("a successor that was given up can still acknowledge")
 				}
 			}
@@ -190,31 +190,31 @@
 // A second process that would follow is told why it may not, and the first one is not disturbed; once that has
 // gone, another may.
 func TestTwoSuccessors(t *testing.T) {
-	o := newOld(t)
-	first, err := Connect(o.dir, quiet, o.address)
+	o := newOldProcess(t)
+	first, err := Connect(o.dir, discardLog, o.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Connect(o.dir, quiet, o.address); err == nil || !strings.Contains(err.Error(), "another process succeeds") {
+	if _, err := Connect(o.dir, discardLog, o.address); err == nil || !strings.Contains(err.Error(), "another process succeeds") {
 		t.Errorf("the second was told %v", err)
 	}
 	first.Close()
 	await(t, func() bool {
-		h, err := Connect(o.dir, quiet, o.address)
+		s, err := Connect(o.dir, discardLog, o.address)
 		if err == nil {
-			h.Close()
+			s.Close()
 		}
 		return err == nil
 	})
 	_, alone, _ := o.NotifyShutdown()
-	closed(t, alone, "nobody follows")
-	if _, err := Connect(o.dir, quiet, o.address); err == nil {
+	awaitClosed(t, alone, "nobody follows")
+	if _, err := Connect(o.dir, discardLog, o.address); err == nil {
 		t.Error("a process that ends took a successor")
 	}
 }
 
 // What an old process may send that is not what belongs there is not used.
-func TestWhatIsLentIsChecked(t *testing.T) {
+func TestReceivedListenersAreChecked(t *testing.T) {
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -230,7 +230,7 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	number := func(f func() (*os.File, error)) int {
+	fdOf := func(f func() (*os.File, error)) int {
 		file, err := f()
 		if err != nil {
 			t.Fatal(err)
@@ -241,27 +241,27 @@
 	for name, fds := range map[string][]int{
 		"no descriptor":            nil,
 		"a file":                   {int(file.Fd())},
-		"a datagram socket":        {number(udp.(*net.UDPConn).File)},
-		"another address's socket": {number(other.(*net.TCPListener).File)},
+		"a datagram socket":        {fdOf(udp.(*net.UDPConn).File)},
+		"another address's socket": {fdOf(other.(*net.TCPListener).File)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir, address := t.TempDir(), "127.0.0.1:9"
-			in, err := claim(Path(dir, address))
+			listener, err := claim(Path(dir, address))
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer in.Close()
+			defer listener.Close()
 			go func() {
-				c, err := in.AcceptUnix()
+				c, err := listener.AcceptUnix()
 				if err != nil {
 					return
 				}
 				l := link{c}
 				l.receive()
-				l.send(message{Kind: lend, Listen: []string{address}}, fds...)
+				l.send(message{Kind: kindLend, Addresses: []string{address}}, fds...)
 			}()
-			if h, err := Connect(dir, quiet, address); err == nil {
-				h.Close()
+			if s, err := Connect(dir, discardLog, address); err == nil {
+				s.Close()
 				t.Error("it was taken")
 			}
 		})
@@ -271,7 +271,7 @@
 // Where no old process can be reached the new one is told so at once, and can be found itself afterwards: a socket
 // that a killed process left, none at all, a long path; not in a folder that cannot hold one, and not in the place of
 // what is no socket.
-func TestPlaces(t *testing.T) {
+func TestSocketPaths(t *testing.T) {
 	for name, c := range map[string]struct {
 		make  func(t *testing.T, dir string) string
 		found bool
@@ -303,19 +303,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := c.make(t, t.TempDir())
-			if h, err := Connect(dir, quiet, "a:1"); err == nil {
-				h.Close()
+			if s, err := Connect(dir, discardLog, "a:1"); err == nil {
+				s.Close()
 				t.Fatal("somebody was found")
 			}
-			in, err := claim(Path(dir, "a:1"))
+			listener, err := claim(Path(dir, "a:1"))
 			if (err == nil) != c.found {
 				t.Fatalf("claimed: %v", err)
 			}
 			if err != nil {
 				return
 			}
-			defer in.Close()
-			if _, err := claim(Path(dir, "a:1")); !errors.Is(err, errHeld) {
+			defer listener.Close()
+			if _, err := claim(Path(dir, "a:1")); !errors.Is(err, errInUse) {
 				t.Errorf("a second process claims it: %v", err)
 			}
 			if l, err := dial(Path(dir, "a:1")); err != nil {
@@ -355,6 +355,6 @@
 		if err != nil && len(m.fds) > 0 {
 			t.Errorf("%q: not taken, with %d descriptors", b, len(m.fds))
 		}
-		m.close()
+		m.closeFDs()
 	})
 }
--- a/internal/handoff/link.go
+++ b/internal/handoff/link.go
@@ -19,44 +19,44 @@
 )
 
 const (
-	version   = 1
-	mostBytes = 4096 // of a message
-	mostFDs   = 8
-	sendWait  = 200 * time.Millisecond // a peer that does not read
-	mostPath  = 100                    // bytes of a Unix socket's address: the kernel takes 107
+	protocolVersion = 1
+	maxMessageBytes = 4096 // of a message
+	maxFDs          = 8
+	sendTimeout     = 200 * time.Millisecond // a peer that does not read
+	maxPathBytes    = 100                    // bytes of a Unix socket's address: the kernel takes 107
 )
 
 // kind is what a message says.
-type kind string
+type messageKind string
 
 const (
-	ask     kind = "ask"     // successor: I serve these addresses, and want to follow
-	lend    kind = "lend"    // old: here are the listening sockets of these
-	refuse  kind = "refuse"  // old: you do not follow
-	ready   kind = "ready"   // successor: I serve
-	pass    kind = "pass"    // old: here is a connection
-	took    kind = "took"    // successor: I have it, and read nothing before this
-	decline kind = "decline" // successor: it is none that I can serve
+	kindAsk     messageKind = "ask"     // successor: I serve these addresses, and want to follow
+	kindLend    messageKind = "lend"    // old: here are the listening sockets of these
+	kindRefuse  messageKind = "refuse"  // old: you do not follow
+	kindReady   messageKind = "ready"   // successor: I serve
+	kindPass    messageKind = "pass"    // old: here is a connection
+	kindTook    messageKind = "took"    // successor: I have it, and read nothing before this
+	kindDecline messageKind = "decline" // successor: it is none that I can serve
 )
 
 // message is one record on the socket, which keeps records apart (SOCK_SEQPACKET): one that is cut has no form.
 type message struct {
-	V      int      `json:"v"`
-	Kind   kind     `json:"kind"`
-	Listen []string `json:"listen,omitempty"`
-	Conn   int      `json:"conn,omitempty"`
-	Why    string   `json:"why,omitempty"`
-	fds    []int
+	Version   int         `json:"v"`
+	Kind      messageKind `json:"kind"`
+	Addresses []string    `json:"listen,omitempty"`
+	Conn      int         `json:"conn,omitempty"`
+	Reason    string      `json:"why,omitempty"`
+	fds       []int
 }
 
 // link is the socket between two processes.
 type link struct{ *net.UnixConn }
 
-var errForm = errors.New("not a message of a handover")
+var errMalformed = errors.New("not a message of a handover")
 
 // send writes one message, waiting little. use may lend it descriptors for the time of the call.
 func (l link) send(m message, fds ...int) error {
-	m.V = version
+	m.Version = protocolVersion
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -65,30 +65,30 @@
 	if len(fds) > 0 {
 		oob = unix.UnixRights(fds...)
 	}
-	l.SetWriteDeadline(time.Now().Add(sendWait))
+	l.SetWriteDeadline(time.Now().Add(sendTimeout))
 	_, _, err = l.WriteMsgUnix(b, oob, nil)
 	return err
 }
 
 // receive reads one message. Descriptors that come with one that is not taken are closed.
 func (l link) receive() (m message, err error) {
-	b, oob := make([]byte, mostBytes), make([]byte, unix.CmsgSpace(4*mostFDs))
+	b, oob := make([]byte, maxMessageBytes), make([]byte, unix.CmsgSpace(4*maxFDs))
 	n, on, flags, _, err := l.ReadMsgUnix(b, oob)
 	if err != nil {
 		return m, err
 	}
-	m.fds = rights(oob[:on])
-	if flags&unix.MSG_TRUNC != 0 || json.Unmarshal(b[:n], &m) != nil || m.V != version {
-		m.close()
-		return message{}, errForm
+	m.fds = parseRights(oob[:on])
+	if flags&unix.MSG_TRUNC != 0 || json.Unmarshal(b[:n], &m) != nil || m.Version != protocolVersion {
+		m.closeFDs()
+		return message{}, errMalformed
 	}
 	if flags&unix.MSG_CTRUNC != 0 { // no descriptor was free for one of them
-		m.close()
+		m.closeFDs()
 	}
 	return m, nil
 }
 
-func rights(oob []byte) (all []int) {
+func parseRights(oob []byte) (all []int) {
 	list, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil
@@ -101,7 +101,7 @@
 	return all
 }
 
-func (m *message) close() {
+func (m *message) closeFDs() {
 	for _, fd := range m.fds {
 		unix.Close(fd)
 	}
@@ -109,7 +109,7 @@
 }
 
 // peer checks who is at the other end: one of this user's processes.
-func (l link) peer() error {
+func (l link) checkPeer() error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
@@ -125,13 +125,13 @@
 }
 
 // stream checks that a descriptor is a TCP socket, listening or connected, and bound to the port of an address.
-func stream(fd int, listening bool, address string) error {
-	what := map[bool]int{false: 0, true: 1}[listening]
-	if kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE); err != nil || kind != unix.SOCK_STREAM {
+func checkTCPSocket(fd int, listening bool, address string) error {
+	wantListening := map[bool]int{false: 0, true: 1}[listening]
+	if socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE); err != nil || socketType != unix.SOCK_STREAM {
 		return fmt.Errorf("descriptor %d is no stream socket", fd)
 	}
-	if l, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || l != what {
-		return fmt.Errorf("descriptor %d: listening %d, not %d", fd, l, what)
+	if l, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || l != wantListening {
+		return fmt.Errorf("descriptor %d: listening %d, not %d", fd, l, wantListening)
 	}
 	name, err := unix.Getsockname(fd)
 	if err != nil {
@@ -151,7 +151,7 @@
 }
 
 // control runs f on a socket's descriptor.
-func control(c syscall.Conn, f func(fd int) error) error {
+func withFD(c syscall.Conn, f func(fd int) error) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
@@ -173,8 +173,8 @@
 }
 
 // reach runs f with a short name for a path: a Unix socket's address has little room.
-func reach(path string, f func(string) error) error {
-	if len(path) <= mostPath {
+func withShortPath(path string, f func(string) error) error {
+	if len(path) <= maxPathBytes {
 		return f(path)
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -195,21 +195,21 @@
 		return link{}, fmt.Errorf("%s: mode %o of user %d is no socket of ours", path, st.Mode, st.Uid)
 	}
 	var l link
-	err := reach(path, func(name string) (err error) {
+	err := withShortPath(path, func(name string) (err error) {
 		l.UnixConn, err = net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: name, Net: "unixpacket"})
 		return err
 	})
 	if err != nil {
 		return link{}, err
 	}
-	if err := l.peer(); err != nil {
+	if err := l.checkPeer(); err != nil {
 		l.Close()
 		return link{}, err
 	}
 	return l, nil
 }
 
-var errHeld = errors.New("another process is found there")
+var errInUse = errors.New("another process is found there")
 
 // claim listens at a path, unless a process that lives is found there. A socket left by one that was killed is
 // replaced, in one step: whoever looks finds the one or the other.
@@ -218,26 +218,26 @@
 	switch {
 	case err == nil:
 		l.Close()
-		return nil, errHeld
+		return nil, errInUse
 	case errors.Is(err, os.ErrNotExist), errors.Is(err, unix.ECONNREFUSED):
 	default:
 		return nil, err
 	}
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh)
-	var in *net.UnixListener
-	err = reach(fresh, func(name string) (err error) {
-		in, err = net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
+	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(temporary)
+	var listener *net.UnixListener
+	err = withShortPath(temporary, func(name string) (err error) {
+		listener, err = net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	in.SetUnlinkOnClose(false) // by then it may be another process's
-	if err := os.Rename(fresh, path); err != nil {
-		in.Close()
-		os.Remove(fresh)
+	listener.SetUnlinkOnClose(false) // by then it may be another process's
+	if err := os.Rename(temporary, path); err != nil {
+		listener.Close()
+		os.Remove(temporary)
 		return nil, err
 	}
-	return in, nil
+	return listener, nil
 }
--- a/internal/handoff/predecessor.go
+++ b/internal/handoff/predecessor.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	claimAgain = 5 * time.Second        // where no socket can be made
-	claimEvery = 200 * time.Millisecond // between looks whether this process can be found at last
-	takeWait   = 400 * time.Millisecond // for a successor to acknowledge a connection
-	mailbox    = 256
+	claimRetryInterval = 5 * time.Second        // where no socket can be made
+	claimPollInterval  = 200 * time.Millisecond // between looks whether this process can be found at last
+	ackTimeout         = 400 * time.Millisecond // for a successor to acknowledge a connection
+	mailboxSize        = 256
 )
 
 // Predecessor is the old process's side of a handover: it can be found from the start, and is asked by its successor.
 // One goroutine runs it, and waits on nobody but its mailbox.
 type Predecessor struct {
-	path    string
-	address string
-	lent    map[string]net.Listener
-	log     *slog.Logger
-	mail    chan any
-	ended   chan struct{}
+	path      string
+	address   string
+	listeners map[string]net.Listener
+	log       *slog.Logger
+	mailbox   chan any
+	done      chan struct{}
 
-	machine *replacement.Machine
-	last    int // successors and connections are numbered
-	links   map[replacement.Successor]link
-	wants   map[replacement.Successor][]string // the addresses that it asked for
-	waiting map[replacement.Conn]*passing
-	begun   chan struct{}
-	lost    chan struct{}
-	alone   chan struct{}
+	machine     *replacement.Machine
+	lastID      int // successors and connections are numbered
+	links       map[replacement.Successor]link
+	requested   map[replacement.Successor][]string // the addresses that it asked for
+	transfers   map[replacement.Conn]*transfer
+	begun       chan struct{}
+	lost        chan struct{}
+	noSuccessor chan struct{}
 }
 
 // passing is a connection on its way to the successor.
-type passing struct {
-	conn  *net.TCPConn
-	taken chan bool // of one place
-	late  *time.Timer
+type transfer struct {
+	conn   *net.TCPConn
+	result chan bool // of one place
+	timer  *time.Timer
 }
 
 type (
-	came  struct{ link link }
-	heard struct {
+	connected struct{ link link }
+	received  struct {
 		successor replacement.Successor
 		message   message
 		err       error
 	}
-	tell struct{}
-	give struct{ *passing }
-	late struct {
+	shutdownRequested struct{}
+	transferRequest   struct{ *transfer }
+	ackTimedOut       struct {
 		successor replacement.Successor
 		conn      replacement.Conn
 	}
@@ -62,45 +62,45 @@
 
 // NewPredecessor makes the old side of a process that serves the listeners, by their addresses as its successor will
 // write them; that of the first address names the place where it is found.
-func NewPredecessor(dir, address string, lent map[string]net.Listener, log *slog.Logger) *Predecessor {
+func NewPredecessor(dir, address string, listeners map[string]net.Listener, log *slog.Logger) *Predecessor {
 	return &Predecessor{
-		path: Path(dir, address), address: address, lent: lent, log: log, mail: make(chan any, mailbox), ended: make(chan struct{}),
-		machine: replacement.New(), links: map[replacement.Successor]link{}, wants: map[replacement.Successor][]string{}, waiting: map[replacement.Conn]*passing{},
-		begun: make(chan struct{}), lost: make(chan struct{}), alone: make(chan struct{}),
+		path: Path(dir, address), address: address, listeners: listeners, log: log, mailbox: make(chan any, mailboxSize), done: make(chan struct{}),
+		machine: replacement.New(), links: map[replacement.Successor]link{}, requested: map[replacement.Successor][]string{}, transfers: map[replacement.Conn]*transfer{},
+		begun: make(chan struct{}), lost: make(chan struct{}), noSuccessor: make(chan struct{}),
 	}
 }
 
 // Run can be found, and answers successors, until ctx ends. Where no socket can be made (a folder that is full, a
 // platform without them), this process is replaced without a handover; it says so once.
-func (e *Predecessor) Run(ctx context.Context) {
-	defer close(e.ended)
-	go e.listen(ctx)
+func (p *Predecessor) Run(ctx context.Context) {
+	defer close(p.done)
+	go p.acceptSuccessors(ctx)
 	for {
 		select {
 		case <-ctx.Done():
-			for _, l := range e.links {
+			for _, l := range p.links {
 				l.Close()
 			}
 			return
-		case m := <-e.mail:
-			e.handle(ctx, m)
+		case m := <-p.mailbox:
+			p.handle(ctx, m)
 		}
 	}
 }
 
 // listen claims the path, at once or when the process that is found there has ended, and takes successors.
-func (e *Predecessor) listen(ctx context.Context) {
-	in, err := claim(e.path)
-	for said := false; err != nil; in, err = claim(e.path) {
-		if !errors.Is(err, errHeld) && !said {
-			said = true
-			e.log.Warn("handover: no successor will find this process", "err", err)
+func (p *Predecessor) acceptSuccessors(ctx context.Context) {
+	listener, err := claim(p.path)
+	for warned := false; err != nil; listener, err = claim(p.path) {
+		if !errors.Is(err, errInUse) && !warned {
+			warned = true
+			p.log.Warn("handover: no successor will find this process", "err", err)
 		}
-		again := claimEvery
-		if !errors.Is(err, errHeld) {
-			again = claimAgain
+		interval := claimPollInterval
+		if !errors.Is(err, errInUse) {
+			interval = claimRetryInterval
 		}
-		wait := time.NewTimer(again)
+		wait := time.NewTimer(interval)
 		select {
 		case <-wait.C:
 		case <-ctx.Done():
@@ -108,196 +108,196 @@
 			return
 		}
 	}
-	defer in.Close()
-	stop := context.AfterFunc(ctx, func() { in.Close() })
+	defer listener.Close()
+	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
 	for {
-		c, err := in.AcceptUnix()
+		c, err := listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		e.post(came{link{c}})
+		p.post(connected{link{c}})
 	}
 }
 
-func (e *Predecessor) post(m any) bool {
+func (p *Predecessor) post(m any) bool {
 	select {
-	case e.mail <- m:
+	case p.mailbox <- m:
 		return true
-	case <-e.ended:
+	case <-p.done:
 		return false
 	}
 }
 
 // NotifyShutdown says that this process is to end. begun is closed once the successor serves and connections go to it, alone
 // once it is known that there is none; lost when one that there was is gone.
-func (e *Predecessor) NotifyShutdown() (begun, alone, lost <-chan struct{}) {
-	e.post(tell{})
-	return e.begun, e.alone, e.lost
+func (p *Predecessor) NotifyShutdown() (begun, noSuccessor, lost <-chan struct{}) {
+	p.post(shutdownRequested{})
+	return p.begun, p.noSuccessor, p.lost
 }
 
 // Transfer passes a connection to the successor, and returns false if that has not taken it: then it is still the
 // caller's, and nobody else has read from it.
-func (e *Predecessor) Transfer(c *net.TCPConn) bool {
-	p := &passing{conn: c, taken: make(chan bool, 1)}
-	if !e.post(give{p}) {
+func (p *Predecessor) Transfer(c *net.TCPConn) bool {
+	t := &transfer{conn: c, result: make(chan bool, 1)}
+	if !p.post(transferRequest{t}) {
 		return false
 	}
 	select {
-	case ok := <-p.taken:
+	case ok := <-t.result:
 		return ok
-	case <-e.ended:
+	case <-p.done:
 		return false
 	}
 }
 
-func (e *Predecessor) handle(ctx context.Context, m any) {
+func (p *Predecessor) handle(ctx context.Context, m any) {
 	switch m := m.(type) {
-	case came:
-		if err := m.link.peer(); err != nil {
-			e.log.Warn("handover: a caller is not let in", "err", err)
+	case connected:
+		if err := m.link.checkPeer(); err != nil {
+			p.log.Warn("handover: a caller is not let in", "err", err)
 			m.link.Close()
 			return
 		}
-		e.last++
-		successor := replacement.Successor(e.last)
-		e.links[successor] = m.link
+		p.lastID++
+		successor := replacement.Successor(p.lastID)
+		p.links[successor] = m.link
 		go func() {
 			for {
 				msg, err := m.link.receive()
-				if !e.post(heard{successor, msg, err}) {
-					msg.close()
+				if !p.post(received{successor, msg, err}) {
+					msg.closeFDs()
 				}
 				if err != nil {
 					return
 				}
 			}
 		}()
-	case heard:
-		e.heard(m)
-	case tell:
-		e.log.Info("handover: told to end", "state", e.machine.State())
-		e.do(replacement.ShutdownRequested{})
-	case give:
-		e.last++
-		id := replacement.Conn(e.last)
-		e.waiting[id] = m.passing
-		e.do(replacement.ConnIdle{Conn: id})
-	case late:
-		if e.waiting[m.conn] != nil {
-			e.log.Warn("handover: the successor is silent", "conn", m.conn)
-			e.cut(m.successor)
+	case received:
+		p.handleMessage(m)
+	case shutdownRequested:
+		p.log.Info("handover: told to end", "state", p.machine.State())
+		p.process(replacement.ShutdownRequested{})
+	case transferRequest:
+		p.lastID++
+		id := replacement.Conn(p.lastID)
+		p.transfers[id] = m.transfer
+		p.process(replacement.ConnIdle{Conn: id})
+	case ackTimedOut:
+		if p.transfers[m.conn] != nil {
+			p.log.Warn("handover: the successor is silent", "conn", m.conn)
+			p.disconnect(m.successor)
 		}
 	}
 }
 
 // heard takes in what a successor says.
-func (e *Predecessor) heard(m heard) {
-	defer m.message.close()
-	l, known := e.links[m.successor]
+func (p *Predecessor) handleMessage(m received) {
+	defer m.message.closeFDs()
+	l, known := p.links[m.successor]
 	if !known {
 		return
 	}
 	if m.err != nil {
 		l.Close()
-		delete(e.links, m.successor)
-		delete(e.wants, m.successor)
-		e.do(replacement.Lost{Successor: m.successor})
+		delete(p.links, m.successor)
+		delete(p.requested, m.successor)
+		p.process(replacement.Lost{Successor: m.successor})
 		return
 	}
 	conn := replacement.Conn(m.message.Conn)
 	switch m.message.Kind {
-	case ask:
-		e.wants[m.successor] = m.message.Listen
-		e.do(replacement.Requested{Successor: m.successor})
-	case ready:
-		e.do(replacement.Ready{Successor: m.successor})
-	case took:
-		e.do(replacement.Acknowledged{Successor: m.successor, Conn: conn})
-	case decline:
-		e.do(replacement.Declined{Successor: m.successor, Conn: conn})
+	case kindAsk:
+		p.requested[m.successor] = m.message.Addresses
+		p.process(replacement.Requested{Successor: m.successor})
+	case kindReady:
+		p.process(replacement.Ready{Successor: m.successor})
+	case kindTook:
+		p.process(replacement.Acknowledged{Successor: m.successor, Conn: conn})
+	case kindDecline:
+		p.process(replacement.Declined{Successor: m.successor, Conn: conn})
 	default:
-		e.cut(m.successor)
+		p.disconnect(m.successor)
 	}
 }
 
 // cut ends a successor's part. It can acknowledge nothing more from here on; what it has acknowledged is still
 // read, up to the end, and only then is it lost: no connection has two readers.
-func (e *Predecessor) cut(successor replacement.Successor) {
-	if l, ok := e.links[successor]; ok {
+func (p *Predecessor) disconnect(successor replacement.Successor) {
+	if l, ok := p.links[successor]; ok {
 		l.CloseRead()
 	}
 }
 
 // do has the machine decide, and carries it out.
-func (e *Predecessor) do(event any) {
-	for _, a := range e.machine.Handle(event, nil) {
+func (p *Predecessor) process(event any) {
+	for _, a := range p.machine.Handle(event, nil) {
 		switch a := a.(type) {
 		case replacement.SendListeners:
-			if err := e.lend(a.Successor); err != nil {
-				e.log.Warn("handover: the listening sockets cannot be lent", "err", err)
-				e.cut(a.Successor)
+			if err := p.sendListeners(a.Successor); err != nil {
+				p.log.Warn("handover: the listening sockets cannot be lent", "err", err)
+				p.disconnect(a.Successor)
 			}
 		case replacement.Refuse:
-			e.log.Info("handover: a process is turned away", "why", a.Reason)
-			e.links[a.Successor].send(message{Kind: refuse, Why: a.Reason})
+			p.log.Info("handover: a process is turned away", "why", a.Reason)
+			p.links[a.Successor].send(message{Kind: kindRefuse, Reason: a.Reason})
 		case replacement.BeginHandover:
-			e.log.Info("handover: begins")
-			close(e.begun)
+			p.log.Info("handover: begins")
+			close(p.begun)
 		case replacement.ResumeAccepting:
-			e.log.Warn("handover: the successor is lost; this process drains")
-			close(e.lost)
+			p.log.Warn("handover: the successor is lost; this process drains")
+			close(p.lost)
 		case replacement.Drain:
-			close(e.alone)
+			close(p.noSuccessor)
 		case replacement.Pass:
-			e.pass(a)
+			p.sendConn(a)
 		case replacement.Release:
-			e.settle(a.Conn, true)
+			p.settle(a.Conn, true)
 		case replacement.Keep:
-			e.settle(a.Conn, false)
+			p.settle(a.Conn, false)
 		}
 	}
 }
 
 // lend gives a successor the listening sockets of the addresses that it asked for and that are served here.
-func (e *Predecessor) lend(successor replacement.Successor) error {
-	m := message{Kind: lend}
+func (p *Predecessor) sendListeners(successor replacement.Successor) error {
+	m := message{Kind: kindLend}
 	var send func(addresses []string, fds []int) error
 	send = func(addresses []string, fds []int) error { // each descriptor is held while the next is looked up
 		if len(addresses) == 0 {
-			return e.links[successor].send(m, fds...)
+			return p.links[successor].send(m, fds...)
 		}
-		c, ok := e.lent[addresses[0]].(syscall.Conn)
+		c, ok := p.listeners[addresses[0]].(syscall.Conn)
 		if !ok {
 			return send(addresses[1:], fds)
 		}
-		m.Listen = append(m.Listen, addresses[0])
-		return control(c, func(fd int) error { return send(addresses[1:], append(fds, fd)) })
+		m.Addresses = append(m.Addresses, addresses[0])
+		return withFD(c, func(fd int) error { return send(addresses[1:], append(fds, fd)) })
 	}
-	wants := e.wants[successor]
-	return send(wants[:min(len(wants), mostFDs)], nil)
+	requested := p.requested[successor]
+	return send(requested[:min(len(requested), maxFDs)], nil)
 }
 
 // pass sends a connection's descriptor. It stays open here until it is acknowledged.
-func (e *Predecessor) pass(a replacement.Pass) {
-	p := e.waiting[a.Conn]
-	err := control(p.conn, func(fd int) error {
-		return e.links[a.Successor].send(message{Kind: pass, Conn: int(a.Conn)}, fd)
+func (p *Predecessor) sendConn(a replacement.Pass) {
+	t := p.transfers[a.Conn]
+	err := withFD(t.conn, func(fd int) error {
+		return p.links[a.Successor].send(message{Kind: kindPass, Conn: int(a.Conn)}, fd)
 	})
 	if err != nil {
-		e.cut(a.Successor)
+		p.disconnect(a.Successor)
 	}
-	p.late = time.AfterFunc(takeWait, func() { e.post(late{a.Successor, a.Conn}) })
+	t.timer = time.AfterFunc(ackTimeout, func() { p.post(ackTimedOut{a.Successor, a.Conn}) })
 }
 
-func (e *Predecessor) settle(c replacement.Conn, taken bool) {
-	p := e.waiting[c]
-	if p == nil {
+func (p *Predecessor) settle(c replacement.Conn, taken bool) {
+	t := p.transfers[c]
+	if t == nil {
 		return
 	}
-	delete(e.waiting, c)
-	if p.late != nil {
-		p.late.Stop()
+	delete(p.transfers, c)
+	if t.timer != nil {
+		t.timer.Stop()
 	}
-	p.taken <- taken
+	t.result <- taken
 }
--- a/internal/handoff/successor.go
+++ b/internal/handoff/successor.go
@@ -12,14 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-const answerWait = time.Second // a process that serves answers at once
+const answerTimeout = time.Second // a process that serves answers at once
 
 // Successor is the new process's side of a handover.
 type Successor struct {
-	link    link
-	address string // whose connections come
-	lent    map[string]net.Listener
-	log     *slog.Logger
+	link      link
+	address   string // whose connections come
+	listeners map[string]net.Listener
+	log       *slog.Logger
 }
 
 // Connect looks for the process that serves the first address and asks it for the listening sockets of all of them. An
@@ -29,32 +29,32 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Successor{link: l, address: addresses[0], lent: map[string]net.Listener{}, log: log}
-	if err := h.ask(addresses); err != nil {
-		h.Close()
+	s := &Successor{link: l, address: addresses[0], listeners: map[string]net.Listener{}, log: log}
+	if err := s.requestListeners(addresses); err != nil {
+		s.Close()
 		return nil, err
 	}
-	return h, nil
+	return s, nil
 }
 
-func (h *Successor) ask(addresses []string) error {
-	if err := h.link.send(message{Kind: ask, Listen: addresses}); err != nil {
+func (s *Successor) requestListeners(addresses []string) error {
+	if err := s.link.send(message{Kind: kindAsk, Addresses: addresses}); err != nil {
 		return err
 	}
-	h.link.SetReadDeadline(time.Now().Add(answerWait))
-	m, err := h.link.receive()
+	s.link.SetReadDeadline(time.Now().Add(answerTimeout))
+	m, err := s.link.receive()
 	if err != nil {
 		return err
 	}
-	defer m.close()
+	defer m.closeFDs()
 	switch {
-	case m.Kind == refuse:
-		return fmt.Errorf("turned away: %s", m.Why)
-	case m.Kind != lend || len(m.fds) != len(m.Listen) || len(m.fds) == 0 || m.Listen[0] != h.address:
-		return errForm
+	case m.Kind == kindRefuse:
+		return fmt.Errorf("turned away: %s", m.Reason)
+	case m.Kind != kindLend || len(m.fds) != len(m.Addresses) || len(m.fds) == 0 || m.Addresses[0] != s.address:
+		return errMalformed
 	}
 	for i, fd := range m.fds {
-		if err := stream(fd, true, m.Listen[i]); err != nil {
+		if err := checkTCPSocket(fd, true, m.Addresses[i]); err != nil {
 			return err
 		}
 		f := os.NewFile(uintptr(fd), "lent")
@@ -64,63 +64,63 @@
 		if err != nil {
 			return err
 		}
-		h.lent[m.Listen[i]] = l
+		s.listeners[m.Addresses[i]] = l
 	}
-	return h.link.SetReadDeadline(time.Time{})
+	return s.link.SetReadDeadline(time.Time{})
 }
 
 // Listener is the socket lent for an address, or nil. It is the caller's.
-func (h *Successor) Listener(address string) net.Listener {
-	l := h.lent[address]
-	delete(h.lent, address)
+func (s *Successor) Listener(address string) net.Listener {
+	l := s.listeners[address]
+	delete(s.listeners, address)
 	return l
 }
 
 // Close ends the handover, and closes what nobody asked for.
-func (h *Successor) Close() {
-	h.link.Close()
-	for _, l := range h.lent {
+func (s *Successor) Close() {
+	s.link.Close()
+	for _, l := range s.listeners {
 		l.Close()
 	}
 }
 
 // Run says that this process serves, and has it adopt what the old one passes, until that one ends. adopt returns
 // false for a connection that it does not want.
-func (h *Successor) Run(ctx context.Context, adopt func(*net.TCPConn) bool) error {
-	defer h.Close()
-	stop := context.AfterFunc(ctx, func() { h.link.Close() })
+func (s *Successor) Run(ctx context.Context, adopt func(*net.TCPConn) bool) error {
+	defer s.Close()
+	stop := context.AfterFunc(ctx, func() { s.link.Close() })
 	defer stop()
-	if err := h.link.send(message{Kind: ready}); err != nil {
+	if err := s.link.send(message{Kind: kindReady}); err != nil {
 		return err
 	}
-	count := 0
-	defer func() { h.log.Info("handover: the old process has ended", "adopted", count) }()
+	adopted := 0
+	defer func() { s.log.Info("handover: the old process has ended", "adopted", adopted) }()
 	for {
-		m, err := h.link.receive()
-		if errors.Is(err, errForm) {
+		m, err := s.link.receive()
+		if errors.Is(err, errMalformed) {
 			return err
 		}
 		if err != nil {
 			return nil // it ended
 		}
-		if m.Kind != pass {
-			m.close()
-			return errForm
+		if m.Kind != kindPass {
+			m.closeFDs()
+			return errMalformed
 		}
-		c, err := h.connection(&m)
+		c, err := s.connection(&m)
 		if err != nil {
-			h.log.Warn("handover: a connection is declined", "err", err)
-			if err := h.link.send(message{Kind: decline, Conn: m.Conn}); err != nil {
+			s.log.Warn("handover: a connection is declined", "err", err)
+			if err := s.link.send(message{Kind: kindDecline, Conn: m.Conn}); err != nil {
 				return err
 			}
 			continue
 		}
 		// Said before a byte is read: until then the old process may serve it on.
-		if err := h.link.send(message{Kind: took, Conn: m.Conn}); err != nil {
+		if err := s.link.send(message{Kind: kindTook, Conn: m.Conn}); err != nil {
 			c.Close()
 			return err
 		}
-		count++
+		adopted++
 		go func() {
 			if !adopt(c) {
 				c.Close()
@@ -130,12 +130,12 @@
 }
 
 // connection makes a connection of a message's descriptor.
-func (h *Successor) connection(m *message) (*net.TCPConn, error) {
-	defer m.close()
+func (s *Successor) connection(m *message) (*net.TCPConn, error) {
+	defer m.closeFDs()
 	if len(m.fds) != 1 {
 		return nil, fmt.Errorf("%d descriptors where one belongs", len(m.fds))
 	}
-	if err := stream(m.fds[0], false, h.address); err != nil {
+	if err := checkTCPSocket(m.fds[0], false, s.address); err != nil {
 		return nil, err
 	}
 	if _, err := unix.Getpeername(m.fds[0]); err != nil {
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -10,7 +10,7 @@
 )
 
 // HasPending tells, without waiting, whether a connection waits to be accepted.
-func HasPending(l net.Listener) (waits bool) {
+func HasPending(l net.Listener) (pending bool) {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
 		return false
@@ -20,11 +20,11 @@
 		return false
 	}
 	raw.Control(func(fd uintptr) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(look, 0)
-		waits = err == nil && n > 0 && look[0].Revents&unix.POLLIN != 0
+		pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(pollFDs, 0)
+		pending = err == nil && n > 0 && pollFDs[0].Revents&unix.POLLIN != 0
 	})
-	return waits
+	return pending
 }
 
 // Listen listens on a TCP address that another process may listen on too: a process that replaces this one is
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -87,7 +87,7 @@
 
 // hungUp tells whether the other side has ended its sending, or the connection, behind bytes that are not read yet.
 func hungUp(fd uintptr) bool {
-	look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(look, 0)
-	return err == nil && n > 0 && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+	n, err := unix.Poll(pollFDs, 0)
+	return err == nil && n > 0 && pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -16,37 +16,37 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, err := l.Accept()
+	server, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
-	if !socket.Quiet(near) {
+	defer server.Close()
+	if !socket.Quiet(server) {
 		t.Error("an idle connection is not quiet")
 	}
 	read := make(chan struct{})
 	go func() {
-		io.ReadFull(near, make([]byte, 1))
+		io.ReadFull(server, make([]byte, 1))
 		close(read)
 	}()
-	if !socket.Quiet(near) {
+	if !socket.Quiet(server) {
 		t.Error("a connection that is read on is not quiet")
 	}
-	io.WriteString(far, "ab")
+	io.WriteString(client, "ab")
 	<-read
-	if socket.Quiet(near) { // on loopback the second byte came with the first
+	if socket.Quiet(server) { // on loopback the second byte came with the first
 		t.Error("a byte is left, and the connection is quiet")
 	}
-	io.ReadFull(near, make([]byte, 1))
-	far.Close()
-	if n, err := near.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+	io.ReadFull(server, make([]byte, 1))
+	client.Close()
+	if n, err := server.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Fatal(n, err)
 	}
-	if socket.Quiet(near) {
+	if socket.Quiet(server) {
 		t.Error("an ended connection is quiet")
 	}
 }
--- a/replacement/replacement.go
+++ b/replacement/replacement.go
@@ -73,96 +73,96 @@
 
 // Machine is the old process's side.
 type Machine struct {
-	state     State
-	told      bool
-	successor Successor // 0: none
-	passed    map[Conn]struct{}
+	state          State
+	stopping       bool
+	successor      Successor // 0: none
+	unacknowledged map[Conn]struct{}
 }
 
 // New is a process that serves alone.
-func New() *Machine { return &Machine{passed: map[Conn]struct{}{}} }
+func New() *Machine { return &Machine{unacknowledged: map[Conn]struct{}{}} }
 
 // State tells how far it has come.
 func (m *Machine) State() State { return m.state }
 
 // Handle takes one event in, and appends what follows from it.
-func (m *Machine) Handle(event any, do []any) []any {
+func (m *Machine) Handle(event any, actions []any) []any {
 	switch e := event.(type) {
 	case Requested:
 		switch {
 		case m.successor != 0:
-			return append(do, Refuse{e.Successor, "another process succeeds already"})
-		case m.told:
-			return append(do, Refuse{e.Successor, "this process is ending"})
+			return append(actions, Refuse{e.Successor, "another process succeeds already"})
+		case m.stopping:
+			return append(actions, Refuse{e.Successor, "this process is ending"})
 		}
 		m.successor, m.state = e.Successor, Paired
-		return append(do, SendListeners(e))
+		return append(actions, SendListeners(e))
 	case Ready:
 		if e.Successor == m.successor && m.state == Paired {
 			m.state = BothServing
-			return m.begin(do)
+			return m.beginHandover(actions)
 		}
 	case ShutdownRequested:
-		if m.told {
-			return do
+		if m.stopping {
+			return actions
 		}
-		m.told = true
+		m.stopping = true
 		if m.successor == 0 {
 			m.state = Draining
-			return append(do, Drain{})
+			return append(actions, Drain{})
 		}
-		return m.begin(do)
+		return m.beginHandover(actions)
 	case ConnIdle:
 		if m.state != HandingOver {
-			return append(do, Keep(e))
+			return append(actions, Keep(e))
 		}
-		m.passed[e.Conn] = struct{}{}
-		return append(do, Pass{m.successor, e.Conn})
+		m.unacknowledged[e.Conn] = struct{}{}
+		return append(actions, Pass{m.successor, e.Conn})
 	case Acknowledged:
-		if m.mine(e.Successor, e.Conn) {
-			return append(do, Release{e.Conn})
+		if m.settle(e.Successor, e.Conn) {
+			return append(actions, Release{e.Conn})
 		}
 	case Declined:
-		if m.mine(e.Successor, e.Conn) {
-			return append(do, Keep{e.Conn})
+		if m.settle(e.Successor, e.Conn) {
+			return append(actions, Keep{e.Conn})
 		}
 	case Lost:
 		if e.Successor == 0 || e.Successor != m.successor {
-			return do
+			return actions
 		}
-		for c := range m.passed { // never acknowledged, so never read by it
-			do = append(do, Keep{c})
+		for c := range m.unacknowledged { // never acknowledged, so never read by it
+			actions = append(actions, Keep{c})
 		}
-		clear(m.passed)
+		clear(m.unacknowledged)
 		m.successor = 0
-		was := m.state
+		previous := m.state
 		m.state = NoSuccessor
-		if m.told {
+		if m.stopping {
 			m.state = Draining
-			if was == HandingOver {
-				return append(do, ResumeAccepting{})
+			if previous == HandingOver {
+				return append(actions, ResumeAccepting{})
 			}
-			return append(do, Drain{})
+			return append(actions, Drain{})
 		}
 	}
-	return do
+	return actions
 }
 
 // begin starts the handing over once this process is to end and the other serves.
-func (m *Machine) begin(do []any) []any {
-	if m.told && m.state == BothServing {
+func (m *Machine) beginHandover(actions []any) []any {
+	if m.stopping && m.state == BothServing {
 		m.state = HandingOver
-		do = append(do, BeginHandover{})
+		actions = append(actions, BeginHandover{})
 	}
-	return do
+	return actions
 }
 
 // mine tells whether a connection was passed to the successor and not settled yet, and settles it.
-func (m *Machine) mine(h Successor, c Conn) bool {
-	_, ok := m.passed[c]
-	if h != m.successor || !ok {
+func (m *Machine) settle(s Successor, c Conn) bool {
+	_, ok := m.unacknowledged[c]
+	if s != m.successor || !ok {
 		return false
 	}
-	delete(m.passed, c)
+	delete(m.unacknowledged, c)
 	return true
 }
--- a/replacement/replacement_test.go
+++ b/replacement/replacement_test.go
@@ -6,81 +6,81 @@
 )
 
 // world is what the two sides do, followed beside the machine: who accepts, and who may read each connection.
-type world struct {
-	m         *Machine
-	told      bool
-	lent      Successor // holds the listening sockets
-	serves    bool      // that one said so
-	accepting bool
-	drains    bool
-	dead      map[Successor]bool
-	owner     map[Conn]string // here, none, passed, there
+type model struct {
+	machine        *Machine
+	stopping       bool
+	successor      Successor // holds the listening sockets
+	successorReady bool      // that one said so
+	accepting      bool
+	draining       bool
+	lost           map[Successor]bool
+	owner          map[Conn]string // here, none, passed, there
 }
 
-func (w *world) step(t *testing.T, trail []any) {
+func (m *model) step(t *testing.T, events []any) {
 	t.Helper()
 	fail := func(format string, args ...any) {
 		t.Helper()
-		t.Fatalf("after %v: %s", trail, fmt.Sprintf(format, args...))
+		t.Fatalf("after %v: %s", events, fmt.Sprintf(format, args...))
 	}
-	event := trail[len(trail)-1]
+	event := events[len(events)-1]
 	switch e := event.(type) {
 	case ShutdownRequested:
-		w.told = true
+		m.stopping = true
 	case Ready:
-		w.serves = w.serves || e.Successor == w.lent
+		m.successorReady = m.successorReady || e.Successor == m.successor
 	case ConnIdle:
-		w.owner[e.Conn] = "none"
+		m.owner[e.Conn] = "none"
 	case Acknowledged:
-		if w.owner[e.Conn] == "passed" {
-			w.owner[e.Conn] = "there"
+		if m.owner[e.Conn] == "passed" {
+			m.owner[e.Conn] = "there"
 		}
 	case Lost:
-		w.dead[e.Successor] = true
+		m.lost[e.Successor] = true
 	}
-	for _, a := range w.m.Handle(event, nil) {
+	for _, a := range m.machine.Handle(event, nil) {
 		switch a := a.(type) {
 		case SendListeners:
-			if w.lent != 0 && !w.dead[w.lent] {
-				fail("lent to %d while %d succeeds", a.Successor, w.lent)
+			if m.successor != 0 && !m.lost[m.successor] {
+				fail("lent to %d while %d succeeds", a.Successor, m.successor)
 			}
-			w.lent, w.serves = a.Successor, false
+			m.successor, m.successorReady = a.Successor, false
 		case Refuse:
-			if a.Successor == w.lent || a.Reason == "" {
+			if a.Successor == m.successor || a.Reason == "" {
 				fail("%d turned away (%q)", a.Successor, a.Reason)
 			}
 		case BeginHandover:
-			if !w.told || !w.serves || w.dead[w.lent] {
+			if !m.stopping || !m.successorReady || m.lost[m.successor] {
 				fail("handing begins with nobody to hand to, or before it is told")
 			}
-			w.accepting = false
+			m.accepting = false
 		case ResumeAccepting:
-			w.accepting, w.drains = true, true
+			m.accepting, m.draining = true, true
 		case Drain:
-			w.drains = true
+			m.draining = true
 		case Pass:
-			if w.owner[a.Conn] != "none" || w.dead[a.Successor] || a.Successor != w.lent {
-				fail("%v is passed to %d while it is %s", a.Conn, a.Successor, w.owner[a.Conn])
+			if m.owner[a.Conn] != "none" || m.lost[a.Successor] || a.Successor != m.successor {
+				fail("%v is passed to %d while it is %s", a.Conn, a.Successor, m.owner[a.Conn])
 			}
-			w.owner[a.Conn] = "passed"
+			m.owner[a.Conn] = "passed"
 		case Release:
-			if w.owner[a.Conn] != "there" {
-				fail("%v is let go of while it is %s", a.Conn, w.owner[a.Conn])
+			if m.owner[a.Conn] != "there" {
+				fail("%v is let go of while it is %s", a.Conn, m.owner[a.Conn])
 			}
 		case Keep:
-			if o := w.owner[a.Conn]; o != "none" && o != "passed" {
+			if o := m.owner[a.Conn]; o != "none" && o != "passed" {
 				fail("%v is served here while it is %s", a.Conn, o)
 			}
-			w.owner[a.Conn] = "here"
+			m.owner[a.Conn] = "here"
 		}
 	}
-	for c, o := range w.owner {
-		if o == "none" || o == "passed" && w.dead[w.lent] {
+	for c, o := range m.owner {
+		if o == "none" || o == "passed" && m.lost[m.successor] {
 			fail("connection %d is nobody's (%s)", c, o)
 		}
 	}
-	if alive := w.lent != 0 && !w.dead[w.lent]; w.told && !alive && (!w.accepting || !w.drains) {
-		fail("told to end with nobody to follow, and accepting %v, draining %v", w.accepting, w.drains)
+	if alive := m.successor != 0 && !m.lost[m.successor]; m.stopping && !alive && (!m.accepting || !m.draining) {
+		fail("told to end with nobody to follow, and accepting %v, draining %v", m.accepting, m.draining)
 	}
 }
 
@@ -89,33 +89,33 @@
 // does not serve or is dead, and a process that loses its successor serves on and drains.
 func TestEveryOrder(t *testing.T) {
 	events := []any{ShutdownRequested{}}
-	for h := Successor(1); h <= 2; h++ {
-		events = append(events, Requested{h}, Ready{h}, Lost{h}, Acknowledged{h, 1}, Declined{h, 2}, Acknowledged{h, 2})
+	for s := Successor(1); s <= 2; s++ {
+		events = append(events, Requested{s}, Ready{s}, Lost{s}, Acknowledged{s, 1}, Declined{s, 2}, Acknowledged{s, 2})
 	}
 	events = append(events, ConnIdle{1}, ConnIdle{2})
 	const depth = 6
 	orders := 0
-	var walk func(trail []any)
-	walk = func(trail []any) {
-		if len(trail) > 0 { // replayed from the start: a machine is not copied
-			w := &world{m: New(), accepting: true, dead: map[Successor]bool{}, owner: map[Conn]string{1: "here", 2: "here"}}
-			for i := range trail {
-				if !possible(w, trail[i]) {
+	var explore func(prefix []any)
+	explore = func(prefix []any) {
+		if len(prefix) > 0 { // replayed from the start: a machine is not copied
+			m := &model{machine: New(), accepting: true, lost: map[Successor]bool{}, owner: map[Conn]string{1: "here", 2: "here"}}
+			for i := range prefix {
+				if !possible(m, prefix[i]) {
 					return
 				}
-				w.step(t, trail[:i+1])
+				m.step(t, prefix[:i+1])
 			}
 			orders++
 		}
-		if len(trail) < depth {
+		if len(prefix) < depth {
 			for _, e := range events {
-				walk(append(trail[:len(trail):len(trail)], e))
+				explore(append(prefix[:len(prefix):len(prefix)], e))
 			}
 		}
 	}
-	walk([]any{Requested{1}}) // the orders that matter have a successor, and the word to end, in some place
-	walk([]any{ShutdownRequested{}})
-	walk([]any{Requested{1}, Ready{1}, ShutdownRequested{}, ConnIdle{1}}) // deeper where handing has begun
+	explore([]any{Requested{1}}) // the orders that matter have a successor, and the word to end, in some place
+	explore([]any{ShutdownRequested{}})
+	explore([]any{Requested{1}, Ready{1}, ShutdownRequested{}, ConnIdle{1}}) // deeper where handing has begun
 	if orders < 100_000 {
 		t.Errorf("only %d orders were gone through", orders)
 	}
@@ -123,18 +123,18 @@
 
 // possible leaves out what the callers guarantee not to happen: a process speaks after it was lost or before it
 // asked, or a connection rests that is not read here.
-func possible(w *world, event any) bool {
+func possible(m *model, event any) bool {
 	switch e := event.(type) {
 	case Requested:
-		return !w.dead[e.Successor] && e.Successor != w.lent
+		return !m.lost[e.Successor] && e.Successor != m.successor
 	case Ready:
-		return !w.dead[e.Successor]
+		return !m.lost[e.Successor]
 	case Acknowledged:
-		return !w.dead[e.Successor] && e.Successor == w.lent
+		return !m.lost[e.Successor] && e.Successor == m.successor
 	case Declined:
-		return !w.dead[e.Successor]
+		return !m.lost[e.Successor]
 	case ConnIdle:
-		return w.owner[e.Conn] == "here"
+		return m.owner[e.Conn] == "here"
 	}
 	return true
 }
--- a/versions/versions.go
+++ b/versions/versions.go
@@ -122,8 +122,8 @@
 }
 
 const (
-	historyMost = 64
-	reasonMost  = 2000 // bytes of a reason
+	maxHistory     = 64
+	maxReasonBytes = 2000 // bytes of a reason
 )
 
 // Lifecycle is the life of all versions at one gateway. It is not safe for concurrent use.
@@ -131,87 +131,87 @@
 	saves bool // versions are saved; without a disk they are not
 
 	now     Seconds
-	out     []Action
-	force   Offer   // in force; Number 0: the file
+	actions []Action
+	inForce Offer   // in force; Number 0: the file
 	since   Seconds // from when
 	highest int64   // ever in force: only a rollback goes below it
 	pinned  bool
 
-	step    State // of current: Checking to Applying; Offered: nothing is on its way
-	current Offer
-	next    *Offer // the newest that waits for current to end
-	waiting *Offer // turned down for the roster's sake
-	held    *Offer // the newest that was offered against the pin
-	history []Entry
-	down    Entry // the last that was turned down
+	step           State // of current: Checking to Applying; Offered: nothing is on its way
+	current        Offer
+	next           *Offer // the newest that waits for current to end
+	awaitingRoster *Offer // turned down for the roster's sake
+	heldByPin      *Offer // the newest that was offered against the pin
+	history        []Entry
+	lastRejected   Entry // the last that was turned down
 }
 
 // New makes a Life in which a version is in force already: the file's (number 0) or the snapshot's.
-func New(now Seconds, force Offer, saves bool) *Lifecycle {
-	l := &Lifecycle{saves: saves, force: force, since: now, highest: force.Number}
-	l.note(now, force, InForce, "")
+func New(now Seconds, inForce Offer, saves bool) *Lifecycle {
+	l := &Lifecycle{saves: saves, inForce: inForce, since: now, highest: inForce.Number}
+	l.record(now, inForce, InForce, "")
 	return l
 }
 
 // Handle takes one event in and appends the actions it calls for.
 func (l *Lifecycle) Handle(now Seconds, ev Event, actions []Action) []Action {
-	l.now, l.out = now, actions
+	l.now, l.actions = now, actions
 	switch e := ev.(type) {
 	case Offer:
-		l.offered(e)
+		l.handleOffer(e)
 	case Done:
-		l.done(e)
+		l.handleDone(e)
 	case Roster:
-		if w := l.waiting; w != nil {
-			l.waiting = nil
-			l.offered(*w)
+		if w := l.awaitingRoster; w != nil {
+			l.awaitingRoster = nil
+			l.handleOffer(*w)
 		}
 	case Pin:
 		l.pinned = true
 	case Unpin:
 		l.pinned = false
-		if h := l.held; h != nil {
-			l.held = nil
-			l.offered(*h)
+		if h := l.heldByPin; h != nil {
+			l.heldByPin = nil
+			l.handleOffer(*h)
 		}
 	}
-	return l.out
+	return l.actions
 }
 
-func (l *Lifecycle) do(a Action) { l.out = append(l.out, a) }
+func (l *Lifecycle) emit(a Action) { l.actions = append(l.actions, a) }
 
 // offered decides whether a version is looked at at all. Every offer gets an answer, now or when its turn ends.
-func (l *Lifecycle) offered(o Offer) {
-	switch reason := l.against(o); {
-	case same(o, l.force):
-		l.do(Answer{o, ""}) // in force already: a source that asks again is told so
+func (l *Lifecycle) handleOffer(o Offer) {
+	switch reason := l.objection(o); {
+	case sameVersion(o, l.inForce):
+		l.emit(Answer{o, ""}) // in force already: a source that asks again is told so
 	case reason != "":
-		l.turnDown(o, reason, false)
+		l.reject(o, reason, false)
 	case l.pinned:
-		if l.held == nil || newer(o, *l.held) {
-			l.held = &o
+		if l.heldByPin == nil || takesPrecedence(o, *l.heldByPin) {
+			l.heldByPin = &o
 		}
-		l.turnDown(o, fmt.Sprintf("version %d is pinned by an operator", l.force.Number), true)
+		l.reject(o, fmt.Sprintf("version %d is pinned by an operator", l.inForce.Number), true)
 	case l.step == Offered:
-		l.begin(o)
-	case same(o, l.current):
+		l.start(o)
+	case sameVersion(o, l.current):
 		// Danger: two control services, or one that lost the stream, with the same version. It is answered twice,
 		// but looked at once.
 		l.queue(o)
-	case l.next != nil && !newer(o, *l.next):
-		l.turnDown(o, fmt.Sprintf("superseded by version %d", l.next.Number), false)
+	case l.next != nil && !takesPrecedence(o, *l.next):
+		l.reject(o, fmt.Sprintf("superseded by version %d", l.next.Number), false)
 	default:
 		l.queue(o)
 	}
 }
 
 // against says what speaks against an offer by its number alone.
-func (l *Lifecycle) against(o Offer) string {
-	known := func(k Offer) bool { return k.Number == o.Number && k.Digest != o.Digest }
+func (l *Lifecycle) objection(o Offer) string {
+	conflicts := func(k Offer) bool { return k.Number == o.Number && k.Digest != o.Digest }
 	switch {
 	case o.Number <= 0:
 		return fmt.Sprintf("version number %d: numbers start at 1", o.Number)
-	case known(l.force), l.step != Offered && known(l.current), l.next != nil && known(*l.next):
+	case conflicts(l.inForce), l.step != Offered && conflicts(l.current), l.next != nil && conflicts(*l.next):
 		return fmt.Sprintf("version %d was offered before with other content", o.Number)
 	case o.Number <= l.highest && !o.Rollback:
 		return fmt.Sprintf("version %d is no newer than %d, which was in force, and is not marked as a rollback", o.Number, l.highest)
@@ -219,78 +219,80 @@
 	return ""
 }
 
-func same(a, b Offer) bool { return a.Number == b.Number && a.Digest == b.Digest && a.Number > 0 }
+func sameVersion(a, b Offer) bool {
+	return a.Number == b.Number && a.Digest == b.Digest && a.Number > 0
+}
 
 // newer tells whether an offer goes before another that waits. A rollback is a decision of its own: the last counts.
-func newer(a, b Offer) bool { return a.Rollback || a.Number > b.Number }
+func takesPrecedence(a, b Offer) bool { return a.Rollback || a.Number > b.Number }
 
 // queue puts an offer behind the one that is on its way. What waited there is superseded.
 func (l *Lifecycle) queue(o Offer) {
 	if n := l.next; n != nil {
-		if same(*n, o) {
-			l.do(Answer{*n, fmt.Sprintf("version %d was offered again", n.Number)})
+		if sameVersion(*n, o) {
+			l.emit(Answer{*n, fmt.Sprintf("version %d was offered again", n.Number)})
 		} else {
 			l.supersede(*n, o)
 		}
 	}
 	l.next = &o
-	l.note(l.now, o, Offered, "")
+	l.record(l.now, o, Offered, "")
 }
 
 func (l *Lifecycle) supersede(o, by Offer) {
 	reason := fmt.Sprintf("superseded by version %d", by.Number)
-	l.note(l.now, o, Superseded, reason)
-	l.do(Drop{o})
-	l.do(Answer{o, reason})
+	l.record(l.now, o, Superseded, reason)
+	l.emit(Drop{o})
+	l.emit(Answer{o, reason})
 }
 
-func (l *Lifecycle) begin(o Offer) {
-	l.current, l.waiting = o, nil
-	l.to(Checking)
-	l.do(Check{o})
+func (l *Lifecycle) start(o Offer) {
+	l.current, l.awaitingRoster = o, nil
+	l.enter(Checking)
+	l.emit(Check{o})
 }
 
-func (l *Lifecycle) to(s State) {
+func (l *Lifecycle) enter(s State) {
 	l.step = s
-	l.note(l.now, l.current, s, "")
+	l.record(l.now, l.current, s, "")
 }
 
 // done goes on to the next step. A step that was not asked for, or of another version, is passed over.
-func (l *Lifecycle) done(e Done) {
+func (l *Lifecycle) handleDone(e Done) {
 	o := l.current
 	if l.step == Offered || e.Number != o.Number || e.Digest != o.Digest {
 		return
 	}
-	if l.step < Saving && (l.next != nil && !same(*l.next, o) || l.pinned) {
+	if l.step < Saving && (l.next != nil && !sameVersion(*l.next, o) || l.pinned) {
 		// A newer one waits, or the operator stepped in: this one need not be finished.
 		l.step = Offered
 		if l.pinned {
-			l.held = &o
-			l.turnDown(o, fmt.Sprintf("version %d is pinned by an operator", l.force.Number), true)
+			l.heldByPin = &o
+			l.reject(o, fmt.Sprintf("version %d is pinned by an operator", l.inForce.Number), true)
 		} else {
 			l.supersede(o, *l.next)
 		}
-		l.follow()
+		l.startNext()
 		return
 	}
 	if len(e.Faults) > 0 {
 		if l.step == Checking && e.Waiting {
-			l.waiting = &o
+			l.awaitingRoster = &o
 		}
-		keep := l.waiting != nil
+		keepContent := l.awaitingRoster != nil
 		l.step = Offered
-		l.turnDown(o, strings.Join(e.Faults, "; "), keep)
-		l.follow()
+		l.reject(o, strings.Join(e.Faults, "; "), keepContent)
+		l.startNext()
 		return
 	}
 	switch l.step {
 	case Checking:
-		l.to(Staging)
-		l.do(Stage{o})
+		l.enter(Staging)
+		l.emit(Stage{o})
 	case Staging:
 		if l.saves {
-			l.to(Saving)
-			l.do(Save{o})
+			l.enter(Saving)
+			l.emit(Save{o})
 			return
 		}
 		l.apply()
@@ -298,51 +300,51 @@
 		l.apply()
 	case Applying:
 		l.step = Offered
-		if l.force.Number > 0 {
-			l.note(l.now, l.force, Superseded, fmt.Sprintf("version %d took its place", o.Number))
-			l.do(Drop{l.force})
+		if l.inForce.Number > 0 {
+			l.record(l.now, l.inForce, Superseded, fmt.Sprintf("version %d took its place", o.Number))
+			l.emit(Drop{l.inForce})
 		}
-		l.force, l.since, l.highest = o, l.now, max(l.highest, o.Number)
-		l.note(l.now, o, InForce, "")
-		l.do(Answer{o, ""})
-		l.follow()
+		l.inForce, l.since, l.highest = o, l.now, max(l.highest, o.Number)
+		l.record(l.now, o, InForce, "")
+		l.emit(Answer{o, ""})
+		l.startNext()
 	}
 }
 
 func (l *Lifecycle) apply() {
-	l.to(Applying)
-	l.do(Apply{l.current})
+	l.enter(Applying)
+	l.emit(Apply{l.current})
 }
 
 // Needs tells whether a version's content is still needed: it is in force, on its way, or may yet come.
 func (l *Lifecycle) Needs(o Offer) bool {
-	is := func(k *Offer) bool { return k != nil && k.Number == o.Number && k.Digest == o.Digest }
-	return is(&l.force) || l.step != Offered && is(&l.current) || is(l.next) || is(l.waiting) || is(l.held)
+	matches := func(k *Offer) bool { return k != nil && k.Number == o.Number && k.Digest == o.Digest }
+	return matches(&l.inForce) || l.step != Offered && matches(&l.current) || matches(l.next) || matches(l.awaitingRoster) || matches(l.heldByPin)
 }
 
 // follow begins the version that waited.
-func (l *Lifecycle) follow() {
+func (l *Lifecycle) startNext() {
 	if n := l.next; n != nil {
 		l.next = nil
-		l.offered(*n)
+		l.handleOffer(*n)
 	}
 }
 
 // turnDown answers an offer with a reason. What is kept may still come into force.
-func (l *Lifecycle) turnDown(o Offer, reason string, keep bool) {
-	if len(reason) > reasonMost {
-		reason = reason[:reasonMost] + " ..."
+func (l *Lifecycle) reject(o Offer, reason string, keepContent bool) {
+	if len(reason) > maxReasonBytes {
+		reason = reason[:maxReasonBytes] + " ..."
 	}
-	l.note(l.now, o, Rejected, reason)
-	l.down = Entry{o, Rejected, reason, l.now}
-	if !keep {
-		l.do(Drop{o})
+	l.record(l.now, o, Rejected, reason)
+	l.lastRejected = Entry{o, Rejected, reason, l.now}
+	if !keepContent {
+		l.emit(Drop{o})
 	}
-	l.do(Answer{o, reason})
+	l.emit(Answer{o, reason})
 }
 
 // note books a version's state in the history: one line for each, the newest last.
-func (l *Lifecycle) note(now Seconds, o Offer, s State, reason string) {
+func (l *Lifecycle) record(now Seconds, o Offer, s State, reason string) {
 	e := Entry{o, s, reason, now}
 	for i := len(l.history) - 1; i >= 0; i-- {
 		if h := &l.history[i]; h.Number == o.Number && h.Digest == o.Digest && h.Source == o.Source {
@@ -350,7 +352,7 @@
 			break
 		}
 	}
-	if l.history = append(l.history, e); len(l.history) > historyMost {
+	if l.history = append(l.history, e); len(l.history) > maxHistory {
 		l.history = l.history[1:]
 	}
 }
@@ -369,7 +371,7 @@
 
 // Status tells how things stand.
 func (l *Lifecycle) Status() Status {
-	s := Status{InForce: l.force, Since: l.since, Highest: l.highest, Pinned: l.pinned, Step: l.step, LastRejected: l.down,
+	s := Status{InForce: l.inForce, Since: l.since, Highest: l.highest, Pinned: l.pinned, Step: l.step, LastRejected: l.lastRejected,
 		History: append([]Entry(nil), l.history...)}
 	if l.step != Offered {
 		s.InProgress = l.current.Number
--- a/versions/versions_test.go
+++ b/versions/versions_test.go
@@ -8,41 +8,41 @@
 )
 
 // rig carries a Life's actions out as a test says, and keeps what it promised.
-type rig struct {
-	t       testing.TB
-	life    *Lifecycle
-	now     Seconds
-	pending []Action // steps that are not done yet
-	answers []Answer
-	applied []int64
-	saved   []int64
+type harness struct {
+	t         testing.TB
+	lifecycle *Lifecycle
+	now       Seconds
+	pending   []Action // steps that are not done yet
+	answers   []Answer
+	applied   []int64
+	saved     []int64
 }
 
-func newRig(t testing.TB, saves bool) *rig {
-	return &rig{t: t, life: New(0, Offer{Source: FromDisk}, saves)}
+func newHarness(t testing.TB, saves bool) *harness {
+	return &harness{t: t, lifecycle: New(0, Offer{Source: FromDisk}, saves)}
 }
 
-func (r *rig) tell(ev Event) {
-	r.now++
-	for _, a := range r.life.Handle(r.now, ev, nil) {
+func (h *harness) handle(ev Event) {
+	h.now++
+	for _, a := range h.lifecycle.Handle(h.now, ev, nil) {
 		switch a := a.(type) {
 		case Answer:
-			r.answers = append(r.answers, a)
+			h.answers = append(h.answers, a)
 		case Drop:
 		default:
-			r.pending = append(r.pending, a)
+			h.pending = append(h.pending, a)
 		}
 	}
 }
 
 // step ends the step that is under way, with faults or without.
-func (r *rig) step(waiting bool, faults ...string) {
-	r.t.Helper()
-	if len(r.pending) == 0 {
-		r.t.Fatal("nothing is on its way")
+func (h *harness) finishStep(waiting bool, faults ...string) {
+	h.t.Helper()
+	if len(h.pending) == 0 {
+		h.t.Fatal("nothing is on its way")
 	}
-	a := r.pending[0]
-	r.pending = r.pending[1:]
+	a := h.pending[0]
+	h.pending = h.pending[1:]
 	var o Offer
 	switch a := a.(type) {
 	case Check:
@@ -52,75 +52,75 @@
 	case Save:
 		o = a.Offer
 		if len(faults) == 0 {
-			r.saved = append(r.saved, o.Number)
+			h.saved = append(h.saved, o.Number)
 		}
 	case Apply:
 		o, faults = a.Offer, nil // it can't fail
-		r.applied = append(r.applied, o.Number)
+		h.applied = append(h.applied, o.Number)
 	}
-	r.tell(Done{Number: o.Number, Digest: o.Digest, Faults: faults, Waiting: waiting})
+	h.handle(Done{Number: o.Number, Digest: o.Digest, Faults: faults, Waiting: waiting})
 }
 
-func (r *rig) run() {
-	for len(r.pending) > 0 {
-		r.step(false)
+func (h *harness) finishAll() {
+	for len(h.pending) > 0 {
+		h.finishStep(false)
 	}
 }
 
 func offer(n int64) Offer { return Offer{Number: n, Digest: uint64(n) * 7, Nonce: "n"} }
 
 // last is the reason of the last answer; empty: acknowledged.
-func (r *rig) last() string {
-	r.t.Helper()
-	if len(r.answers) == 0 {
-		r.t.Fatal("no answer")
+func (h *harness) lastReason() string {
+	h.t.Helper()
+	if len(h.answers) == 0 {
+		h.t.Fatal("no answer")
 	}
-	return r.answers[len(r.answers)-1].Reason
+	return h.answers[len(h.answers)-1].Reason
 }
 
 func TestGoodVersionIsSavedAppliedAcknowledged(t *testing.T) {
-	r := newRig(t, true)
-	r.tell(offer(1))
+	h := newHarness(t, true)
+	h.handle(offer(1))
 	for range 3 {
-		r.step(false)
+		h.finishStep(false)
 	}
-	if len(r.answers) != 0 || len(r.saved) != 1 || len(r.applied) != 0 {
-		t.Errorf("before it is in force: answers %v, saved %v", r.answers, r.saved)
+	if len(h.answers) != 0 || len(h.saved) != 1 || len(h.applied) != 0 {
+		t.Errorf("before it is in force: answers %v, saved %v", h.answers, h.saved)
 	}
-	r.step(false)
-	if r.last() != "" || r.life.Status().InForce.Number != 1 {
-		t.Errorf("%q, %+v", r.last(), r.life.Status())
+	h.finishStep(false)
+	if h.lastReason() != "" || h.lifecycle.Status().InForce.Number != 1 {
+		t.Errorf("%q, %+v", h.lastReason(), h.lifecycle.Status())
 	}
 }
 
 func TestBrokenVersionLeavesTheLastGood(t *testing.T) {
 	for steps := range 3 { // it fails at its check, its staging, its saving
-		r := newRig(t, true)
-		r.tell(offer(1))
-		r.run()
-		r.tell(offer(2))
+		h := newHarness(t, true)
+		h.handle(offer(1))
+		h.finishAll()
+		h.handle(offer(2))
 		for range steps {
-			r.step(false)
+			h.finishStep(false)
 		}
-		r.step(false, "plan club: rate must be above 0", "route 3: no class x")
-		if want := "plan club: rate must be above 0; route 3: no class x"; r.last() != want {
-			t.Errorf("%q", r.last())
+		h.finishStep(false, "plan club: rate must be above 0", "route 3: no class x")
+		if want := "plan club: rate must be above 0; route 3: no class x"; h.lastReason() != want {
+			t.Errorf("%q", h.lastReason())
 		}
-		if s := r.life.Status(); s.InForce.Number != 1 || s.LastRejected.Number != 2 {
+		if s := h.lifecycle.Status(); s.InForce.Number != 1 || s.LastRejected.Number != 2 {
 			t.Errorf("%+v", s)
 		}
-		r.tell(offer(3)) // it blocks nothing
-		r.run()
-		if r.life.Status().InForce.Number != 3 {
+		h.handle(offer(3)) // it blocks nothing
+		h.finishAll()
+		if h.lifecycle.Status().InForce.Number != 3 {
 			t.Error("the next one is not in force")
 		}
 	}
 }
 
 func TestOrderOfVersions(t *testing.T) {
-	r := newRig(t, false)
-	r.tell(offer(5))
-	r.run()
+	h := newHarness(t, false)
+	h.handle(offer(5))
+	h.finishAll()
 	for _, c := range []struct {
 		o    Offer
 		want string // in the reason; empty: acknowledged
@@ -134,9 +134,9 @@
 		{offer(4), "no newer than 5"},
 		{offer(6), ""},
 	} {
-		r.tell(c.o)
-		r.run()
-		if got := r.last(); (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
+		h.handle(c.o)
+		h.finishAll()
+		if got := h.lastReason(); (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
 			t.Errorf("version %d: %q, want %q", c.o.Number, got, c.want)
 		}
 	}
@@ -144,47 +144,47 @@
 
 // A hundred versions while the first is looked at: the newest wins, and every one is answered.
 func TestFlood(t *testing.T) {
-	r := newRig(t, true)
+	h := newHarness(t, true)
 	for n := range int64(100) {
-		r.tell(offer(n + 1))
+		h.handle(offer(n + 1))
 	}
-	r.run()
-	if len(r.answers) != 100 || r.life.Status().InForce.Number != 100 {
-		t.Errorf("%d answers, version %d", len(r.answers), r.life.Status().InForce.Number)
+	h.finishAll()
+	if len(h.answers) != 100 || h.lifecycle.Status().InForce.Number != 100 {
+		t.Errorf("%d answers, version %d", len(h.answers), h.lifecycle.Status().InForce.Number)
 	}
-	if len(r.applied) > 2 {
-		t.Errorf("%d were applied", len(r.applied))
+	if len(h.applied) > 2 {
+		t.Errorf("%d were applied", len(h.applied))
 	}
 }
 
 func TestWaitingForTheRoster(t *testing.T) {
-	r := newRig(t, true)
-	r.tell(offer(1))
-	r.step(true, "target t9 is not on the roster")
-	if r.last() == "" {
+	h := newHarness(t, true)
+	h.handle(offer(1))
+	h.finishStep(true, "target t9 is not on the roster")
+	if h.lastReason() == "" {
 		t.Fatal("it was acknowledged")
 	}
-	r.tell(Roster{})
-	r.run()
-	if r.last() != "" || r.life.Status().InForce.Number != 1 {
-		t.Errorf("%q, version %d", r.last(), r.life.Status().InForce.Number)
+	h.handle(Roster{})
+	h.finishAll()
+	if h.lastReason() != "" || h.lifecycle.Status().InForce.Number != 1 {
+		t.Errorf("%q, version %d", h.lastReason(), h.lifecycle.Status().InForce.Number)
 	}
 }
 
 func TestPin(t *testing.T) {
-	r := newRig(t, true)
-	r.tell(offer(1))
-	r.run()
-	r.tell(Pin{})
+	h := newHarness(t, true)
+	h.handle(offer(1))
+	h.finishAll()
+	h.handle(Pin{})
 	for _, n := range []int64{2, 4, 3} {
-		r.tell(offer(n))
-		if !strings.Contains(r.last(), "pinned") {
-			t.Errorf("version %d: %q", n, r.last())
+		h.handle(offer(n))
+		if !strings.Contains(h.lastReason(), "pinned") {
+			t.Errorf("version %d: %q", n, h.lastReason())
 		}
 	}
-	r.tell(Unpin{})
-	r.run()
-	if got := r.life.Status().InForce.Number; got != 4 {
+	h.handle(Unpin{})
+	h.finishAll()
+	if got := h.lifecycle.Status().InForce.Number; got != 4 {
 		t.Errorf("version %d after the pin, want the newest offered", got)
 	}
 }
@@ -192,12 +192,12 @@
 // Whatever is offered, fails and is pinned, in whatever order: numbers in force rise but for rollbacks, what is
 // acknowledged is in force and saved before, every offer is answered once, and a step of another version does
 // nothing.
-func TestLifeKeepsItsPromises(t *testing.T) {
+func TestLifecycleInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &rig{t: &testing.T{}, life: New(0, Offer{Source: FromDisk}, true)}
+		h := &harness{t: &testing.T{}, lifecycle: New(0, Offer{Source: FromDisk}, true)}
 		offers, highest := 0, int64(0)
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
-			before := r.life.Status()
+			before := h.lifecycle.Status()
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2:
 				n := rapid.Int64Range(0, 12).Draw(t, "number")
@@ -207,34 +207,34 @@
 					o.Digest = 99
 				}
 				offers++
-				r.tell(o)
+				h.handle(o)
 			case 3:
-				r.tell(Pin{})
+				h.handle(Pin{})
 			case 4:
-				r.tell(Unpin{})
+				h.handle(Unpin{})
 			case 5:
-				r.tell(Roster{})
+				h.handle(Roster{})
 			case 6:
-				r.tell(Done{Number: 77}) // nobody asked
+				h.handle(Done{Number: 77}) // nobody asked
 			default:
-				if len(r.pending) > 0 {
+				if len(h.pending) > 0 {
 					if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
-						r.step(rapid.Bool().Draw(t, "waits"), "a fault")
+						h.finishStep(rapid.Bool().Draw(t, "waits"), "a fault")
 					} else {
-						r.step(false)
+						h.finishStep(false)
 					}
 				}
 			}
-			if len(r.pending) > 1 {
-				t.Fatalf("%d steps at once", len(r.pending))
+			if len(h.pending) > 1 {
+				t.Fatalf("%d steps at once", len(h.pending))
 			}
-			after := r.life.Status()
+			after := h.lifecycle.Status()
 			if after.InForce != before.InForce {
 				n := after.InForce
 				if !n.Rollback && n.Number <= highest {
 					t.Fatalf("version %d took the place of %d", n.Number, highest)
 				}
-				if len(r.saved) == 0 || r.saved[len(r.saved)-1] != n.Number {
+				if len(h.saved) == 0 || h.saved[len(h.saved)-1] != n.Number {
 					t.Fatalf("version %d is in force and not saved", n.Number)
 				}
 				if before.Pinned && before.Step < Saving {
@@ -243,12 +243,12 @@
 			}
 			highest = max(highest, after.InForce.Number)
 		}
-		r.tell(Unpin{})
-		r.run()
-		if len(r.answers) < offers {
-			t.Fatalf("%d offers, %d answers", offers, len(r.answers))
+		h.handle(Unpin{})
+		h.finishAll()
+		if len(h.answers) < offers {
+			t.Fatalf("%d offers, %d answers", offers, len(h.answers))
 		}
-		for _, a := range r.answers {
+		for _, a := range h.answers {
 			if a.Reason == "" && a.Number <= 0 {
 				t.Fatalf("acknowledged: %+v", a)
 			}
