--- a/versions/versions.go
+++ b/versions/versions.go
@@ -1,11 +1,12 @@
-// Package versions decides on the life of configuration versions: which offered one is checked, staged, saved
-// and put in force, which is turned down and why, and which stays in force meanwhile. It owns the order of
-// versions, the last good one, the pin and the history. It never reads a configuration, does no I/O, reads no
-// clock and starts no goroutine: events in, actions out, like a raft node.
+// Package versions is the state machine of configuration versions: it decides which offered version is checked,
+// staged, saved and put in force, which is rejected and why, and which stays in force meanwhile, and it holds the
+// order of versions, the last good version, the pin and the history. It does not read configurations, does no I/O,
+// reads no clock and starts no goroutine: the caller passes events in and carries out the returned actions, as with
+// a raft node.
 //
-// One version at a time is on its way: Check, Stage, Save, Apply, Answer. It is saved before it is in force
-// and answered after, so that a gateway that dies at any moment starts on the last one that it acknowledged,
-// or a newer one. What can still fail fails before Apply, which can't.
+// One version is processed at a time, in the steps Check, Stage, Save, Apply and Answer. It is saved before it is in
+// force and acknowledged afterwards, so that a gateway that crashes at any moment restarts with the last version
+// that it acknowledged, or with a newer one. Every step that can fail comes before Apply, which cannot.
 package versions
 
 import (
@@ -13,25 +14,25 @@
 	"strings"
 )
 
-// Seconds is a time, on a clock whose start means nothing.
+// Seconds is a time on a clock with an arbitrary origin.
 type Seconds = float64
 
-// Offer is one version as a source offers it.
+// Offer is a version as offered by a source.
 type Offer struct {
-	Source   int    // which control service, by its place in the bootstrap; FromOperator or FromDisk
+	Source   int    // index of the control service in the bootstrap configuration; FromOperator or FromDisk
 	Nonce    string // returned with the answer
-	Number   int64  // from 1, rising
+	Number   int64  // starts at 1 and increases
 	Digest   uint64 // of the content: a number stands for one content only
-	Rollback bool   // it may take the place of a newer one
+	Rollback bool   // it may replace a newer version
 }
 
-// Sources that are no control service.
+// Sources other than control services.
 const (
 	FromOperator = -1 // an API call
-	FromDisk     = -2 // the snapshot, or the file: version 0
+	FromDisk     = -2 // the snapshot, or the configuration file (version 0)
 )
 
-// State is how far a version has come.
+// State is the progress of a version.
 type State int
 
 // The states of a version.
@@ -43,57 +44,57 @@
 	Applying
 	InForce
 	Rejected
-	Superseded // a newer one came, or took its place
+	Superseded // a newer version was offered, or replaced it
 )
 
 func (s State) String() string {
 	return [...]string{"offered", "checking", "staging", "saving", "applying", "in force", "turned down", "superseded"}[s]
 }
 
-// Event is something that a Life is told.
+// Event is an input of a Lifecycle.
 type Event interface{ event() }
 
-// The events. Each Check, Stage, Save and Apply gets one Done.
+// The events. The caller answers each Check, Stage, Save and Apply with one Done.
 type (
-	// Offer is one, too.
+	// Offer is an event, too.
 
-	// Done is the end of the step that is under way.
+	// Done reports the end of the current step.
 	Done struct {
 		Number  int64
 		Digest  uint64
-		Faults  []string // none: it went well
-		Waiting bool     // of Check: the faults may go away by themselves, with the roster
+		Faults  []string // empty: the step succeeded
+		Waiting bool     // set by Check: the faults may disappear with a change of the roster
 	}
 
-	// Roster tells that the list of servers changed: what waited for it is looked at again.
+	// Roster reports that the list of servers changed: a version that waits for such a change is checked again.
 	Roster struct{}
 
-	// Pin keeps the version in force, whatever is offered; Unpin ends that.
+	// Pin keeps the current version in force, whatever is offered; Unpin ends that.
 	Pin   struct{}
 	Unpin struct{}
 )
 
-// Action is something that a Life wants done.
+// Action is an output of a Lifecycle, carried out by the caller.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Check reads a version's content and says all that is wrong with it.
+	// Check validates a version's content and reports every fault in it.
 	Check struct{ Offer }
 
-	// Stage builds what the version needs, beside what is in force.
+	// Stage builds what the version needs, beside what the version in force uses.
 	Stage struct{ Offer }
 
-	// Save writes the version where a start finds it.
+	// Save writes the version to where the next start of the gateway reads it.
 	Save struct{ Offer }
 
 	// Apply puts the staged version in force.
 	Apply struct{ Offer }
 
-	// Drop lets go of what was kept of a version's content.
+	// Drop releases the stored content of a version.
 	Drop struct{ Offer }
 
-	// Answer acknowledges a version, or turns it down with a reason.
+	// Answer acknowledges a version, or rejects it with a reason.
 	Answer struct {
 		Offer
 		Reason string // empty: acknowledged
@@ -113,7 +114,7 @@
 func (Drop) action()   {}
 func (Answer) action() {}
 
-// Entry is a line of the history.
+// Entry is the history entry of one version.
 type Entry struct {
 	Offer
 	State  State
@@ -122,38 +123,38 @@
 }
 
 const (
-	maxHistory     = 64
-	maxReasonBytes = 2000 // bytes of a reason
+	maxHistory     = 64 // entries
+	maxReasonBytes = 2000
 )
 
-// Lifecycle is the life of all versions at one gateway. It is not safe for concurrent use.
+// Lifecycle is the state of all versions at one gateway. It is not safe for concurrent use.
 type Lifecycle struct {
-	saves bool // versions are saved; without a disk they are not
+	saves bool // versions are saved; false without a disk
 
 	now     Seconds
 	actions []Action
-	inForce Offer   // in force; Number 0: the file
-	since   Seconds // from when
-	highest int64   // ever in force: only a rollback goes below it
+	inForce Offer   // Number 0: the configuration file
+	since   Seconds // when inForce came into force
+	highest int64   // highest number ever in force: only a rollback goes below it
 	pinned  bool
 
-	step           State // of current: Checking to Applying; Offered: nothing is on its way
+	step           State // of current: Checking to Applying; Offered: no version is being processed
 	current        Offer
-	next           *Offer // the newest that waits for current to end
-	awaitingRoster *Offer // turned down for the roster's sake
-	heldByPin      *Offer // the newest that was offered against the pin
+	next           *Offer // the newest that waits for the end of current
+	awaitingRoster *Offer // rejected with faults that a change of the roster may remove
+	heldByPin      *Offer // the newest that was offered while the version in force is pinned
 	history        []Entry
-	lastRejected   Entry // the last that was turned down
+	lastRejected   Entry
 }
 
-// New makes a Life in which a version is in force already: the file's (number 0) or the snapshot's.
+// New returns a Lifecycle with a version already in force: the configuration file's (number 0) or the snapshot's.
 func New(now Seconds, inForce Offer, saves bool) *Lifecycle {
 	l := &Lifecycle{saves: saves, inForce: inForce, since: now, highest: inForce.Number}
 	l.record(now, inForce, InForce, "")
 	return l
 }
 
-// Handle takes one event in and appends the actions it calls for.
+// Handle processes one event and appends the resulting actions.
 func (l *Lifecycle) Handle(now Seconds, ev Event, actions []Action) []Action {
 	l.now, l.actions = now, actions
 	switch e := ev.(type) {
@@ -180,11 +181,12 @@
 
 func (l *Lifecycle) emit(a Action) { l.actions = append(l.actions, a) }
 
-// offered decides whether a version is looked at at all. Every offer gets an answer, now or when its turn ends.
+// handleOffer decides whether an offered version is processed at all. Every offer gets an answer, now or at the end of
+// its processing.
 func (l *Lifecycle) handleOffer(o Offer) {
 	switch reason := l.objection(o); {
 	case sameVersion(o, l.inForce):
-		l.emit(Answer{o, ""}) // in force already: a source that asks again is told so
+		l.emit(Answer{o, ""}) // already in force: a repeated offer is acknowledged again
 	case reason != "":
 		l.reject(o, reason, false)
 	case l.pinned:
@@ -195,8 +197,8 @@
 	case l.step == Offered:
 		l.start(o)
 	case sameVersion(o, l.current):
-		// Danger: two control services, or one that lost the stream, with the same version. It is answered twice,
-		// but looked at once.
+		// Two control services, or one that lost its stream, offer the same version: each offer is answered, but
+		// the version is processed only once.
 		l.queue(o)
 	case l.next != nil && !takesPrecedence(o, *l.next):
 		l.reject(o, fmt.Sprintf("superseded by version %d", l.next.Number), false)
@@ -205,7 +207,7 @@
 	}
 }
 
-// against says what speaks against an offer by its number alone.
+// objection returns why the number alone rules an offer out; empty: it does not.
 func (l *Lifecycle) objection(o Offer) string {
 	conflicts := func(k Offer) bool { return k.Number == o.Number && k.Digest != o.Digest }
 	switch {
@@ -223,10 +225,11 @@
 	return a.Number == b.Number && a.Digest == b.Digest && a.Number > 0
 }
 
-// newer tells whether an offer goes before another that waits. A rollback is a decision of its own: the last counts.
+// takesPrecedence reports whether offer a replaces b, which waits. A rollback is an explicit decision, whatever its
+// number: the last one counts.
 func takesPrecedence(a, b Offer) bool { return a.Rollback || a.Number > b.Number }
 
-// queue puts an offer behind the one that is on its way. What waited there is superseded.
+// queue makes an offer wait for the end of the current one. An offer that already waited is superseded.
 func (l *Lifecycle) queue(o Offer) {
 	if n := l.next; n != nil {
 		if sameVersion(*n, o) {
@@ -257,14 +260,14 @@
 	l.record(l.now, l.current, s, "")
 }
 
-// done goes on to the next step. A step that was not asked for, or of another version, is passed over.
+// handleDone proceeds to the next step. A Done for a step that was not requested, or for another version, is ignored.
 func (l *Lifecycle) handleDone(e Done) {
 	o := l.current
 	if l.step == Offered || e.Number != o.Number || e.Digest != o.Digest {
 		return
 	}
 	if l.step < Saving && (l.next != nil && !sameVersion(*l.next, o) || l.pinned) {
-		// A newer one waits, or the operator stepped in: this one need not be finished.
+		// A newer version waits, or an operator set the pin: processing of this one ends here.
 		l.step = Offered
 		if l.pinned {
 			l.heldByPin = &o
@@ -316,13 +319,14 @@
 	l.emit(Apply{l.current})
 }
 
-// Needs tells whether a version's content is still needed: it is in force, on its way, or may yet come.
+// Needs reports whether a version's content is still needed: the version is in force, being processed, or may still
+// come into force.
 func (l *Lifecycle) Needs(o Offer) bool {
 	matches := func(k *Offer) bool { return k != nil && k.Number == o.Number && k.Digest == o.Digest }
 	return matches(&l.inForce) || l.step != Offered && matches(&l.current) || matches(l.next) || matches(l.awaitingRoster) || matches(l.heldByPin)
 }
 
-// follow begins the version that waited.
+// startNext offers the waiting version again, if there is one.
 func (l *Lifecycle) startNext() {
 	if n := l.next; n != nil {
 		l.next = nil
@@ -330,7 +334,7 @@
 	}
 }
 
-// turnDown answers an offer with a reason. What is kept may still come into force.
+// reject answers an offer with a reason. A version whose content is kept may still come into force.
 func (l *Lifecycle) reject(o Offer, reason string, keepContent bool) {
 	if len(reason) > maxReasonBytes {
 		reason = reason[:maxReasonBytes] + " ..."
@@ -343,7 +347,7 @@
 	l.emit(Answer{o, reason})
 }
 
-// note books a version's state in the history: one line for each, the newest last.
+// record puts a version's state in the history, which has one entry for each version and source, the newest last.
 func (l *Lifecycle) record(now Seconds, o Offer, s State, reason string) {
 	e := Entry{o, s, reason, now}
 	for i := len(l.history) - 1; i >= 0; i-- {
@@ -357,19 +361,18 @@
 	}
 }
 
-// Status is what operators and control services are told.
+// Status is the state that is reported to operators and control services.
 type Status struct {
 	InForce      Offer
 	Since        Seconds
 	Highest      int64
 	Pinned       bool
-	Step         State // of the one on its way; Offered: none
-	InProgress   int64
-	LastRejected Entry // the last that was turned down; Number 0: none
+	Step         State // of the version being processed; Offered: none
+	InProgress   int64 // number of the version being processed; 0: none
+	LastRejected Entry // Number 0: none
 	History      []Entry
 }
 
-// Status tells how things stand.
 func (l *Lifecycle) Status() Status {
 	s := Status{InForce: l.inForce, Since: l.since, Highest: l.highest, Pinned: l.pinned, Step: l.step, LastRejected: l.lastRejected,
 		History: append([]Entry(nil), l.history...)}
--- a/versions/versions_test.go
+++ b/versions/versions_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// rig carries a Life's actions out as a test says, and keeps what it promised.
+// harness carries out a Lifecycle's actions as a test directs, and records the answers and what was applied and saved.
 type harness struct {
 	t         testing.TB
 	lifecycle *Lifecycle
 	now       Seconds
-	pending   []Action // steps that are not done yet
+	pending   []Action // steps that have not ended yet
 	answers   []Answer
 	applied   []int64
 	saved     []int64
@@ -35,11 +35,11 @@
 	}
 }
 
-// step ends the step that is under way, with faults or without.
+// finishStep ends the current step, with or without faults.
 func (h *harness) finishStep(waiting bool, faults ...string) {
 	h.t.Helper()
 	if len(h.pending) == 0 {
-		h.t.Fatal("nothing is on its way")
+		h.t.Fatal("no step is pending")
 	}
 	a := h.pending[0]
 	h.pending = h.pending[1:]
@@ -55,7 +55,7 @@
 			h.saved = append(h.saved, o.Number)
 		}
 	case Apply:
-		o, faults = a.Offer, nil // it can't fail
+		o, faults = a.Offer, nil // Apply cannot fail
 		h.applied = append(h.applied, o.Number)
 	}
 	h.handle(Done{Number: o.Number, Digest: o.Digest, Faults: faults, Waiting: waiting})
@@ -69,7 +69,7 @@
 
 func offer(n int64) Offer { return Offer{Number: n, Digest: uint64(n) * 7, Nonce: "n"} }
 
-// last is the reason of the last answer; empty: acknowledged.
+// lastReason is the reason of the last answer; empty: acknowledged.
 func (h *harness) lastReason() string {
 	h.t.Helper()
 	if len(h.answers) == 0 {
@@ -85,16 +85,16 @@
 		h.finishStep(false)
 	}
 	if len(h.answers) != 0 || len(h.saved) != 1 || len(h.applied) != 0 {
-		t.Errorf("before it is in force: answers %v, saved %v", h.answers, h.saved)
+		t.Errorf("before the version is in force: answers %v, saved %v, want no answer and one saved", h.answers, h.saved)
 	}
 	h.finishStep(false)
 	if h.lastReason() != "" || h.lifecycle.Status().InForce.Number != 1 {
-		t.Errorf("%q, %+v", h.lastReason(), h.lifecycle.Status())
+		t.Errorf("last reason %q, status %+v", h.lastReason(), h.lifecycle.Status())
 	}
 }
 
 func TestBrokenVersionLeavesTheLastGood(t *testing.T) {
-	for steps := range 3 { // it fails at its check, its staging, its saving
+	for steps := range 3 { // the number of steps that succeed before one fails: Check, Stage or Save
 		h := newHarness(t, true)
 		h.handle(offer(1))
 		h.finishAll()
@@ -104,15 +104,15 @@
 		}
 		h.finishStep(false, "plan club: rate must be above 0", "route 3: no class x")
 		if want := "plan club: rate must be above 0; route 3: no class x"; h.lastReason() != want {
-			t.Errorf("%q", h.lastReason())
+			t.Errorf("reason %q, want %q", h.lastReason(), want)
 		}
 		if s := h.lifecycle.Status(); s.InForce.Number != 1 || s.LastRejected.Number != 2 {
-			t.Errorf("%+v", s)
+			t.Errorf("status %+v, want version 1 in force and version 2 rejected last", s)
 		}
-		h.handle(offer(3)) // it blocks nothing
+		h.handle(offer(3)) // the failed version does not block later ones
 		h.finishAll()
 		if h.lifecycle.Status().InForce.Number != 3 {
-			t.Error("the next one is not in force")
+			t.Error("version 3 is not in force")
 		}
 	}
 }
@@ -123,14 +123,14 @@
 	h.finishAll()
 	for _, c := range []struct {
 		o    Offer
-		want string // in the reason; empty: acknowledged
+		want string // a part of the reason; empty: acknowledged
 	}{
 		{offer(5), ""},
 		{offer(4), "no newer than 5"},
 		{Offer{Number: 5, Digest: 1}, "other content"},
 		{Offer{Number: 0}, "numbers start at 1"},
 		{Offer{Number: 3, Digest: 21, Rollback: true}, ""},
-		{offer(5), "no newer than 5"}, // a second control service that has not heard of the rollback
+		{offer(5), "no newer than 5"}, // from a second control service that does not know of the rollback
 		{offer(4), "no newer than 5"},
 		{offer(6), ""},
 	} {
@@ -142,7 +142,7 @@
 	}
 }
 
-// A hundred versions while the first is looked at: the newest wins, and every one is answered.
+// A hundred versions are offered while the first is processed: the newest comes into force, and each is answered.
 func TestFlood(t *testing.T) {
 	h := newHarness(t, true)
 	for n := range int64(100) {
@@ -150,10 +150,10 @@
 	}
 	h.finishAll()
 	if len(h.answers) != 100 || h.lifecycle.Status().InForce.Number != 100 {
-		t.Errorf("%d answers, version %d", len(h.answers), h.lifecycle.Status().InForce.Number)
+		t.Errorf("%d answers, version %d in force, want 100 of each", len(h.answers), h.lifecycle.Status().InForce.Number)
 	}
 	if len(h.applied) > 2 {
-		t.Errorf("%d were applied", len(h.applied))
+		t.Errorf("%d versions were applied, want at most 2", len(h.applied))
 	}
 }
 
@@ -162,12 +162,12 @@
 	h.handle(offer(1))
 	h.finishStep(true, "target t9 is not on the roster")
 	if h.lastReason() == "" {
-		t.Fatal("it was acknowledged")
+		t.Fatal("a version with an unknown target was acknowledged")
 	}
 	h.handle(Roster{})
 	h.finishAll()
 	if h.lastReason() != "" || h.lifecycle.Status().InForce.Number != 1 {
-		t.Errorf("%q, version %d", h.lastReason(), h.lifecycle.Status().InForce.Number)
+		t.Errorf("after the roster changed: reason %q, version %d in force", h.lastReason(), h.lifecycle.Status().InForce.Number)
 	}
 }
 
@@ -179,19 +179,19 @@
 	for _, n := range []int64{2, 4, 3} {
 		h.handle(offer(n))
 		if !strings.Contains(h.lastReason(), "pinned") {
-			t.Errorf("version %d: %q", n, h.lastReason())
+			t.Errorf("version %d: reason %q, want one that names the pin", n, h.lastReason())
 		}
 	}
 	h.handle(Unpin{})
 	h.finishAll()
 	if got := h.lifecycle.Status().InForce.Number; got != 4 {
-		t.Errorf("version %d after the pin, want the newest offered", got)
+		t.Errorf("version %d in force after the pin was removed, want 4, the newest offered", got)
 	}
 }
 
-// Whatever is offered, fails and is pinned, in whatever order: numbers in force rise but for rollbacks, what is
-// acknowledged is in force and saved before, every offer is answered once, and a step of another version does
-// nothing.
+// Invariants for any order of offers, failures and pins: the number in force only increases, except for rollbacks; a
+// version is saved before it is in force; no version comes into force under a pin unless it was already being saved;
+// every offer is answered; one step at a time is pending; and a Done for another version has no effect.
 func TestLifecycleInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &harness{t: &testing.T{}, lifecycle: New(0, Offer{Source: FromDisk}, true)}
@@ -215,7 +215,7 @@
 			case 5:
 				h.handle(Roster{})
 			case 6:
-				h.handle(Done{Number: 77}) // nobody asked
+				h.handle(Done{Number: 77}) // no such step was requested
 			default:
 				if len(h.pending) > 0 {
 					if rapid.IntRange(0, 3).Draw(t, "fails") == 0 {
@@ -226,19 +226,19 @@
 				}
 			}
 			if len(h.pending) > 1 {
-				t.Fatalf("%d steps at once", len(h.pending))
+				t.Fatalf("%d steps are pending at once", len(h.pending))
 			}
 			after := h.lifecycle.Status()
 			if after.InForce != before.InForce {
 				n := after.InForce
 				if !n.Rollback && n.Number <= highest {
-					t.Fatalf("version %d took the place of %d", n.Number, highest)
+					t.Fatalf("version %d, not a rollback, replaced version %d", n.Number, highest)
 				}
 				if len(h.saved) == 0 || h.saved[len(h.saved)-1] != n.Number {
-					t.Fatalf("version %d is in force and not saved", n.Number)
+					t.Fatalf("version %d is in force but was not saved last", n.Number)
 				}
 				if before.Pinned && before.Step < Saving {
-					t.Fatal("it changed under a pin")
+					t.Fatalf("version %d came into force under a pin", n.Number)
 				}
 			}
 			highest = max(highest, after.InForce.Number)
@@ -250,7 +250,7 @@
 		}
 		for _, a := range h.answers {
 			if a.Reason == "" && a.Number <= 0 {
-				t.Fatalf("acknowledged: %+v", a)
+				t.Fatalf("an offer without a valid number was acknowledged: %+v", a)
 			}
 		}
 	})
