--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// HasPending tells, without waiting, whether a connection waits to be accepted.
+// HasPending reports, without blocking, whether a connection waits in the listener's accept queue.
 func HasPending(l net.Listener) (pending bool) {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
@@ -27,9 +27,10 @@
 	return pending
 }
 
-// Listen listens on a TCP address that another process may listen on too: a process that replaces this one is
-// started beside it with the same address, and the kernel spreads new connections over both until this one
-// closes. Without SO_REUSEPORT the second bind fails and the new process cannot start.
+// Listen listens on a TCP address with SO_REUSEPORT, so that another process can listen on it too. The process that
+// replaces this one starts while this one still runs, on the same address, and the kernel distributes new connections
+// over both until this one closes its listener. Without SO_REUSEPORT the second bind fails and the new process cannot
+// start.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	lc := net.ListenConfig{Control: func(network, address string, raw syscall.RawConn) error {
 		var opt error
--- a/internal/socket/listen_test.go
+++ b/internal/socket/listen_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Two listeners on one address, as an old process and its replacement hold it; each takes connections, and
-// once one is closed the other takes them all.
+// Two listeners share one address, as a process and its successor do: both accept connections, and once one of them is
+// closed the other accepts all.
 func TestTwoProcessesShareAnAddress(t *testing.T) {
 	first, err := Listen(context.Background(), "127.0.0.1:0")
 	if err != nil {
@@ -16,7 +16,7 @@
 	address := first.Addr().String()
 	second, err := Listen(context.Background(), address)
 	if err != nil {
-		t.Fatalf("a second listener on %s: %v", address, err)
+		t.Fatalf("second listener on %s: %v", address, err)
 	}
 	defer second.Close()
 	taken := make(chan string, 64)
@@ -44,12 +44,12 @@
 	for range 8 {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
-			t.Fatalf("with the first listener closed: %v", err)
+			t.Fatalf("connection attempt after the first listener was closed: %v", err)
 		}
 		c.Close()
 		<-taken
 	}
 	if _, err := net.Listen("tcp", address); err == nil {
-		t.Error("a listener without SO_REUSEPORT could bind beside one with it")
+		t.Error("a listener without SO_REUSEPORT could bind the address of one with it")
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,5 @@
-// Package socket looks at connections without reading from them.
+// Package socket inspects the state of TCP connections and listeners, and opens listeners that two processes can share.
+// It never consumes data from a connection.
 package socket
 
 import (
@@ -9,8 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Quiet tells whether a connection is open with nothing to be read on it, without waiting. The runtime does not
-// tell: it notices an end or new bytes only in a read.
+// Quiet reports, without blocking, whether a connection is open and has nothing to read: neither data nor an end of
+// stream. The Go runtime does not report this: it notices an end or new data only in a read. A connection without a
+// descriptor counts as quiet.
 func Quiet(c net.Conn) bool {
 	n, ok, e := peek(c)
 	if !ok {
@@ -19,17 +21,17 @@
 	return e == syscall.EAGAIN
 }
 
-// Unread tells whether bytes wait to be read on a connection, without waiting: an end that the other side sent
-// is none, so a connection whose client has gone counts as having nothing unread.
+// Unread reports, without blocking, whether data waits to be read on a connection. An end of stream is not data, so a
+// connection that its client has closed has nothing unread.
 func Unread(c net.Conn) bool {
 	n, ok, e := peek(c)
 	return ok && e == nil && n > 0
 }
 
-const noSocket = -1 // of peek: the connection has no descriptor to look at
+const noSocket = -1 // result of peek: the connection has no descriptor
 
-// peek looks at the next byte without taking it and without waiting (Read would wait for a goroutine that
-// reads). ok is false where nothing could be looked at; n is then noSocket for a connection without a
+// peek looks at the next byte without consuming it and without blocking (raw.Read would wait for a goroutine that
+// reads). ok is false if the connection could not be inspected; n is then noSocket for a connection without a
 // descriptor.
 func peek(c net.Conn) (n int, ok bool, e error) {
 	sc, isSocket := c.(syscall.Conn)
@@ -47,8 +49,8 @@
 	return n, err == nil, e
 }
 
-// WaitEnd waits until the other side has ended a connection, or its read deadline, and returns what a read would have
-// said. Bytes that come meanwhile are left unread; an end behind them is seen all the same.
+// WaitEnd blocks until the peer has ended a connection, or until its read deadline, and returns the error that a read
+// would return. Data that arrives meanwhile is left unread; an end of stream behind it is detected all the same.
 func WaitEnd(c syscall.Conn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -60,7 +62,7 @@
 		n, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case e == syscall.EAGAIN || e == syscall.EINTR:
-			return false // until more comes, or the deadline
+			return false // wait for the next event on the socket, or for the deadline
 		case e == nil && n > 0:
 			return hungUp(fd)
 		case e != nil:
@@ -74,8 +76,8 @@
 	return end
 }
 
-// HungUp tells, without waiting, whether the other side has ended a connection, or its sending, be it behind bytes that
-// are not read yet.
+// HungUp reports, without blocking, whether the peer has closed a connection or its sending side, even behind data that
+// has not been read yet.
 func HungUp(c syscall.Conn) (ended bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -85,7 +87,7 @@
 	return ended
 }
 
-// hungUp tells whether the other side has ended its sending, or the connection, behind bytes that are not read yet.
+// hungUp is HungUp for a descriptor.
 func hungUp(fd uintptr) bool {
 	pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(pollFDs, 0)
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -8,8 +8,7 @@
 	"junctionring/internal/socket"
 )
 
-// A connection that another goroutine reads on is looked at without waiting for that read; unread bytes and
-// an end show.
+// Quiet does not wait for a goroutine that reads from the connection, and detects unread data and an end of stream.
 func TestQuiet(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,12 +33,12 @@
 		close(read)
 	}()
 	if !socket.Quiet(server) {
-		t.Error("a connection that is read on is not quiet")
+		t.Error("a connection with a pending read is not quiet")
 	}
 	io.WriteString(client, "ab")
 	<-read
-	if socket.Quiet(server) { // on loopback the second byte came with the first
-		t.Error("a byte is left, and the connection is quiet")
+	if socket.Quiet(server) { // on loopback the second byte arrives with the first
+		t.Error("a connection with an unread byte is quiet")
 	}
 	io.ReadFull(server, make([]byte, 1))
 	client.Close()
--- a/replacement/replacement.go
+++ b/replacement/replacement.go
@@ -1,21 +1,22 @@
-// Package replacement decides how a process hands its listening sockets and its clients' connections to the one
-// that replaces it: who may succeed, when connections pass, and whose each of them is. It does no I/O and has no
-// clock; what silence means, and when, its caller says with Lost.
+// Package replacement decides how a process hands its listening sockets and its clients' connections over to its
+// successor, the process that replaces it: which process becomes the successor, when connections are passed, and
+// which of the two processes owns each of them. It does no I/O and has no clock; the caller decides when a successor
+// that does not answer counts as failed, and reports it with Lost.
 package replacement
 
-// State is how far the old process has come.
+// State is the progress of the predecessor, the process that is replaced.
 type State int
 
-// The states of the old process.
+// The states of the predecessor.
 const (
-	NoSuccessor State = iota // it serves, and nobody is to follow
-	Paired                   // a successor holds the listening sockets too, and does not serve yet
-	BothServing              // both accept and serve
-	HandingOver              // told to end: each connection at rest passes to the successor
-	Draining                 // told to end with no successor: it serves on, and closes with its answers
+	NoSuccessor State = iota // serving, without a successor
+	Paired                   // a successor holds the listening sockets too, but does not serve yet
+	BothServing              // both processes accept and serve
+	HandingOver              // shutting down: each connection that becomes idle is passed to the successor
+	Draining                 // shutting down without a successor: still serves, and closes each connection with its answer
 )
 
-// Successor is a process that asked to succeed, numbered by the caller from 1.
+// Successor is a process that asked to replace this one, numbered by the caller from 1.
 type Successor int
 
 // Conn is a connection, numbered by the caller.
@@ -23,22 +24,23 @@
 
 // Events.
 type (
-	// Requested: a process wants to succeed.
+	// Requested: a process asks to become the successor.
 	Requested struct{ Successor Successor }
-	// Ready: it serves.
+	// Ready: the successor serves.
 	Ready struct{ Successor Successor }
-	// Lost: it ended, fell silent, or spoke what cannot be read. What it still acknowledged came before.
+	// Lost: the successor ended, did not answer in time, or sent a malformed message. The caller reports every
+	// acknowledgement of that successor before Lost.
 	Lost struct{ Successor Successor }
-	// ShutdownRequested: this process is to end.
+	// ShutdownRequested: this process is to shut down.
 	ShutdownRequested struct{}
-	// ConnIdle: a connection has nothing of a request read from it, and nobody reads it here any more.
+	// ConnIdle: no part of a request has been read from a connection, and this process no longer reads from it.
 	ConnIdle struct{ Conn Conn }
-	// Acknowledged: the successor has a connection, and has not read from it yet.
+	// Acknowledged: the successor has received a connection, and has not read from it yet.
 	Acknowledged struct {
 		Successor Successor
 		Conn      Conn
 	}
-	// Declined: the successor does not want it, or could not be given it.
+	// Declined: the successor does not take a connection, or the connection could not be passed to it.
 	Declined struct {
 		Successor Successor
 		Conn      Conn
@@ -47,45 +49,46 @@
 
 // Actions.
 type (
-	// SendListeners gives the listening sockets to a process.
+	// SendListeners passes the listening sockets to the successor.
 	SendListeners struct{ Successor Successor }
-	// Refuse tells a process that it does not succeed.
+	// Refuse tells a process that it does not become the successor.
 	Refuse struct {
 		Successor Successor
 		Reason    string
 	}
-	// BeginHandover: accept no more, and report each connection that rests. The listening sockets stay open.
+	// BeginHandover: stop accepting connections, and report each connection that becomes idle. The listening sockets
+	// stay open.
 	BeginHandover struct{}
-	// ResumeAccepting: accept again, and drain as one that nobody follows.
+	// ResumeAccepting: accept connections again, and drain as without a successor.
 	ResumeAccepting struct{}
-	// Pass gives a connection's descriptor to the successor; this process keeps its own, and reads nothing.
+	// Pass sends a connection's descriptor to the successor; this process keeps its own descriptor, and does not read
+	// from it.
 	Pass struct {
 		Successor Successor
 		Conn      Conn
 	}
-	// Release closes this process's descriptor of a connection that is the successor's.
+	// Release closes this process's descriptor of a connection that the successor owns.
 	Release struct{ Conn Conn }
-	// Keep serves a connection on, here.
+	// Keep continues to serve a connection in this process.
 	Keep struct{ Conn Conn }
-	// Drain: nobody follows.
+	// Drain: shut down without a successor.
 	Drain struct{}
 )
 
-// Machine is the old process's side.
+// Machine is the predecessor's state machine. It is not safe for concurrent use.
 type Machine struct {
 	state          State
 	stopping       bool
-	successor      Successor // 0: none
-	unacknowledged map[Conn]struct{}
+	successor      Successor         // 0: none
+	unacknowledged map[Conn]struct{} // passed to the successor, and neither acknowledged nor declined yet
 }
 
-// New is a process that serves alone.
+// New returns the state machine of a process that serves without a successor.
 func New() *Machine { return &Machine{unacknowledged: map[Conn]struct{}{}} }
 
-// State tells how far it has come.
 func (m *Machine) State() State { return m.state }
 
-// Handle takes one event in, and appends what follows from it.
+// Handle processes one event and appends the resulting actions.
 func (m *Machine) Handle(event any, actions []any) []any {
 	switch e := event.(type) {
 	case Requested:
@@ -130,7 +133,7 @@
 		if e.Successor == 0 || e.Successor != m.successor {
 			return actions
 		}
-		for c := range m.unacknowledged { // never acknowledged, so never read by it
+		for c := range m.unacknowledged { // not acknowledged, so the successor has not read from it
 			actions = append(actions, Keep{c})
 		}
 		clear(m.unacknowledged)
@@ -148,7 +151,7 @@
 	return actions
 }
 
-// begin starts the handing over once this process is to end and the other serves.
+// beginHandover begins the handover once shutdown is requested and the successor serves.
 func (m *Machine) beginHandover(actions []any) []any {
 	if m.stopping && m.state == BothServing {
 		m.state = HandingOver
@@ -157,7 +160,8 @@
 	return actions
 }
 
-// mine tells whether a connection was passed to the successor and not settled yet, and settles it.
+// settle records that the successor has acknowledged or declined a connection. It reports whether the connection was
+// still unacknowledged; otherwise it changes nothing.
 func (m *Machine) settle(s Successor, c Conn) bool {
 	_, ok := m.unacknowledged[c]
 	if s != m.successor || !ok {
--- a/replacement/replacement_test.go
+++ b/replacement/replacement_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// world is what the two sides do, followed beside the machine: who accepts, and who may read each connection.
+// model tracks both processes independently of the state machine: which accepts, and which may read each connection.
 type model struct {
 	machine        *Machine
 	stopping       bool
-	successor      Successor // holds the listening sockets
-	successorReady bool      // that one said so
+	successor      Successor // the process that was last sent the listening sockets
+	successorReady bool      // it has reported that it serves
 	accepting      bool
 	draining       bool
 	lost           map[Successor]bool
-	owner          map[Conn]string // here, none, passed, there
+	owner          map[Conn]string // reader: here (this process), none, passed (unacknowledged), there (the successor)
 }
 
 func (m *model) step(t *testing.T, events []any) {
@@ -42,16 +42,16 @@
 		switch a := a.(type) {
 		case SendListeners:
 			if m.successor != 0 && !m.lost[m.successor] {
-				fail("lent to %d while %d succeeds", a.Successor, m.successor)
+				fail("the listening sockets are sent to %d while %d is the successor", a.Successor, m.successor)
 			}
 			m.successor, m.successorReady = a.Successor, false
 		case Refuse:
 			if a.Successor == m.successor || a.Reason == "" {
-				fail("%d turned away (%q)", a.Successor, a.Reason)
+				fail("process %d is refused with reason %q, and process %d is the successor", a.Successor, a.Reason, m.successor)
 			}
 		case BeginHandover:
 			if !m.stopping || !m.successorReady || m.lost[m.successor] {
-				fail("handing begins with nobody to hand to, or before it is told")
+				fail("the handover begins without a serving successor, or before shutdown is requested")
 			}
 			m.accepting = false
 		case ResumeAccepting:
@@ -60,33 +60,34 @@
 			m.draining = true
 		case Pass:
 			if m.owner[a.Conn] != "none" || m.lost[a.Successor] || a.Successor != m.successor {
-				fail("%v is passed to %d while it is %s", a.Conn, a.Successor, m.owner[a.Conn])
+				fail("connection %v is passed to process %d in state %q", a.Conn, a.Successor, m.owner[a.Conn])
 			}
 			m.owner[a.Conn] = "passed"
 		case Release:
 			if m.owner[a.Conn] != "there" {
-				fail("%v is let go of while it is %s", a.Conn, m.owner[a.Conn])
+				fail("connection %v is released in state %q", a.Conn, m.owner[a.Conn])
 			}
 		case Keep:
 			if o := m.owner[a.Conn]; o != "none" && o != "passed" {
-				fail("%v is served here while it is %s", a.Conn, o)
+				fail("connection %v is kept in state %q", a.Conn, o)
 			}
 			m.owner[a.Conn] = "here"
 		}
 	}
 	for c, o := range m.owner {
 		if o == "none" || o == "passed" && m.lost[m.successor] {
-			fail("connection %d is nobody's (%s)", c, o)
+			fail("connection %d has no reader (state %q)", c, o)
 		}
 	}
 	if alive := m.successor != 0 && !m.lost[m.successor]; m.stopping && !alive && (!m.accepting || !m.draining) {
-		fail("told to end with nobody to follow, and accepting %v, draining %v", m.accepting, m.draining)
+		fail("shutting down without a successor: accepting %v, draining %v, want both", m.accepting, m.draining)
 	}
 }
 
-// Every order of events up to a depth: two processes ask, serve, acknowledge, decline and die; this one is told to
-// end; two connections come to rest. No connection ever has two readers or none, none is passed to a process that
-// does not serve or is dead, and a process that loses its successor serves on and drains.
+// Explores every order of events up to a depth: two processes request the handover, serve, acknowledge, decline and are
+// lost; this process is told to shut down; two connections become idle. No connection ever has two readers or none,
+// none is passed to a process that does not serve or is lost, and a process that loses its successor accepts
+// connections again and drains.
 func TestEveryOrder(t *testing.T) {
 	events := []any{ShutdownRequested{}}
 	for s := Successor(1); s <= 2; s++ {
@@ -97,7 +98,7 @@
 	orders := 0
 	var explore func(prefix []any)
 	explore = func(prefix []any) {
-		if len(prefix) > 0 { // replayed from the start: a machine is not copied
+		if len(prefix) > 0 { // replayed from the start, since a state machine cannot be copied
 			m := &model{machine: New(), accepting: true, lost: map[Successor]bool{}, owner: map[Conn]string{1: "here", 2: "here"}}
 			for i := range prefix {
 				if !possible(m, prefix[i]) {
@@ -113,16 +114,16 @@
 			}
 		}
 	}
-	explore([]any{Requested{1}}) // the orders that matter have a successor, and the word to end, in some place
+	explore([]any{Requested{1}}) // relevant orders contain both a successor and a shutdown request
 	explore([]any{ShutdownRequested{}})
-	explore([]any{Requested{1}, Ready{1}, ShutdownRequested{}, ConnIdle{1}}) // deeper where handing has begun
+	explore([]any{Requested{1}, Ready{1}, ShutdownRequested{}, ConnIdle{1}}) // deeper after the handover has begun
 	if orders < 100_000 {
-		t.Errorf("only %d orders were gone through", orders)
+		t.Errorf("only %d orders were explored, want at least 100,000", orders)
 	}
 }
 
-// possible leaves out what the callers guarantee not to happen: a process speaks after it was lost or before it
-// asked, or a connection rests that is not read here.
+// possible excludes events that the caller of the state machine rules out: a message from a process that was lost or
+// that has not requested the handover, and an idle report for a connection that this process does not read.
 func possible(m *model, event any) bool {
 	switch e := event.(type) {
 	case Requested:
--- a/versions/versions.go
+++ b/versions/versions.go
@@ -323,7 +323,8 @@
 // come into force.
 func (l *Lifecycle) Needs(o Offer) bool {
 	matches := func(k *Offer) bool { return k != nil && k.Number == o.Number && k.Digest == o.Digest }
-	return matches(&l.inForce) || l.step != Offered && matches(&l.current) || matches(l.next) || matches(l.awaitingRoster) || matches(l.heldByPin)
+	return matches(&l.inForce) || l.step != Offered && matches(&l.current) ||
+		matches(l.next) || matches(l.awaitingRoster) || matches(l.heldByPin)
 }
 
 // startNext offers the waiting version again, if there is one.
@@ -374,8 +375,8 @@
 }
 
 func (l *Lifecycle) Status() Status {
-	s := Status{InForce: l.inForce, Since: l.since, Highest: l.highest, Pinned: l.pinned, Step: l.step, LastRejected: l.lastRejected,
-		History: append([]Entry(nil), l.history...)}
+	s := Status{InForce: l.inForce, Since: l.since, Highest: l.highest, Pinned: l.pinned, Step: l.step,
+		LastRejected: l.lastRejected, History: append([]Entry(nil), l.history...)}
 	if l.step != Offered {
 		s.InProgress = l.current.Number
 	}
--- a/versions/versions_test.go
+++ b/versions/versions_test.go
@@ -238,7 +238,7 @@
 					t.Fatalf("version %d is in force but was not saved last", n.Number)
 				}
 				if before.Pinned && before.Step < Saving {
-					t.Fatalf("version %d came into force under a pin", n.Number)
+					t.Fatal("the version in force changed under a pin")
 				}
 			}
 			highest = max(highest, after.InForce.Number)
