--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -19,7 +19,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// old is a process that serves, as far as a handover sees it.
+// oldProcess is a serving process, reduced to its part in a handover.
 type oldProcess struct {
 	*Predecessor
 	dir, address string
@@ -43,12 +43,12 @@
 	return o
 }
 
-// await waits for what another goroutine is about to do.
+// await waits for a condition that another goroutine brings about.
 func await(t *testing.T, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); {
 		if time.Now().After(end) {
-			t.Fatal("it never came about")
+			t.Fatal("the condition was not met within 20 s")
 		}
 		runtime.Gosched()
 	}
@@ -59,11 +59,11 @@
 	select {
 	case <-c:
 	case <-time.After(20 * time.Second):
-		t.Fatalf("%s: never", what)
+		t.Fatalf("timed out after 20 s waiting for: %s", what)
 	}
 }
 
-// pair is a client's connection and its end at the old process.
+// pair returns a client's connection and its server end in the predecessor.
 func (o *oldProcess) pair(t *testing.T) (client net.Conn, server *net.TCPConn) {
 	t.Helper()
 	client, err := net.Dial("tcp", o.address)
@@ -80,8 +80,8 @@
 	return client, c.(*net.TCPConn)
 }
 
-// The successor gets the listening socket itself, and a connection with what its client sends meanwhile; the old
-// process's descriptor may be closed.
+// The successor receives the listening socket itself, and a connection with the data that its client sends during the
+// handover; the predecessor may then close its own descriptor.
 func TestHandedOver(t *testing.T) {
 	o := newOldProcess(t)
 	s, err := Connect(o.dir, discardLog, o.address, "127.0.0.1:1")
@@ -90,7 +90,7 @@
 	}
 	l := s.Listener(o.address)
 	if l == nil || s.Listener("127.0.0.1:1") != nil {
-		t.Fatal("not the sockets that the old process has were lent")
+		t.Fatal("the listening sockets received are not those of the predecessor")
 	}
 	defer l.Close()
 	adopted := make(chan *net.TCPConn, 1)
@@ -99,7 +99,7 @@
 	begun, _, _ := o.NotifyShutdown()
 	select {
 	case <-begun:
-		t.Fatal("it begins before the successor serves")
+		t.Fatal("the handover begins before the successor serves")
 	default:
 	}
 	go func() { ran <- s.Run(context.Background(), func(c *net.TCPConn) bool { adopted <- c; return true }) }()
@@ -115,7 +115,7 @@
 	if line, err := bufio.NewReader(c).ReadString('\n'); line != "sent meanwhile\n" {
 		t.Errorf("the successor read %q, %v", line, err)
 	}
-	o.l.Close() // the queue is the successor's as well
+	o.l.Close() // the successor shares the accept queue
 	late, err := net.Dial("tcp", o.address)
 	if err != nil {
 		t.Fatal(err)
@@ -128,8 +128,8 @@
 	}
 }
 
-// What a successor may do wrong at each point: the old process keeps what was not acknowledged, and goes on as one
-// that nobody follows.
+// A successor fails at each point of the handover: the predecessor keeps the connection that was not acknowledged, and
+// continues without a successor.
 func TestSuccessorFails(t *testing.T) {
 	for name, script := range map[string]func(t *testing.T, l link, sent <-chan bool){
 		"never answers": func(t *testing.T, l link, sent <-chan bool) { <-sent },
@@ -161,7 +161,7 @@
 			defer l.Close()
 			l.send(message{Kind: kindAsk, Addresses: []string{o.address}})
 			if m, err := l.receive(); err != nil || m.Kind != kindLend || len(m.fds) != 1 {
-				t.Fatalf("lent %+v, %v", m, err)
+				t.Fatalf("received %+v, %v, want one listening socket", m, err)
 			}
 			l.send(message{Kind: kindReady})
 			client, server := o.pair(t)
@@ -170,25 +170,25 @@
 			sent := make(chan bool, 1)
 			go script(t, l, sent)
 			if o.Transfer(server) {
-				t.Error("a connection that was not acknowledged counts as taken")
+				t.Error("a connection that was not acknowledged was reported as transferred")
 			}
 			sent <- true
 			io.WriteString(client, "x")
 			if n, err := server.Read(make([]byte, 1)); n != 1 {
-				t.Errorf("the connection is not the old process's any more: %v", err)
+				t.Errorf("the predecessor can no longer read from the connection: %v", err)
 			}
 			if name != "declines" {
-				awaitClosed(t, lost, "the successor counts as lost")
-				if err := l.send(message{Kind: kindTook, Conn: 1}); err == nil { // else both would read
-					t.Error("a successor that was given up can still acknowledge")
+				awaitClosed(t, lost, "the successor is reported as lost")
+				if err := l.send(message{Kind: kindTook, Conn: 1}); err == nil { // otherwise both processes would read
+					t.Error("a successor that was disconnected can still acknowledge")
 				}
 			}
 		})
 	}
 }
 
-// A second process that would follow is told why it may not, and the first one is not disturbed; once that has
-// gone, another may.
+// While there is a successor, a second process is refused with a reason, and the first is not disturbed; once the first
+// has gone, another may become the successor.
 func TestTwoSuccessors(t *testing.T) {
 	o := newOldProcess(t)
 	first, err := Connect(o.dir, discardLog, o.address)
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Connect(o.dir, discardLog, o.address); err == nil || !strings.Contains(err.Error(), "another process succeeds") {
-		t.Errorf("the second was told %v", err)
+		t.Errorf("the second process got error %v", err)
 	}
 	first.Close()
 	await(t, func() bool {
@@ -206,14 +206,14 @@
 		}
 		return err == nil
 	})
-	_, alone, _ := o.NotifyShutdown()
-	awaitClosed(t, alone, "nobody follows")
+	_, noSuccessor, _ := o.NotifyShutdown()
+	awaitClosed(t, noSuccessor, "the report that there is no successor")
 	if _, err := Connect(o.dir, discardLog, o.address); err == nil {
-		t.Error("a process that ends took a successor")
+		t.Error("a process that is shutting down accepted a successor")
 	}
 }
 
-// What an old process may send that is not what belongs there is not used.
+// The successor rejects descriptors from the predecessor that are not listening sockets of the requested address.
 func TestReceivedListenersAreChecked(t *testing.T) {
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -262,15 +262,15 @@
 			}()
 			if s, err := Connect(dir, discardLog, address); err == nil {
 				s.Close()
-				t.Error("it was taken")
+				t.Error("the descriptors were accepted")
 			}
 		})
 	}
 }
 
-// Where no old process can be reached the new one is told so at once, and can be found itself afterwards: a socket
-// that a killed process left, none at all, a long path; not in a folder that cannot hold one, and not in the place of
-// what is no socket.
+// Where no predecessor can be reached, Connect fails at once, and the new process can listen at the path itself: when
+// there is no socket, when a killed process left one behind, and when the path is long. It cannot listen in a directory
+// that cannot hold a socket, nor in place of a file that is not a socket.
 func TestSocketPaths(t *testing.T) {
 	for name, c := range map[string]struct {
 		make  func(t *testing.T, dir string) string
@@ -305,21 +305,21 @@
 			dir := c.make(t, t.TempDir())
 			if s, err := Connect(dir, discardLog, "a:1"); err == nil {
 				s.Close()
-				t.Fatal("somebody was found")
+				t.Fatal("Connect reached a process")
 			}
 			listener, err := claim(Path(dir, "a:1"))
 			if (err == nil) != c.found {
-				t.Fatalf("claimed: %v", err)
+				t.Fatalf("claim returned %v, want success: %v", err, c.found)
 			}
 			if err != nil {
 				return
 			}
 			defer listener.Close()
 			if _, err := claim(Path(dir, "a:1")); !errors.Is(err, errInUse) {
-				t.Errorf("a second process claims it: %v", err)
+				t.Errorf("second claim of the path: got %v, want errInUse", err)
 			}
 			if l, err := dial(Path(dir, "a:1")); err != nil {
-				t.Errorf("it is not found: %v", err)
+				t.Errorf("the listening process cannot be reached: %v", err)
 			} else {
 				l.Close()
 			}
@@ -327,7 +327,8 @@
 	}
 }
 
-// Whatever bytes come, a message is read or refused, and no descriptor that came with them stays open.
+// Whatever data arrives, receive returns a message or an error, and descriptors that came with a malformed message do not
+// stay open.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte(`{"v":1,"kind":"pass","conn":3}`))
 	f.Add([]byte(`{"v":2,"kind":"pass"}`))
@@ -353,7 +354,7 @@
 		defer c.Close()
 		m, err := link{c.(*net.UnixConn)}.receive()
 		if err != nil && len(m.fds) > 0 {
-			t.Errorf("%q: not taken, with %d descriptors", b, len(m.fds))
+			t.Errorf("%q: receive returned an error and kept %d descriptors", b, len(m.fds))
 		}
 		m.closeFDs()
 	})
--- a/internal/handoff/link.go
+++ b/internal/handoff/link.go
@@ -1,7 +1,7 @@
-// Package handoff carries out what replacement decides: the process that serves and the one that replaces it find
-// each other through a Unix socket in a shared folder, and listening sockets and connections go over it as
-// descriptors. Nothing that comes over it is taken on trust: the socket's owner, the peer's, the form of each
-// message and what a descriptor stands for are checked.
+// Package handoff carries out the decisions of package replacement: the successor finds the running process through a
+// Unix socket in a shared directory, and listening sockets and connections are passed over it as file descriptors. It
+// does not trust its peer: it checks the owner of the socket, the user of the peer, the form of each message and the
+// kind of each descriptor.
 package handoff
 
 import (
@@ -20,26 +20,27 @@
 
 const (
 	protocolVersion = 1
-	maxMessageBytes = 4096 // of a message
-	maxFDs          = 8
-	sendTimeout     = 200 * time.Millisecond // a peer that does not read
-	maxPathBytes    = 100                    // bytes of a Unix socket's address: the kernel takes 107
+	maxMessageBytes = 4096
+	maxFDs          = 8                      // in a message
+	sendTimeout     = 200 * time.Millisecond // for a peer that does not read
+	maxPathBytes    = 100                    // of a Unix socket's address: the kernel allows 107
 )
 
-// kind is what a message says.
+// messageKind is the type of a message.
 type messageKind string
 
 const (
-	kindAsk     messageKind = "ask"     // successor: I serve these addresses, and want to follow
-	kindLend    messageKind = "lend"    // old: here are the listening sockets of these
-	kindRefuse  messageKind = "refuse"  // old: you do not follow
-	kindReady   messageKind = "ready"   // successor: I serve
-	kindPass    messageKind = "pass"    // old: here is a connection
-	kindTook    messageKind = "took"    // successor: I have it, and read nothing before this
-	kindDecline messageKind = "decline" // successor: it is none that I can serve
+	kindAsk     messageKind = "ask"     // successor: requests the handover of these addresses
+	kindLend    messageKind = "lend"    // predecessor: carries the listening sockets of these addresses
+	kindRefuse  messageKind = "refuse"  // predecessor: refuses the handover
+	kindReady   messageKind = "ready"   // successor: serves
+	kindPass    messageKind = "pass"    // predecessor: carries a connection
+	kindTook    messageKind = "took"    // successor: acknowledges a connection, before it reads from it
+	kindDecline messageKind = "decline" // successor: cannot serve the connection
 )
 
-// message is one record on the socket, which keeps records apart (SOCK_SEQPACKET): one that is cut has no form.
+// message is one record on the socket, which preserves record boundaries (SOCK_SEQPACKET): a truncated record is
+// malformed.
 type message struct {
 	Version   int         `json:"v"`
 	Kind      messageKind `json:"kind"`
@@ -49,12 +50,12 @@
 	fds       []int
 }
 
-// link is the socket between two processes.
+// link is the socket between predecessor and successor.
 type link struct{ *net.UnixConn }
 
-var errMalformed = errors.New("not a message of a handover")
+var errMalformed = errors.New("malformed or unexpected handover message")
 
-// send writes one message, waiting little. use may lend it descriptors for the time of the call.
+// send writes one message, and blocks for sendTimeout at most. The descriptors need to be open only during the call.
 func (l link) send(m message, fds ...int) error {
 	m.Version = protocolVersion
 	b, err := json.Marshal(m)
@@ -70,7 +71,7 @@
 	return err
 }
 
-// receive reads one message. Descriptors that come with one that is not taken are closed.
+// receive reads one message. It closes the descriptors that come with a malformed message.
 func (l link) receive() (m message, err error) {
 	b, oob := make([]byte, maxMessageBytes), make([]byte, unix.CmsgSpace(4*maxFDs))
 	n, on, flags, _, err := l.ReadMsgUnix(b, oob)
@@ -82,7 +83,7 @@
 		m.closeFDs()
 		return message{}, errMalformed
 	}
-	if flags&unix.MSG_CTRUNC != 0 { // no descriptor was free for one of them
+	if flags&unix.MSG_CTRUNC != 0 { // truncated: no descriptor was free for one of them
 		m.closeFDs()
 	}
 	return m, nil
@@ -108,7 +109,7 @@
 	m.fds = nil
 }
 
-// peer checks who is at the other end: one of this user's processes.
+// checkPeer checks that the process at the other end runs as the same user.
 func (l link) checkPeer() error {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -119,19 +120,21 @@
 		return e
 	}
 	if err == nil && int(cred.Uid) != os.Getuid() {
-		err = fmt.Errorf("process %d is user %d's", cred.Pid, cred.Uid)
+		err = fmt.Errorf("peer process %d runs as user %d, which is not the user of this process", cred.Pid, cred.Uid)
 	}
 	return err
 }
 
-// stream checks that a descriptor is a TCP socket, listening or connected, and bound to the port of an address.
+// checkTCPSocket checks that a descriptor is a stream socket, that it listens exactly if listening is true, and that it is
+// bound to the port of an address.
 func checkTCPSocket(fd int, listening bool, address string) error {
 	wantListening := map[bool]int{false: 0, true: 1}[listening]
-	if socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE); err != nil || socketType != unix.SOCK_STREAM {
-		return fmt.Errorf("descriptor %d is no stream socket", fd)
+	if socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE); err != nil ||
+		socketType != unix.SOCK_STREAM {
+		return fmt.Errorf("descriptor %d is not a stream socket", fd)
 	}
 	if l, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || l != wantListening {
-		return fmt.Errorf("descriptor %d: listening %d, not %d", fd, l, wantListening)
+		return fmt.Errorf("descriptor %d: SO_ACCEPTCONN is %d, want %d", fd, l, wantListening)
 	}
 	name, err := unix.Getsockname(fd)
 	if err != nil {
@@ -145,12 +148,12 @@
 		port = name.Port
 	}
 	if _, want, err := net.SplitHostPort(address); err != nil || want != fmt.Sprint(port) {
-		return fmt.Errorf("descriptor %d is bound to port %d, not to %s", fd, port, address)
+		return fmt.Errorf("descriptor %d is bound to port %d, want the port of %s", fd, port, address)
 	}
 	return nil
 }
 
-// control runs f on a socket's descriptor.
+// withFD calls f with a socket's descriptor, which stays open during the call.
 func withFD(c syscall.Conn, f func(fd int) error) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -162,7 +165,7 @@
 	return err
 }
 
-// Path is where the process that serves an address is found.
+// Path is the path of the handover socket of the process that serves an address.
 func Path(dir, address string) string {
 	return filepath.Join(dir, "junctionring-"+strings.Map(func(r rune) rune {
 		if r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r == '.' {
@@ -172,7 +175,7 @@
 	}, strings.ToLower(address))+".sock")
 }
 
-// reach runs f with a short name for a path: a Unix socket's address has little room.
+// withShortPath calls f with a name for path that fits into the address of a Unix socket.
 func withShortPath(path string, f func(string) error) error {
 	if len(path) <= maxPathBytes {
 		return f(path)
@@ -185,14 +188,14 @@
 	return f(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 }
 
-// dial connects to the process at a path, if a socket of this user's is there and somebody listens on it.
+// dial connects to the process that listens on the socket at a path. The socket must belong to this process's user.
 func dial(path string) (link, error) {
 	var st unix.Stat_t
 	if err := unix.Lstat(path, &st); err != nil {
 		return link{}, &os.PathError{Op: "lstat", Path: path, Err: err}
 	}
 	if st.Mode&unix.S_IFMT != unix.S_IFSOCK || int(st.Uid) != os.Getuid() {
-		return link{}, fmt.Errorf("%s: mode %o of user %d is no socket of ours", path, st.Mode, st.Uid)
+		return link{}, fmt.Errorf("%s (mode %o, owner %d) is not a Unix socket of this process's user", path, st.Mode, st.Uid)
 	}
 	var l link
 	err := withShortPath(path, func(name string) (err error) {
@@ -209,10 +212,10 @@
 	return l, nil
 }
 
-var errInUse = errors.New("another process is found there")
+var errInUse = errors.New("another process listens on the handover socket")
 
-// claim listens at a path, unless a process that lives is found there. A socket left by one that was killed is
-// replaced, in one step: whoever looks finds the one or the other.
+// claim listens on a socket at a path, unless a running process already does. A socket that a killed process left behind
+// is replaced atomically: at any moment the path names either the old or the new socket.
 func claim(path string) (*net.UnixListener, error) {
 	l, err := dial(path)
 	switch {
@@ -233,7 +236,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // by then it may be another process's
+	listener.SetUnlinkOnClose(false) // by then the path may name another process's socket
 	if err := os.Rename(temporary, path); err != nil {
 		listener.Close()
 		os.Remove(temporary)
--- a/internal/handoff/predecessor.go
+++ b/internal/handoff/predecessor.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	claimRetryInterval = 5 * time.Second        // where no socket can be made
-	claimPollInterval  = 200 * time.Millisecond // between looks whether this process can be found at last
+	claimRetryInterval = 5 * time.Second        // after the handover socket could not be created
+	claimPollInterval  = 200 * time.Millisecond // while another process listens on the handover socket
 	ackTimeout         = 400 * time.Millisecond // for a successor to acknowledge a connection
-	mailboxSize        = 256
+	mailboxSize        = 256                    // messages
 )
 
-// Predecessor is the old process's side of a handover: it can be found from the start, and is asked by its successor.
-// One goroutine runs it, and waits on nobody but its mailbox.
+// Predecessor is the side of a handover in the process that is replaced: it listens from the start, and its successor
+// connects to it. It is an actor: one goroutine runs it, and blocks only on its mailbox.
 type Predecessor struct {
 	path      string
 	address   string
@@ -29,22 +29,23 @@
 	done      chan struct{}
 
 	machine     *replacement.Machine
-	lastID      int // successors and connections are numbered
+	lastID      int // of successors and connections
 	links       map[replacement.Successor]link
-	requested   map[replacement.Successor][]string // the addresses that it asked for
+	requested   map[replacement.Successor][]string // the addresses that each one asked for
 	transfers   map[replacement.Conn]*transfer
 	begun       chan struct{}
 	lost        chan struct{}
 	noSuccessor chan struct{}
 }
 
-// passing is a connection on its way to the successor.
+// transfer is a connection that is being passed to the successor.
 type transfer struct {
 	conn   *net.TCPConn
-	result chan bool // of one place
+	result chan bool // buffered for one result
 	timer  *time.Timer
 }
 
+// The messages of the mailbox.
 type (
 	connected struct{ link link }
 	received  struct {
@@ -60,18 +61,20 @@
 	}
 )
 
-// NewPredecessor makes the old side of a process that serves the listeners, by their addresses as its successor will
-// write them; that of the first address names the place where it is found.
+// NewPredecessor returns the Predecessor of a process that serves the listeners, which are keyed by address in the form
+// that the successor uses. The handover socket is in dir, and its name is made from address, the first of the addresses.
 func NewPredecessor(dir, address string, listeners map[string]net.Listener, log *slog.Logger) *Predecessor {
 	return &Predecessor{
-		path: Path(dir, address), address: address, listeners: listeners, log: log, mailbox: make(chan any, mailboxSize), done: make(chan struct{}),
-		machine: replacement.New(), links: map[replacement.Successor]link{}, requested: map[replacement.Successor][]string{}, transfers: map[replacement.Conn]*transfer{},
+		path: Path(dir, address), address: address, listeners: listeners, log: log,
+		mailbox: make(chan any, mailboxSize), done: make(chan struct{}),
+		machine: replacement.New(), links: map[replacement.Successor]link{},
+		requested: map[replacement.Successor][]string{}, transfers: map[replacement.Conn]*transfer{},
 		begun: make(chan struct{}), lost: make(chan struct{}), noSuccessor: make(chan struct{}),
 	}
 }
 
-// Run can be found, and answers successors, until ctx ends. Where no socket can be made (a folder that is full, a
-// platform without them), this process is replaced without a handover; it says so once.
+// Run accepts and answers successors until ctx ends. If the handover socket cannot be created (the disk is full, or the
+// platform has no such sockets), this process is replaced without a handover; Run logs this once and keeps trying.
 func (p *Predecessor) Run(ctx context.Context) {
 	defer close(p.done)
 	go p.acceptSuccessors(ctx)
@@ -88,13 +91,14 @@
 	}
 }
 
-// listen claims the path, at once or when the process that is found there has ended, and takes successors.
+// acceptSuccessors claims the path, at once or when the process that listens there has ended, and accepts connections of
+// successors.
 func (p *Predecessor) acceptSuccessors(ctx context.Context) {
 	listener, err := claim(p.path)
 	for warned := false; err != nil; listener, err = claim(p.path) {
 		if !errors.Is(err, errInUse) && !warned {
 			warned = true
-			p.log.Warn("handover: no successor will find this process", "err", err)
+			p.log.Warn("handover: cannot listen for a successor; retrying", "err", err)
 		}
 		interval := claimPollInterval
 		if !errors.Is(err, errInUse) {
@@ -129,15 +133,15 @@
 	}
 }
 
-// NotifyShutdown says that this process is to end. begun is closed once the successor serves and connections go to it, alone
-// once it is known that there is none; lost when one that there was is gone.
+// NotifyShutdown reports that this process is to shut down. begun is closed once the successor serves and connections can
+// be passed to it, noSuccessor once it is known that there is none, and lost when the successor fails after begun.
 func (p *Predecessor) NotifyShutdown() (begun, noSuccessor, lost <-chan struct{}) {
 	p.post(shutdownRequested{})
 	return p.begun, p.noSuccessor, p.lost
 }
 
-// Transfer passes a connection to the successor, and returns false if that has not taken it: then it is still the
-// caller's, and nobody else has read from it.
+// Transfer passes a connection to the successor. It returns false if the successor has not acknowledged it: the
+// connection then still belongs to the caller, and the successor has not read from it.
 func (p *Predecessor) Transfer(c *net.TCPConn) bool {
 	t := &transfer{conn: c, result: make(chan bool, 1)}
 	if !p.post(transferRequest{t}) {
@@ -155,7 +159,7 @@
 	switch m := m.(type) {
 	case connected:
 		if err := m.link.checkPeer(); err != nil {
-			p.log.Warn("handover: a caller is not let in", "err", err)
+			p.log.Warn("handover: connection of another process rejected", "err", err)
 			m.link.Close()
 			return
 		}
@@ -176,7 +180,7 @@
 	case received:
 		p.handleMessage(m)
 	case shutdownRequested:
-		p.log.Info("handover: told to end", "state", p.machine.State())
+		p.log.Info("handover: shutdown requested", "state", p.machine.State())
 		p.process(replacement.ShutdownRequested{})
 	case transferRequest:
 		p.lastID++
@@ -185,13 +189,13 @@
 		p.process(replacement.ConnIdle{Conn: id})
 	case ackTimedOut:
 		if p.transfers[m.conn] != nil {
-			p.log.Warn("handover: the successor is silent", "conn", m.conn)
+			p.log.Warn("handover: successor did not acknowledge a connection in time", "conn", m.conn)
 			p.disconnect(m.successor)
 		}
 	}
 }
 
-// heard takes in what a successor says.
+// handleMessage processes a message of a successor, or the end of its link.
 func (p *Predecessor) handleMessage(m received) {
 	defer m.message.closeFDs()
 	l, known := p.links[m.successor]
@@ -221,31 +225,32 @@
 	}
 }
 
-// cut ends a successor's part. It can acknowledge nothing more from here on; what it has acknowledged is still
-// read, up to the end, and only then is it lost: no connection has two readers.
+// disconnect gives up a successor. The successor cannot acknowledge connections any more; acknowledgements that it has
+// already sent are still read, and only after the last one does it count as lost. Otherwise a connection could have two
+// readers.
 func (p *Predecessor) disconnect(successor replacement.Successor) {
 	if l, ok := p.links[successor]; ok {
 		l.CloseRead()
 	}
 }
 
-// do has the machine decide, and carries it out.
+// process passes an event to the state machine and carries out the resulting actions.
 func (p *Predecessor) process(event any) {
 	for _, a := range p.machine.Handle(event, nil) {
 		switch a := a.(type) {
 		case replacement.SendListeners:
 			if err := p.sendListeners(a.Successor); err != nil {
-				p.log.Warn("handover: the listening sockets cannot be lent", "err", err)
+				p.log.Warn("handover: cannot send the listening sockets", "err", err)
 				p.disconnect(a.Successor)
 			}
 		case replacement.Refuse:
-			p.log.Info("handover: a process is turned away", "why", a.Reason)
+			p.log.Info("handover: request refused", "why", a.Reason)
 			p.links[a.Successor].send(message{Kind: kindRefuse, Reason: a.Reason})
 		case replacement.BeginHandover:
-			p.log.Info("handover: begins")
+			p.log.Info("handover: started")
 			close(p.begun)
 		case replacement.ResumeAccepting:
-			p.log.Warn("handover: the successor is lost; this process drains")
+			p.log.Warn("handover: successor lost; draining")
 			close(p.lost)
 		case replacement.Drain:
 			close(p.noSuccessor)
@@ -259,11 +264,11 @@
 	}
 }
 
-// lend gives a successor the listening sockets of the addresses that it asked for and that are served here.
+// sendListeners sends a successor the listening sockets of those requested addresses that this process serves.
 func (p *Predecessor) sendListeners(successor replacement.Successor) error {
 	m := message{Kind: kindLend}
 	var send func(addresses []string, fds []int) error
-	send = func(addresses []string, fds []int) error { // each descriptor is held while the next is looked up
+	send = func(addresses []string, fds []int) error { // nested: every descriptor stays open until the send
 		if len(addresses) == 0 {
 			return p.links[successor].send(m, fds...)
 		}
@@ -278,7 +283,7 @@
 	return send(requested[:min(len(requested), maxFDs)], nil)
 }
 
-// pass sends a connection's descriptor. It stays open here until it is acknowledged.
+// sendConn sends a connection's descriptor. The connection stays open in this process until it is acknowledged.
 func (p *Predecessor) sendConn(a replacement.Pass) {
 	t := p.transfers[a.Conn]
 	err := withFD(t.conn, func(fd int) error {
--- a/internal/handoff/successor.go
+++ b/internal/handoff/successor.go
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-const answerTimeout = time.Second // a process that serves answers at once
+const answerTimeout = time.Second // a running predecessor answers at once
 
-// Successor is the new process's side of a handover.
+// Successor is the side of a handover in the process that replaces another.
 type Successor struct {
 	link      link
-	address   string // whose connections come
+	address   string // of the connections that are passed
 	listeners map[string]net.Listener
 	log       *slog.Logger
 }
 
-// Connect looks for the process that serves the first address and asks it for the listening sockets of all of them. An
-// error says why this process has to open them itself.
+// Connect connects to the process that serves the first address, and requests the listening sockets of all addresses.
+// After an error the caller has to open them itself.
 func Connect(dir string, log *slog.Logger, addresses ...string) (*Successor, error) {
 	l, err := dial(Path(dir, addresses[0]))
 	if err != nil {
@@ -49,7 +49,7 @@
 	defer m.closeFDs()
 	switch {
 	case m.Kind == kindRefuse:
-		return fmt.Errorf("turned away: %s", m.Reason)
+		return fmt.Errorf("the running process refused the handover: %s", m.Reason)
 	case m.Kind != kindLend || len(m.fds) != len(m.Addresses) || len(m.fds) == 0 || m.Addresses[0] != s.address:
 		return errMalformed
 	}
@@ -58,7 +58,7 @@
 			return err
 		}
 		f := os.NewFile(uintptr(fd), "lent")
-		l, err := net.FileListener(f) // a descriptor of its own
+		l, err := net.FileListener(f) // it duplicates the descriptor
 		f.Close()
 		m.fds[i] = -1
 		if err != nil {
@@ -69,14 +69,14 @@
 	return s.link.SetReadDeadline(time.Time{})
 }
 
-// Listener is the socket lent for an address, or nil. It is the caller's.
+// Listener returns the listening socket that was received for an address, or nil. The caller has to close it.
 func (s *Successor) Listener(address string) net.Listener {
 	l := s.listeners[address]
 	delete(s.listeners, address)
 	return l
 }
 
-// Close ends the handover, and closes what nobody asked for.
+// Close ends the handover, and closes the listening sockets that Listener has not returned.
 func (s *Successor) Close() {
 	s.link.Close()
 	for _, l := range s.listeners {
@@ -84,8 +84,8 @@
 	}
 }
 
-// Run says that this process serves, and has it adopt what the old one passes, until that one ends. adopt returns
-// false for a connection that it does not want.
+// Run reports that this process serves, and calls adopt with each connection that the predecessor passes, until the
+// predecessor ends. If adopt returns false, the connection is closed.
 func (s *Successor) Run(ctx context.Context, adopt func(*net.TCPConn) bool) error {
 	defer s.Close()
 	stop := context.AfterFunc(ctx, func() { s.link.Close() })
@@ -94,14 +94,14 @@
 		return err
 	}
 	adopted := 0
-	defer func() { s.log.Info("handover: the old process has ended", "adopted", adopted) }()
+	defer func() { s.log.Info("handover: ended", "adopted", adopted) }()
 	for {
 		m, err := s.link.receive()
 		if errors.Is(err, errMalformed) {
 			return err
 		}
 		if err != nil {
-			return nil // it ended
+			return nil // the predecessor has ended
 		}
 		if m.Kind != kindPass {
 			m.closeFDs()
@@ -109,13 +109,13 @@
 		}
 		c, err := s.connection(&m)
 		if err != nil {
-			s.log.Warn("handover: a connection is declined", "err", err)
+			s.log.Warn("handover: connection declined", "err", err)
 			if err := s.link.send(message{Kind: kindDecline, Conn: m.Conn}); err != nil {
 				return err
 			}
 			continue
 		}
-		// Said before a byte is read: until then the old process may serve it on.
+		// Acknowledged before any data is read: until then the predecessor may continue to serve the connection.
 		if err := s.link.send(message{Kind: kindTook, Conn: m.Conn}); err != nil {
 			c.Close()
 			return err
@@ -129,17 +129,17 @@
 	}
 }
 
-// connection makes a connection of a message's descriptor.
+// connection returns the connection whose descriptor came with a message.
 func (s *Successor) connection(m *message) (*net.TCPConn, error) {
 	defer m.closeFDs()
 	if len(m.fds) != 1 {
-		return nil, fmt.Errorf("%d descriptors where one belongs", len(m.fds))
+		return nil, fmt.Errorf("message carries %d descriptors, want 1", len(m.fds))
 	}
 	if err := checkTCPSocket(m.fds[0], false, s.address); err != nil {
 		return nil, err
 	}
 	if _, err := unix.Getpeername(m.fds[0]); err != nil {
-		return nil, fmt.Errorf("it is not connected: %w", err)
+		return nil, fmt.Errorf("descriptor %d is not connected: %w", m.fds[0], err)
 	}
 	f := os.NewFile(uintptr(m.fds[0]), "passed")
 	m.fds = nil
@@ -151,7 +151,7 @@
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		c.Close()
-		return nil, errors.New("it is no TCP connection")
+		return nil, errors.New("descriptor is not a TCP connection")
 	}
 	return tcp, nil
 }
