--- a/internal/egress/upload.go
+++ b/internal/egress/upload.go
@@ -117,7 +117,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		socket.Ended(raw)
+		socket.WaitEnd(raw)
 	}()
 	return done, func() {
 		c.SetReadDeadline(time.Unix(1, 0)) // in the past
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -17,24 +17,24 @@
 	"golang.org/x/sys/unix"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// old is a process that serves, as far as a handover sees it.
-type old struct {
+// oldProcess is a serving process, reduced to its part in a handover.
+type oldProcess struct {
 	*Predecessor
 	dir, address string
 	l            net.Listener
 }
 
-func newOld(t *testing.T) *old {
+func newOldProcess(t *testing.T) *oldProcess {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	o := &old{dir: t.TempDir(), address: l.Addr().String(), l: l}
-	o.Predecessor = NewPredecessor(o.dir, o.address, map[string]net.Listener{o.address: l}, quiet)
+	o := &oldProcess{dir: t.TempDir(), address: l.Addr().String(), l: l}
+	o.Predecessor = NewPredecessor(o.dir, o.address, map[string]net.Listener{o.address: l}, discardLog)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { o.Run(ctx); close(done) }()
@@ -43,28 +43,28 @@
 	return o
 }
 
-// await waits for what another goroutine is about to do.
+// await waits for a condition that another goroutine brings about.
 func await(t *testing.T, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); {
 		if time.Now().After(end) {
-			t.Fatal("it never came about")
+			t.Fatal("the condition was not met within 20 s")
 		}
 		runtime.Gosched()
 	}
 }
 
-func closed(t *testing.T, c <-chan struct{}, what string) {
+func awaitClosed(t *testing.T, c <-chan struct{}, what string) {
 	t.Helper()
 	select {
 	case <-c:
 	case <-time.After(20 * time.Second):
-		t.Fatalf("%s: never", what)
+		t.Fatalf("timed out after 20 s waiting for: %s", what)
 	}
 }
 
-// pair is a client's connection and its end at the old process.
-func (o *old) pair(t *testing.T) (client net.Conn, server *net.TCPConn) {
+// pair returns a client's connection and its server end in the predecessor.
+func (o *oldProcess) pair(t *testing.T) (client net.Conn, server *net.TCPConn) {
 	t.Helper()
 	client, err := net.Dial("tcp", o.address)
 	if err != nil {
@@ -80,32 +80,32 @@
 	return client, c.(*net.TCPConn)
 }
 
-// The successor gets the listening socket itself, and a connection with what its client sends meanwhile; the old
-// process's descriptor may be closed.
+// The successor receives the listening socket itself, and a connection with the data that its client sends during the
+// handover; the predecessor may then close its own descriptor.
 func TestHandedOver(t *testing.T) {
-	o := newOld(t)
-	h, err := Ask(o.dir, quiet, o.address, "127.0.0.1:1")
+	o := newOldProcess(t)
+	s, err := Connect(o.dir, discardLog, o.address, "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := h.Listener(o.address)
-	if l == nil || h.Listener("127.0.0.1:1") != nil {
-		t.Fatal("not the sockets that the old process has were lent")
+	l := s.Listener(o.address)
+	if l == nil || s.Listener("127.0.0.1:1") != nil {
+		t.Fatal("the listening sockets received are not those of the predecessor")
 	}
 	defer l.Close()
 	adopted := make(chan *net.TCPConn, 1)
 	ran := make(chan error, 1)
 	client, server := o.pair(t)
-	begun, _, _ := o.Told()
+	begun, _, _ := o.NotifyShutdown()
 	select {
 	case <-begun:
-		t.Fatal("it begins before the successor serves")
+		t.Fatal("the handover begins before the successor serves")
 	default:
 	}
-	go func() { ran <- h.Run(context.Background(), func(c *net.TCPConn) bool { adopted <- c; return true }) }()
-	closed(t, begun, "the handover begins")
+	go func() { ran <- s.Run(context.Background(), func(c *net.TCPConn) bool { adopted <- c; return true }) }()
+	awaitClosed(t, begun, "the handover begins")
 	io.WriteString(client, "sent mean")
-	if !o.Give(server) {
+	if !o.Transfer(server) {
 		t.Fatal("the successor did not take the connection")
 	}
 	server.Close()
@@ -115,7 +115,7 @@
 	if line, err := bufio.NewReader(c).ReadString('\n'); line != "sent meanwhile\n" {
 		t.Errorf("the successor read %q, %v", line, err)
 	}
-	o.l.Close() // the queue is the successor's as well
+	o.l.Close() // the successor shares the accept queue
 	late, err := net.Dial("tcp", o.address)
 	if err != nil {
 		t.Fatal(err)
@@ -128,8 +128,8 @@
 	}
 }
 
-// What a successor may do wrong at each point: the old process keeps what was not acknowledged, and goes on as one
-// that nobody follows.
+// A successor fails at each point of the handover: the predecessor keeps the connection that was not acknowledged, and
+// continues without a successor.
 func TestSuccessorFails(t *testing.T) {
 	for name, script := range map[string]func(t *testing.T, l link, sent <-chan bool){
 		"never answers": func(t *testing.T, l link, sent <-chan bool) { <-sent },
@@ -141,80 +141,80 @@
 			l.receive()
 			l.Write([]byte(`{"v":1,"kind":"too`))
 		},
-		"says what is no message of its": func(t *testing.T, l link, sent <-chan bool) { l.send(message{Kind: lend}) },
+		"says what is no message of its": func(t *testing.T, l link, sent <-chan bool) { l.send(message{Kind: kindLend}) },
 		"declines": func(t *testing.T, l link, sent <-chan bool) {
 			m, _ := l.receive()
-			l.send(message{Kind: decline, Conn: m.Conn})
+			l.send(message{Kind: kindDecline, Conn: m.Conn})
 		},
 		"takes another connection": func(t *testing.T, l link, sent <-chan bool) {
 			m, _ := l.receive()
-			l.send(message{Kind: took, Conn: m.Conn + 1})
+			l.send(message{Kind: kindTook, Conn: m.Conn + 1})
 			l.Close()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := newOld(t)
+			o := newOldProcess(t)
 			l, err := dial(Path(o.dir, o.address))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer l.Close()
-			l.send(message{Kind: ask, Listen: []string{o.address}})
-			if m, err := l.receive(); err != nil || m.Kind != lend || len(m.fds) != 1 {
-				t.Fatalf("lent %+v, %v", m, err)
+			l.send(message{Kind: kindAsk, Addresses: []string{o.address}})
+			if m, err := l.receive(); err != nil || m.Kind != kindLend || len(m.fds) != 1 {
+				t.Fatalf("received %+v, %v, want one listening socket", m, err)
 			}
-			l.send(message{Kind: ready})
+			l.send(message{Kind: kindReady})
 			client, server := o.pair(t)
-			begun, _, lost := o.Told()
-			closed(t, begun, "the handover begins")
+			begun, _, lost := o.NotifyShutdown()
+			awaitClosed(t, begun, "the handover begins")
 			sent := make(chan bool, 1)
 			go script(t, l, sent)
-			if o.Give(server) {
-				t.Error("a connection that was not acknowledged counts as taken")
+			if o.Transfer(server) {
+				t.Error("a connection that was not acknowledged was reported as transferred")
 			}
 			sent <- true
 			io.WriteString(client, "x")
 			if n, err := server.Read(make([]byte, 1)); n != 1 {
-				t.Errorf("the connection is not the old process's any more: %v", err)
+				t.Errorf("the predecessor can no longer read from the connection: %v", err)
 			}
 			if name != "declines" {
-				closed(t, lost, "the successor counts as lost")
-				if err := l.send(message{Kind: took, Conn: 1}); err == nil { // else both would read
-					t.Error("a successor that was given up can still acknowledge")
+				awaitClosed(t, lost, "the successor is reported as lost")
+				if err := l.send(message{Kind: kindTook, Conn: 1}); err == nil { // otherwise both processes would read
+					t.Error("a successor that was disconnected can still acknowledge")
 				}
 			}
 		})
 	}
 }
 
-// A second process that would follow is told why it may not, and the first one is not disturbed; once that has
-// gone, another may.
+// While there is a successor, a second process is refused with a reason, and the first is not disturbed; once the first
+// has gone, another may become the successor.
 func TestTwoSuccessors(t *testing.T) {
-	o := newOld(t)
-	first, err := Ask(o.dir, quiet, o.address)
+	o := newOldProcess(t)
+	first, err := Connect(o.dir, discardLog, o.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Ask(o.dir, quiet, o.address); err == nil || !strings.Contains(err.Error(), "another process succeeds") {
-		t.Errorf("the second was told %v", err)
+	if _, err := Connect(o.dir, discardLog, o.address); err == nil || !strings.Contains(err.Error(), "another process succeeds") {
+		t.Errorf("the second process got error %v", err)
 	}
 	first.Close()
 	await(t, func() bool {
-		h, err := Ask(o.dir, quiet, o.address)
+		s, err := Connect(o.dir, discardLog, o.address)
 		if err == nil {
-			h.Close()
+			s.Close()
 		}
 		return err == nil
 	})
-	_, alone, _ := o.Told()
-	closed(t, alone, "nobody follows")
-	if _, err := Ask(o.dir, quiet, o.address); err == nil {
-		t.Error("a process that ends took a successor")
+	_, noSuccessor, _ := o.NotifyShutdown()
+	awaitClosed(t, noSuccessor, "the report that there is no successor")
+	if _, err := Connect(o.dir, discardLog, o.address); err == nil {
+		t.Error("a process that is shutting down accepted a successor")
 	}
 }
 
-// What an old process may send that is not what belongs there is not used.
-func TestWhatIsLentIsChecked(t *testing.T) {
+// The successor rejects descriptors from the predecessor that are not listening sockets of the requested address.
+func TestReceivedListenersAreChecked(t *testing.T) {
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -230,7 +230,7 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	number := func(f func() (*os.File, error)) int {
+	fdOf := func(f func() (*os.File, error)) int {
 		file, err := f()
 		if err != nil {
 			t.Fatal(err)
@@ -241,37 +241,37 @@
 	for name, fds := range map[string][]int{
 		"no descriptor":            nil,
 		"a file":                   {int(file.Fd())},
-		"a datagram socket":        {number(udp.(*net.UDPConn).File)},
-		"another address's socket": {number(other.(*net.TCPListener).File)},
+		"a datagram socket":        {fdOf(udp.(*net.UDPConn).File)},
+		"another address's socket": {fdOf(other.(*net.TCPListener).File)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir, address := t.TempDir(), "127.0.0.1:9"
-			in, err := claim(Path(dir, address))
+			listener, err := claim(Path(dir, address))
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer in.Close()
+			defer listener.Close()
 			go func() {
-				c, err := in.AcceptUnix()
+				c, err := listener.AcceptUnix()
 				if err != nil {
 					return
 				}
 				l := link{c}
 				l.receive()
-				l.send(message{Kind: lend, Listen: []string{address}}, fds...)
+				l.send(message{Kind: kindLend, Addresses: []string{address}}, fds...)
 			}()
-			if h, err := Ask(dir, quiet, address); err == nil {
-				h.Close()
-				t.Error("it was taken")
+			if s, err := Connect(dir, discardLog, address); err == nil {
+				s.Close()
+				t.Error("the descriptors were accepted")
 			}
 		})
 	}
 }
 
-// Where no old process can be reached the new one is told so at once, and can be found itself afterwards: a socket
-// that a killed process left, none at all, a long path; not in a folder that cannot hold one, and not in the place of
-// what is no socket.
-func TestPlaces(t *testing.T) {
+// Where no predecessor can be reached, Connect fails at once, and the new process can listen at the path itself: when
+// there is no socket, when a killed process left one behind, and when the path is long. It cannot listen in a directory
+// that cannot hold a socket, nor in place of a file that is not a socket.
+func TestSocketPaths(t *testing.T) {
 	for name, c := range map[string]struct {
 		make  func(t *testing.T, dir string) string
 		found bool
@@ -303,23 +303,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := c.make(t, t.TempDir())
-			if h, err := Ask(dir, quiet, "a:1"); err == nil {
-				h.Close()
-				t.Fatal("somebody was found")
+			if s, err := Connect(dir, discardLog, "a:1"); err == nil {
+				s.Close()
+				t.Fatal("Connect reached a process")
 			}
-			in, err := claim(Path(dir, "a:1"))
+			listener, err := claim(Path(dir, "a:1"))
 			if (err == nil) != c.found {
-				t.Fatalf("claimed: %v", err)
+				t.Fatalf("claim returned %v, want success: %v", err, c.found)
 			}
 			if err != nil {
 				return
 			}
-			defer in.Close()
-			if _, err := claim(Path(dir, "a:1")); !errors.Is(err, errHeld) {
-				t.Errorf("a second process claims it: %v", err)
+			defer listener.Close()
+			if _, err := claim(Path(dir, "a:1")); !errors.Is(err, errInUse) {
+				t.Errorf("second claim of the path: got %v, want errInUse", err)
 			}
 			if l, err := dial(Path(dir, "a:1")); err != nil {
-				t.Errorf("it is not found: %v", err)
+				t.Errorf("the listening process cannot be reached: %v", err)
 			} else {
 				l.Close()
 			}
@@ -327,7 +327,8 @@
 	}
 }
 
-// Whatever bytes come, a message is read or refused, and no descriptor that came with them stays open.
+// Whatever data arrives, receive returns a message or an error, and descriptors that came with a malformed message do not
+// stay open.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte(`{"v":1,"kind":"pass","conn":3}`))
 	f.Add([]byte(`{"v":2,"kind":"pass"}`))
@@ -353,8 +354,8 @@
 		defer c.Close()
 		m, err := link{c.(*net.UnixConn)}.receive()
 		if err != nil && len(m.fds) > 0 {
-			t.Errorf("%q: not taken, with %d descriptors", b, len(m.fds))
+			t.Errorf("%q: receive returned an error and kept %d descriptors", b, len(m.fds))
 		}
-		m.close()
+		m.closeFDs()
 	})
 }
--- a/internal/handoff/link.go
+++ b/internal/handoff/link.go
@@ -1,7 +1,7 @@
-// Package handoff carries out what replacement decides: the process that serves and the one that replaces it find
-// each other through a Unix socket in a shared folder, and listening sockets and connections go over it as
-// descriptors. Nothing that comes over it is taken on trust: the socket's owner, the peer's, the form of each
-// message and what a descriptor stands for are checked.
+// Package handoff carries out the decisions of package replacement: the successor finds the running process through a
+// Unix socket in a shared directory, and listening sockets and connections are passed over it as file descriptors. It
+// does not trust its peer: it checks the owner of the socket, the user of the peer, the form of each message and the
+// kind of each descriptor.
 package handoff
 
 import (
@@ -19,44 +19,45 @@
 )
 
 const (
-	version   = 1
-	mostBytes = 4096 // of a message
-	mostFDs   = 8
-	sendWait  = 200 * time.Millisecond // a peer that does not read
-	mostPath  = 100                    // bytes of a Unix socket's address: the kernel takes 107
+	protocolVersion = 1
+	maxMessageBytes = 4096
+	maxFDs          = 8                      // in a message
+	sendTimeout     = 200 * time.Millisecond // for a peer that does not read
+	maxPathBytes    = 100                    // of a Unix socket's address: the kernel allows 107
 )
 
-// kind is what a message says.
-type kind string
+// messageKind is the type of a message.
+type messageKind string
 
 const (
-	ask     kind = "ask"     // successor: I serve these addresses, and want to follow
-	lend    kind = "lend"    // old: here are the listening sockets of these
-	refuse  kind = "refuse"  // old: you do not follow
-	ready   kind = "ready"   // successor: I serve
-	pass    kind = "pass"    // old: here is a connection
-	took    kind = "took"    // successor: I have it, and read nothing before this
-	decline kind = "decline" // successor: it is none that I can serve
+	kindAsk     messageKind = "ask"     // successor: requests the handover of these addresses
+	kindLend    messageKind = "lend"    // predecessor: carries the listening sockets of these addresses
+	kindRefuse  messageKind = "refuse"  // predecessor: refuses the handover
+	kindReady   messageKind = "ready"   // successor: serves
+	kindPass    messageKind = "pass"    // predecessor: carries a connection
+	kindTook    messageKind = "took"    // successor: acknowledges a connection, before it reads from it
+	kindDecline messageKind = "decline" // successor: cannot serve the connection
 )
 
-// message is one record on the socket, which keeps records apart (SOCK_SEQPACKET): one that is cut has no form.
+// message is one record on the socket, which preserves record boundaries (SOCK_SEQPACKET): a truncated record is
+// malformed.
 type message struct {
-	V      int      `json:"v"`
-	Kind   kind     `json:"kind"`
-	Listen []string `json:"listen,omitempty"`
-	Conn   int      `json:"conn,omitempty"`
-	Why    string   `json:"why,omitempty"`
-	fds    []int
+	Version   int         `json:"v"`
+	Kind      messageKind `json:"kind"`
+	Addresses []string    `json:"listen,omitempty"`
+	Conn      int         `json:"conn,omitempty"`
+	Reason    string      `json:"why,omitempty"`
+	fds       []int
 }
 
-// link is the socket between two processes.
+// link is the socket between predecessor and successor.
 type link struct{ *net.UnixConn }
 
-var errForm = errors.New("not a message of a handover")
+var errMalformed = errors.New("malformed or unexpected handover message")
 
-// send writes one message, waiting little. use may lend it descriptors for the time of the call.
+// send writes one message, and blocks for sendTimeout at most. The descriptors need to be open only during the call.
 func (l link) send(m message, fds ...int) error {
-	m.V = version
+	m.Version = protocolVersion
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -65,30 +66,30 @@
 	if len(fds) > 0 {
 		oob = unix.UnixRights(fds...)
 	}
-	l.SetWriteDeadline(time.Now().Add(sendWait))
+	l.SetWriteDeadline(time.Now().Add(sendTimeout))
 	_, _, err = l.WriteMsgUnix(b, oob, nil)
 	return err
 }
 
-// receive reads one message. Descriptors that come with one that is not taken are closed.
+// receive reads one message. It closes the descriptors that come with a malformed message.
 func (l link) receive() (m message, err error) {
-	b, oob := make([]byte, mostBytes), make([]byte, unix.CmsgSpace(4*mostFDs))
+	b, oob := make([]byte, maxMessageBytes), make([]byte, unix.CmsgSpace(4*maxFDs))
 	n, on, flags, _, err := l.ReadMsgUnix(b, oob)
 	if err != nil {
 		return m, err
 	}
-	m.fds = rights(oob[:on])
-	if flags&unix.MSG_TRUNC != 0 || json.Unmarshal(b[:n], &m) != nil || m.V != version {
-		m.close()
-		return message{}, errForm
+	m.fds = parseRights(oob[:on])
+	if flags&unix.MSG_TRUNC != 0 || json.Unmarshal(b[:n], &m) != nil || m.Version != protocolVersion {
+		m.closeFDs()
+		return message{}, errMalformed
 	}
-	if flags&unix.MSG_CTRUNC != 0 { // no descriptor was free for one of them
-		m.close()
+	if flags&unix.MSG_CTRUNC != 0 { // truncated: no descriptor was free for one of them
+		m.closeFDs()
 	}
 	return m, nil
 }
 
-func rights(oob []byte) (all []int) {
+func parseRights(oob []byte) (all []int) {
 	list, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil
@@ -101,15 +102,15 @@
 	return all
 }
 
-func (m *message) close() {
+func (m *message) closeFDs() {
 	for _, fd := range m.fds {
 		unix.Close(fd)
 	}
 	m.fds = nil
 }
 
-// peer checks who is at the other end: one of this user's processes.
-func (l link) peer() error {
+// checkPeer checks that the process at the other end runs as the same user.
+func (l link) checkPeer() error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
@@ -119,19 +120,21 @@
 		return e
 	}
 	if err == nil && int(cred.Uid) != os.Getuid() {
-		err = fmt.Errorf("process %d is user %d's", cred.Pid, cred.Uid)
+		err = fmt.Errorf("peer process %d runs as user %d, which is not the user of this process", cred.Pid, cred.Uid)
 	}
 	return err
 }
 
-// stream checks that a descriptor is a TCP socket, listening or connected, and bound to the port of an address.
-func stream(fd int, listening bool, address string) error {
-	what := map[bool]int{false: 0, true: 1}[listening]
-	if kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE); err != nil || kind != unix.SOCK_STREAM {
-		return fmt.Errorf("descriptor %d is no stream socket", fd)
+// checkTCPSocket checks that a descriptor is a stream socket, that it listens exactly if listening is true, and that it is
+// bound to the port of an address.
+func checkTCPSocket(fd int, listening bool, address string) error {
+	wantListening := map[bool]int{false: 0, true: 1}[listening]
+	if socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE); err != nil ||
+		socketType != unix.SOCK_STREAM {
+		return fmt.Errorf("descriptor %d is not a stream socket", fd)
 	}
-	if l, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || l != what {
-		return fmt.Errorf("descriptor %d: listening %d, not %d", fd, l, what)
+	if l, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || l != wantListening {
+		return fmt.Errorf("descriptor %d: SO_ACCEPTCONN is %d, want %d", fd, l, wantListening)
 	}
 	name, err := unix.Getsockname(fd)
 	if err != nil {
@@ -145,13 +148,13 @@
 		port = name.Port
 	}
 	if _, want, err := net.SplitHostPort(address); err != nil || want != fmt.Sprint(port) {
-		return fmt.Errorf("descriptor %d is bound to port %d, not to %s", fd, port, address)
+		return fmt.Errorf("descriptor %d is bound to port %d, want the port of %s", fd, port, address)
 	}
 	return nil
 }
 
-// control runs f on a socket's descriptor.
-func control(c syscall.Conn, f func(fd int) error) error {
+// withFD calls f with a socket's descriptor, which stays open during the call.
+func withFD(c syscall.Conn, f func(fd int) error) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
@@ -162,7 +165,7 @@
 	return err
 }
 
-// Path is where the process that serves an address is found.
+// Path is the path of the handover socket of the process that serves an address.
 func Path(dir, address string) string {
 	return filepath.Join(dir, "junctionring-"+strings.Map(func(r rune) rune {
 		if r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r == '.' {
@@ -172,9 +175,9 @@
 	}, strings.ToLower(address))+".sock")
 }
 
-// reach runs f with a short name for a path: a Unix socket's address has little room.
-func reach(path string, f func(string) error) error {
-	if len(path) <= mostPath {
+// withShortPath calls f with a name for path that fits into the address of a Unix socket.
+func withShortPath(path string, f func(string) error) error {
+	if len(path) <= maxPathBytes {
 		return f(path)
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -185,59 +188,59 @@
 	return f(fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path)))
 }
 
-// dial connects to the process at a path, if a socket of this user's is there and somebody listens on it.
+// dial connects to the process that listens on the socket at a path. The socket must belong to this process's user.
 func dial(path string) (link, error) {
 	var st unix.Stat_t
 	if err := unix.Lstat(path, &st); err != nil {
 		return link{}, &os.PathError{Op: "lstat", Path: path, Err: err}
 	}
 	if st.Mode&unix.S_IFMT != unix.S_IFSOCK || int(st.Uid) != os.Getuid() {
-		return link{}, fmt.Errorf("%s: mode %o of user %d is no socket of ours", path, st.Mode, st.Uid)
+		return link{}, fmt.Errorf("%s (mode %o, owner %d) is not a Unix socket of this process's user", path, st.Mode, st.Uid)
 	}
 	var l link
-	err := reach(path, func(name string) (err error) {
+	err := withShortPath(path, func(name string) (err error) {
 		l.UnixConn, err = net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: name, Net: "unixpacket"})
 		return err
 	})
 	if err != nil {
 		return link{}, err
 	}
-	if err := l.peer(); err != nil {
+	if err := l.checkPeer(); err != nil {
 		l.Close()
 		return link{}, err
 	}
 	return l, nil
 }
 
-var errHeld = errors.New("another process is found there")
+var errInUse = errors.New("another process listens on the handover socket")
 
-// claim listens at a path, unless a process that lives is found there. A socket left by one that was killed is
-// replaced, in one step: whoever looks finds the one or the other.
+// claim listens on a socket at a path, unless a running process already does. A socket that a killed process left behind
+// is replaced atomically: at any moment the path names either the old or the new socket.
 func claim(path string) (*net.UnixListener, error) {
 	l, err := dial(path)
 	switch {
 	case err == nil:
 		l.Close()
-		return nil, errHeld
+		return nil, errInUse
 	case errors.Is(err, os.ErrNotExist), errors.Is(err, unix.ECONNREFUSED):
 	default:
 		return nil, err
 	}
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh)
-	var in *net.UnixListener
-	err = reach(fresh, func(name string) (err error) {
-		in, err = net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
+	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(temporary)
+	var listener *net.UnixListener
+	err = withShortPath(temporary, func(name string) (err error) {
+		listener, err = net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	in.SetUnlinkOnClose(false) // by then it may be another process's
-	if err := os.Rename(fresh, path); err != nil {
-		in.Close()
-		os.Remove(fresh)
+	listener.SetUnlinkOnClose(false) // by then the path may name another process's socket
+	if err := os.Rename(temporary, path); err != nil {
+		listener.Close()
+		os.Remove(temporary)
 		return nil, err
 	}
-	return in, nil
+	return listener, nil
 }
