--- a/cmd/junctionring/drain.go
+++ b/cmd/junctionring/drain.go
@@ -37,7 +37,7 @@
 	failed := make(chan error, 1)
 	go func() { failed <- s.server.Serve(l, s.connections) }()
 	s.core.Settle()
-	s.server.Ready()
+	s.server.MarkReady()
 	adopts, enough := context.WithCancel(work)
 	defer enough()
 	s.predecessor = handoff.NewPredecessor(os.TempDir(), s.sockets.addresses[0], s.sockets.open, s.log)
--- a/cmd/junctionring/platform.go
+++ b/cmd/junctionring/platform.go
@@ -79,7 +79,7 @@
 		awaitFirstList(ctx, first)
 	}
 	server := front.NewServer(ingress.PlatformLive(g.names.Load, g.core, log), front.MaxHeader, &g.figures.Concurrent, log)
-	g.figures.Unread = server.Unread
+	g.figures.Unread = server.UnreadResponses
 	sockets := openListeners(log, g.config.Listen, g.config.Management)
 	if g.config.Management != "" {
 		m, err := serveManagement(sockets, g.config.Management, hooks(work, server, g.figures), log)
@@ -250,7 +250,7 @@
 		Gateways: max(1, set.Module.Gateways), MaxUnits: set.MaxUnits,
 	}
 	for _, class := range retune.Rules(t.Classes) {
-		n.Longest = append(n.Longest, class.Deadline)
+		n.MaxWait = append(n.MaxWait, class.Deadline)
 		n.Repeats = append(n.Repeats, class.Repeat)
 	}
 	return n
--- a/cmd/junctionring/serve.go
+++ b/cmd/junctionring/serve.go
@@ -80,7 +80,7 @@
 		o.Operations.Listen = own
 	}
 	server := front.NewServer(g.Front(), o.MaxHeader, &g.Figures.Concurrent, log)
-	g.Figures.Unread = server.Unread
+	g.Figures.Unread = server.UnreadResponses
 	sockets := openListeners(log, o.Listen, o.Operations.Listen)
 	if o.Operations.Listen != "" {
 		l, err := sockets.listen(o.Operations.Listen)
@@ -105,7 +105,7 @@
 // hooks are what the management calls do.
 func hooks(work context.Context, server *front.Server, figures *telemetry.Figures) management.Hooks {
 	return management.Hooks{
-		Ready:     server.Taking,
+		Ready:     server.Available,
 		Telemetry: func(b *bytes.Buffer) { figures.WriteTo(b) },
 		Draining: func() map[string]int {
 			if out := figures.Draining.Load(); out != nil {
--- a/internal/forwardauth/forwardauth.go
+++ b/internal/forwardauth/forwardauth.go
@@ -96,7 +96,7 @@
 		front.Reject(w, r, err)
 		return
 	}
-	front.Arrived(&x, received, rest)
+	front.StartDeadline(&x, received, rest)
 	trusted := f.trusted(r)
 	origin := f.origin(r, trusted)
 	// What is checked is what is sent on: no header may say that it is something else.
@@ -132,7 +132,7 @@
 	class, name := f.o.Module.Classes[x.Class], f.names.Classes[x.Class]
 	x.Class = f.classes[x.Class]
 	if class.Repeat != control.Keyed {
-		front.Carry(f.proxy, w, r, &x, body, rest, nil)
+		front.Forward(f.proxy, w, r, &x, body, rest, nil)
 		return
 	}
 	id := name + "\x00" + r.Header.Get(f.o.Identity.Account) + "\x00" + r.Header.Get("Idempotency-Key")
@@ -163,7 +163,7 @@
 	}
 	end := core.Answer{Kind: core.Left} // unless the core is reached: nothing can have run
 	defer func() { f.keys.end(id, time.Now(), end, v == repeat) }()
-	front.Carry(f.proxy, w, r, &x, body, rest, func(a core.Answer) { end = a })
+	front.Forward(f.proxy, w, r, &x, body, rest, func(a core.Answer) { end = a })
 }
 
 // asked answers a proxy that asks whether a request may pass. It is the proxy that sends the request on.
@@ -175,7 +175,7 @@
 	origin := f.origin(r, true)
 	u, err := url.ParseRequestURI(origin["X-Forwarded-Uri"])
 	if err != nil {
-		front.Reject(w, r, &front.Malformed{Status: http.StatusBadRequest, Text: "X-Forwarded-Uri is missing or no path"})
+		front.Reject(w, r, &front.RequestError{Status: http.StatusBadRequest, Text: "X-Forwarded-Uri is missing or no path"})
 		return
 	}
 	x, err := f.decode(&http.Request{Method: origin["X-Forwarded-Method"], URL: u, Header: r.Header}, received)
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -81,7 +81,7 @@
 // it returns the beginning, and rest reads on.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit, long int64) (body []byte, rest *Body, err error) {
 	if r.ContentLength > max(limit, long) {
-		return nil, nil, &Malformed{http.StatusRequestEntityTooLarge, "the body is too large"}
+		return nil, nil, &RequestError{http.StatusRequestEntityTooLarge, "the body is too large"}
 	}
 	if r.ContentLength == 0 {
 		return nil, nil, nil
@@ -103,10 +103,10 @@
 		rest = b
 	}
 	if errors.Is(err, errLong) {
-		return nil, nil, &Malformed{http.StatusRequestEntityTooLarge, "the body is too large"}
+		return nil, nil, &RequestError{http.StatusRequestEntityTooLarge, "the body is too large"}
 	}
 	if err != nil {
-		return nil, nil, cmp.Or(shedOf(r), Bad("the body is cut short"))
+		return nil, nil, cmp.Or(shedOf(r), BadRequest("the body is cut short"))
 	}
 	if rest == nil {
 		b.control.SetReadDeadline(time.Time{})
--- a/internal/front/conn_test.go
+++ b/internal/front/conn_test.go
@@ -79,7 +79,7 @@
 				if err != nil {
 					t.Error(err)
 				}
-				Carry(proxy, w, r, &core.Exchange{}, body, rest, nil)
+				Forward(proxy, w, r, &core.Exchange{}, body, rest, nil)
 			}), MaxHeader, nil, slog.New(slog.DiscardHandler))
 			go s.Serve(l, 1)
 			t.Cleanup(func() { s.http.Close() })
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -29,17 +29,17 @@
 	lingerMost = 256 << 10
 )
 
-// Malformed is what is wrong with a message, and the status that says so.
-type Malformed struct {
+// RequestError is what is wrong with a message, and the status that says so.
+type RequestError struct {
 	Status int
 	Text   string
 }
 
-func (m *Malformed) Error() string { return m.Text }
+func (m *RequestError) Error() string { return m.Text }
 
-// Bad is a message that cannot be read.
-func Bad(format string, args ...any) error {
-	return &Malformed{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+// BadRequest is a message that cannot be read.
+func BadRequest(format string, args ...any) error {
+	return &RequestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
 // Names tells what the words in a message stand for.
@@ -47,7 +47,7 @@
 	Classes  []string
 	Plans    []string
 	Repeats  []control.Repeat  // by class
-	Longest  []control.Seconds // by class: no client waits longer; 0 or none: any wait
+	MaxWait  []control.Seconds // by class: no client waits longer; 0 or none: any wait
 	Routes   *routes.Table     // nil: the first part of a path is its class
 	Gateways int
 	MaxUnits float64 // of one exchange; 0: mostUnits
@@ -61,7 +61,7 @@
 	if n.Routes != nil {
 		var ok bool
 		if class, ok = n.Routes.Match(r.Method, path); !ok {
-			return 0, &Malformed{http.StatusNotFound, fmt.Sprintf("no route for %s %.40q", r.Method, path)}
+			return 0, &RequestError{http.StatusNotFound, fmt.Sprintf("no route for %s %.40q", r.Method, path)}
 		}
 		first = n.Classes[class]
 	} else if class = slices.Index(n.Classes, first); class < 0 {
@@ -71,21 +71,21 @@
 		})
 	}
 	if class < 0 {
-		return 0, &Malformed{http.StatusNotFound, fmt.Sprintf("no such class: %.40q", first)}
+		return 0, &RequestError{http.StatusNotFound, fmt.Sprintf("no such class: %.40q", first)}
 	}
 	want := http.MethodPost
 	if n.Repeats[class] == control.Safe {
 		want = http.MethodGet
 	}
 	if r.Method != want {
-		return 0, &Malformed{http.StatusMethodNotAllowed, first + " takes " + want}
+		return 0, &RequestError{http.StatusMethodNotAllowed, first + " takes " + want}
 	}
-	key, err := One(r.Header, "Idempotency-Key")
+	key, err := SingleHeader(r.Header, "Idempotency-Key")
 	if err != nil {
 		return 0, err
 	}
 	if n.Repeats[class] == control.Keyed && key == "" {
-		return 0, Bad("%s needs an Idempotency-Key", first)
+		return 0, BadRequest("%s needs an Idempotency-Key", first)
 	}
 	return class, nil
 }
@@ -96,15 +96,15 @@
 func Framing(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
-		return &Malformed{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
+		return &RequestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
 	case len(r.TransferEncoding) > 0 && (r.Method != http.MethodPost || len(r.TransferEncoding) != 1 || r.TransferEncoding[0] != "chunked"):
-		return Bad("Transfer-Encoding is taken only as chunked, on a POST")
+		return BadRequest("Transfer-Encoding is taken only as chunked, on a POST")
 	case r.URL.Host != "" || !strings.HasPrefix(r.RequestURI, "/"):
-		return Bad("the target must be a path")
+		return BadRequest("the target must be a path")
 	case r.Method == http.MethodGet && r.ContentLength != 0:
-		return Bad("a GET has no body")
+		return BadRequest("a GET has no body")
 	case r.Method == http.MethodPost && r.Header.Get("Content-Length") == "" && len(r.TransferEncoding) == 0:
-		return &Malformed{http.StatusLengthRequired, "Content-Length is missing"}
+		return &RequestError{http.StatusLengthRequired, "Content-Length is missing"}
 	}
 	return nil
 }
@@ -113,16 +113,16 @@
 // that a Content-Length beside it would have hidden is ever read as a request of its own.
 func Chunked(r *http.Request) bool { return len(r.TransferEncoding) > 0 }
 
-// One returns the value of a header that may stand once at most: of two, nobody knows which one the next
+// SingleHeader returns the value of a header that may stand once at most: of two, nobody knows which one the next
 // reader would take.
-func One(h http.Header, name string) (string, error) {
+func SingleHeader(h http.Header, name string) (string, error) {
 	switch values := h[name]; len(values) {
 	case 0:
 		return "", nil
 	case 1:
 		return values[0], nil
 	}
-	return "", Bad("%s stands more than once", name)
+	return "", BadRequest("%s stands more than once", name)
 }
 
 // ParseTimeout reads a number and its unit, m or u.
@@ -136,7 +136,7 @@
 	}
 	v, err := parseNumber(text[:max(0, len(text)-1)])
 	if unit == 0 || err != nil || !(v > 0 && v*float64(unit) < float64(24*time.Hour)) {
-		return 0, Bad("no timeout: %.40q", text)
+		return 0, BadRequest("no timeout: %.40q", text)
 	}
 	return time.Duration(v * float64(unit)), nil
 }
@@ -157,7 +157,7 @@
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := parseNumber(value)
 		if err != nil || seen[key] {
-			return Bad("no quota: %.60q", text)
+			return BadRequest("no quota: %.60q", text)
 		}
 		seen[key] = true
 		switch key {
@@ -171,18 +171,18 @@
 			continue
 		}
 		if key != "units" && v != math.Trunc(v) {
-			return Bad("no quota: %.60q", text)
+			return BadRequest("no quota: %.60q", text)
 		}
 	}
 	most := cmp.Or(n.MaxUnits, mostUnits)
 	if !(x.Units > 0 && x.Units <= most) || x.Spread < 1 || x.Spread > n.Gateways || x.First < 0 || x.First >= n.Gateways {
-		return Bad("quota out of range: %.60q", text)
+		return BadRequest("quota out of range: %.60q", text)
 	}
 	return nil
 }
 
-// Arrived gives an exchange its time, once its body is in or begins to be passed on: it runs from its last byte.
-func Arrived(x *core.Exchange, received time.Time, rest *Body) {
+// StartDeadline gives an exchange its time, once its body is in or begins to be passed on: it runs from its last byte.
+func StartDeadline(x *core.Exchange, received time.Time, rest *Body) {
 	now := time.Now()
 	x.Wait = x.Deadline.Sub(received)
 	if x.Deadline = now.Add(x.Wait); rest != nil {
@@ -190,9 +190,9 @@
 	}
 }
 
-// Carry has an exchange carried out by a proxy onto the core, its body as it comes in. An answer does not wait for
+// Forward has an exchange carried out by a proxy onto the core, its body as it comes in. An answer does not wait for
 // the rest of a body that nobody wants. ended may be nil.
-func Carry(proxy http.Handler, w http.ResponseWriter, r *http.Request, x *core.Exchange, body []byte, rest *Body, ended func(core.Answer)) {
+func Forward(proxy http.Handler, w http.ResponseWriter, r *http.Request, x *core.Exchange, body []byte, rest *Body, ended func(core.Answer)) {
 	if c := connOf(r); c != nil && rest == nil {
 		c.complete()
 	}
@@ -224,7 +224,7 @@
 func Reject(w http.ResponseWriter, r *http.Request, err error) {
 	status := http.StatusBadRequest
 	switch e := err.(type) {
-	case *Malformed:
+	case *RequestError:
 		status = e.Status
 	case *shed:
 		status = http.StatusServiceUnavailable
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -61,7 +61,7 @@
 				w.Header().Set("Connection", "close")
 			}
 			if r.URL.Path == "/health/ready" {
-				if !s.Taking() && !s.handing.Load() {
+				if !s.Available() && !s.handing.Load() {
 					w.WriteHeader(http.StatusServiceUnavailable)
 				}
 				return
@@ -76,13 +76,13 @@
 	return s
 }
 
-// Taking tells whether clients are welcome: ready, and neither draining nor evacuated.
-func (s *Server) Taking() bool {
+// Available tells whether clients are welcome: ready, and neither draining nor evacuated.
+func (s *Server) Available() bool {
 	return s.ready.Load() && !s.draining.Load() && !s.evacuated.Load()
 }
 
-// Unread is how many answers were cut since their clients did not read them.
-func (s *Server) Unread() int64 { return s.unread.Load() }
+// UnreadResponses is how many answers were cut since their clients did not read them.
+func (s *Server) UnreadResponses() int64 { return s.unread.Load() }
 
 // sendsAway tells whether answers close their connections: clients keep one for as long as it stays open.
 func (s *Server) sendsAway() bool { return s.closing.Load() || s.evacuated.Load() }
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// Ready lets the readiness path answer 200.
-func (s *Server) Ready() { s.ready.Store(true) }
+// MarkReady lets the readiness path answer 200.
+func (s *Server) MarkReady() { s.ready.Store(true) }
 
 // Drain serves on until closing, since clients keep to the connections that they have: those find no other way
 // in while the gateway is away. From then on each answer closes its connection, and shortly before stop those at rest
--- a/internal/front/slots_test.go
+++ b/internal/front/slots_test.go
@@ -99,7 +99,7 @@
 	for s.slots.Load() == nil {
 		runtime.Gosched()
 	}
-	s.Ready()
+	s.MarkReady()
 	return s, l.Addr().String()
 }
 
@@ -286,7 +286,7 @@
 	for range clients {
 		<-tried
 	}
-	if s.Taking() {
+	if s.Available() {
 		t.Error("handing over, and clients are welcome")
 	}
 	close(lost)
@@ -298,7 +298,7 @@
 			t.Errorf("answered by %q", got)
 		}
 	}
-	if s.Taking() {
+	if s.Available() {
 		t.Error("it was told to end, and clients are welcome")
 	}
 }
--- a/internal/front/unread_test.go
+++ b/internal/front/unread_test.go
@@ -38,7 +38,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the answer is held for a client that does not read")
 	}
-	for s.Unread() != 1 {
+	for s.UnreadResponses() != 1 {
 		runtime.Gosched()
 	}
 	reader := dialed(t, l.Addr().String())
@@ -48,7 +48,7 @@
 	if got := dialed(t, l.Addr().String()).ask(t, request); got != "here" {
 		t.Errorf("answered %q", got)
 	}
-	if n := s.Unread(); n != 1 {
+	if n := s.UnreadResponses(); n != 1 {
 		t.Errorf("%d answers counted as unread", n)
 	}
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -45,12 +45,12 @@
 		// be two copies of that one.
 		id := r.Header.Get("X-Request-ID")
 		if _, taken := open.LoadOrStore(id, nil); taken {
-			front.Reject(w, r, &front.Malformed{Status: http.StatusConflict, Text: "this X-Request-ID is in use"})
+			front.Reject(w, r, &front.RequestError{Status: http.StatusConflict, Text: "this X-Request-ID is in use"})
 			return
 		}
 		defer open.Delete(id)
-		front.Arrived(&x, received, rest)
-		front.Carry(proxy, w, r, &x, body, rest, nil)
+		front.StartDeadline(&x, received, rest)
+		front.Forward(proxy, w, r, &x, body, rest, nil)
 	})
 }
 
@@ -64,19 +64,19 @@
 	}
 	var values [5]string
 	for i, name := range [...]string{"X-Request-Id", "X-Plan", "Cookie", "X-Timeout", "X-Quota"} {
-		if values[i], err = front.One(r.Header, name); err != nil {
+		if values[i], err = front.SingleHeader(r.Header, name); err != nil {
 			return x, err
 		}
 	}
 	if id := values[0]; id == "" || len(id) > mostID {
-		return x, front.Bad("X-Request-ID is missing or too long")
+		return x, front.BadRequest("X-Request-ID is missing or too long")
 	}
 	if x.Plan = slices.Index(n.Plans, values[1]); x.Plan < 0 {
-		return x, front.Bad("no such plan: %.40q", values[1])
+		return x, front.BadRequest("no such plan: %.40q", values[1])
 	}
 	accounts := r.CookiesNamed("account")
 	if len(accounts) != 1 {
-		return x, front.Bad("there must be one account cookie")
+		return x, front.BadRequest("there must be one account cookie")
 	}
 	if x.Customer, err = ParseAccount(accounts[0].Value); err != nil {
 		return x, err
@@ -85,8 +85,8 @@
 	if err != nil {
 		return x, err
 	}
-	if x.Class < len(n.Longest) && n.Longest[x.Class] > 0 {
-		wait = min(wait, time.Duration(n.Longest[x.Class]*float64(time.Second)))
+	if x.Class < len(n.MaxWait) && n.MaxWait[x.Class] > 0 {
+		wait = min(wait, time.Duration(n.MaxWait[x.Class]*float64(time.Second)))
 	}
 	x.Deadline = received.Add(wait - front.Margin)
 	x.Repeat = r.Header.Get("X-Retried") == "1"
@@ -97,7 +97,7 @@
 func ParseAccount(text string) (uint64, error) {
 	v, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 || v >= 1<<33 {
-		return 0, front.Bad("no account: %.40q", text)
+		return 0, front.BadRequest("no account: %.40q", text)
 	}
 	return v, nil
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -162,7 +162,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Ready()
+	s.MarkReady()
 	go s.Serve(l, most)
 	t.Cleanup(func() {
 		cancel()
--- a/internal/ingress/inservice_test.go
+++ b/internal/ingress/inservice_test.go
@@ -105,7 +105,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s.Evacuate(ctx)
-	if s.Taking() {
+	if s.Available() {
 		t.Error("evacuated, and still taking clients")
 	}
 	late := dial(t, address)
