--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	bodyWait  = 2 * time.Second // a client is silent so long at most, within its body
-	bodyPace  = 16 << 10        // bytes a second
-	firstPart = 4 << 10         // of a body that is known to be long
+	bodyIdleTimeout = 2 * time.Second // a client is silent so long at most, within its body
+	minBodyRate     = 16 << 10        // bytes a second
+	longBodyPrefix  = 4 << 10         // of a body that is known to be long
 )
 
 // Body is a message's body as it comes in, at the client's pace: it may be slow, and may not stop.
 type Body struct {
-	r       *http.Request
-	control *http.ResponseController
-	begun   time.Time
-	most, n int64
+	r               *http.Request
+	control         *http.ResponseController
+	started         time.Time
+	limit, received int64
 
-	mu   sync.Mutex // held while it is read
-	eof  bool
-	over atomic.Bool
+	mu     sync.Mutex // held while it is read
+	eof    bool
+	closed atomic.Bool
 }
 
 // NewBody begins to read a request's body, of at most so many bytes.
-func NewBody(w http.ResponseWriter, r *http.Request, most int64) *Body {
-	return &Body{r: r, control: http.NewResponseController(w), begun: time.Now(), most: most}
+func NewBody(w http.ResponseWriter, r *http.Request, limit int64) *Body {
+	return &Body{r: r, control: http.NewResponseController(w), started: time.Now(), limit: limit}
 }
 
 // Read implements io.Reader. A client that sends nothing for bodyWait, or less than bodyPace all in all, has
@@ -38,24 +38,24 @@
 func (b *Body) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.over.Load() {
-		return 0, errLeft
+	if b.closed.Load() {
+		return 0, errBodyClosed
 	}
-	b.control.SetReadDeadline(time.Now().Add(bodyWait)) // where it is not supported, a client may be slow
+	b.control.SetReadDeadline(time.Now().Add(bodyIdleTimeout)) // where it is not supported, a client may be slow
 	n, err := b.r.Body.Read(p)
 	b.eof = err == io.EOF
-	if b.n += int64(n); b.n > b.most {
-		return 0, errLong
+	if b.received += int64(n); b.received > b.limit {
+		return 0, errBodyTooLarge
 	}
-	if err == nil && time.Since(b.begun) > bodyWait+time.Duration(float64(b.n)/bodyPace*float64(time.Second)) {
-		err = errSlow
+	if err == nil && time.Since(b.started) > bodyIdleTimeout+time.Duration(float64(b.received)/minBodyRate*float64(time.Second)) {
+		err = errBodyTooSlow
 	}
 	return n, err
 }
 
 // Close ends the reading: no Read is under way when it returns, and none will read on.
 func (b *Body) Close() {
-	b.over.Store(true)
+	b.closed.Store(true)
 	if b.mu.TryLock() {
 		eof := b.eof
 		b.mu.Unlock()
@@ -63,50 +63,50 @@
 			return
 		}
 	}
-	b.control.SetReadDeadline(past)
+	b.control.SetReadDeadline(pastTime)
 	b.mu.Lock() // until it has taken that in
 	defer b.mu.Unlock()
 	// The answer goes out now. net/http reads off a part of what still comes, and without time for that would close
 	// on unread bytes at once: a reset, which may take the answer with it.
-	b.control.SetReadDeadline(time.Now().Add(lingerFor))
+	b.control.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
 var (
-	errLeft = errors.New("nobody reads the body any more")
-	errLong = errors.New("the body is too large")
-	errSlow = errors.New("the body comes too slowly")
+	errBodyClosed   = errors.New("nobody reads the body any more")
+	errBodyTooLarge = errors.New("the body is too large")
+	errBodyTooSlow  = errors.New("the body comes too slowly")
 )
 
 // ReadBody takes a body in, whole where it is no longer than the limit. Of a longer one, where at most long may come,
 // it returns the beginning, and rest reads on.
-func ReadBody(w http.ResponseWriter, r *http.Request, limit, long int64) (body []byte, rest *Body, err error) {
-	if r.ContentLength > max(limit, long) {
+func ReadBody(w http.ResponseWriter, r *http.Request, limit, longLimit int64) (body []byte, rest *Body, err error) {
+	if r.ContentLength > max(limit, longLimit) {
 		return nil, nil, &RequestError{http.StatusRequestEntityTooLarge, "the body is too large"}
 	}
 	if r.ContentLength == 0 {
 		return nil, nil, nil
 	}
 	if c := connOf(r); c != nil {
-		c.awaitsBody(true)
-		defer c.awaitsBody(false)
+		c.setAwaitingBody(true)
+		defer c.setAwaitingBody(false)
 	}
-	if err := shedOf(r); err != nil {
+	if err := shedErrorOf(r); err != nil {
 		return nil, nil, err
 	}
-	most := max(limit, long)
-	b := NewBody(w, r, most)
+	maxSize := max(limit, longLimit)
+	b := NewBody(w, r, maxSize)
 	if r.ContentLength > limit {
-		body = make([]byte, min(limit, firstPart)) // it is kept while the rest goes by
+		body = make([]byte, min(limit, longBodyPrefix)) // it is kept while the rest goes by
 		_, err = io.ReadFull(b, body)
 		rest = b
 	} else if body, err = io.ReadAll(io.LimitReader(b, limit+1)); int64(len(body)) > limit {
 		rest = b
 	}
-	if errors.Is(err, errLong) {
+	if errors.Is(err, errBodyTooLarge) {
 		return nil, nil, &RequestError{http.StatusRequestEntityTooLarge, "the body is too large"}
 	}
 	if err != nil {
-		return nil, nil, cmp.Or(shedOf(r), BadRequest("the body is cut short"))
+		return nil, nil, cmp.Or(shedErrorOf(r), BadRequest("the body is cut short"))
 	}
 	if rest == nil {
 		b.control.SetReadDeadline(time.Time{})
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -17,22 +17,22 @@
 // already in net/http's buffer, and that request would be lost.
 type conn struct {
 	*net.TCPConn
-	parted func(*net.TCPConn) // told once a connection has been taken back; it owns it then
+	onReclaimed func(*net.TCPConn) // told once a connection has been taken back; it owns it then
 
-	writeStall time.Duration // for a piece of an answer
-	unread     func()        // told when one did not go out in that time
+	writeTimeout   time.Duration // for a piece of an answer
+	onWriteTimeout func()        // told when one did not go out in that time
 
-	unanswered func(*conn, progress) // told as it is closed with a request that has no answer
+	onUnanswered func(*conn, progress) // told as it is closed with a request that has no answer
 
-	mu       sync.Mutex
-	phase    phase
-	leaving  bool
-	deadline time.Time // net/http's own, for reads
-	progress progress
-	room     int // of net/http's buffer when it is empty; 0: nothing was read yet
+	mu              sync.Mutex
+	phase           phase
+	reclaiming      bool
+	deadline        time.Time // net/http's own, for reads
+	progress        progress
+	emptyBufferSize int // of net/http's buffer when it is empty; 0: nothing was read yet
 
-	bodyAwaited bool
-	bodyEnded   bool // it is not waited for any longer
+	awaitingBody bool
+	bodyAborted  bool // it is not waited for any longer
 }
 
 // origin is where a request came from.
@@ -45,14 +45,14 @@
 
 // closes tells whether a request's answer is to close its connection, at the time of its answer: one that was held as
 // the drain began to close connections leaves its client on one that is closed at rest soon, when no way in may be left.
-func closes(r *http.Request) bool {
+func closesConnection(r *http.Request) bool {
 	o, ok := r.Context().Value(originKey{}).(origin)
-	return ok && o.server.sendsAway()
+	return ok && o.server.closesConnections()
 }
 
 // hasLeft tells whether the client of a request has ended its connection by now, be it before the request was read:
 // net/http tells of it only once the request is on its way.
-func hasLeft(r *http.Request) bool {
+func clientClosed(r *http.Request) bool {
 	c := connOf(r)
 	return c != nil && socket.HungUp(c.TCPConn)
 }
@@ -60,63 +60,63 @@
 type phase int
 
 const (
-	busy     phase = iota // a request is under way
-	reading               // a part of a head has come
-	settling              // none is; net/http is about to set the time that it will wait for one
-	resting               // it waits in Read, and has nothing
-	gone                  // taken back
+	phaseActive        phase = iota // a request is under way
+	phaseReadingHeader              // a part of a head has come
+	phaseBeforeIdle                 // none is; net/http is about to set the time that it will wait for one
+	phaseIdle                       // it waits in Read, and has nothing
+	phaseReclaimed                  // taken back
 )
 
-var past = time.Unix(1, 0)
+var pastTime = time.Unix(1, 0)
 
 // rests is called when net/http says that a connection is new or idle.
-func (c *conn) rests() {
+func (c *conn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != gone {
-		c.phase = settling
+	if c.phase != phaseReclaimed {
+		c.phase = phaseBeforeIdle
 	}
 }
 
 // begins is called when net/http says that a whole head has come.
-func (c *conn) begins() {
+func (c *conn) setActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == reading {
-		c.phase = busy
+	if c.phase == phaseReadingHeader {
+		c.phase = phaseActive
 	}
 }
 
 // halfHead tells whether a part of a head has come, and ends the connection where nothing more of it came for stall.
-func (c *conn) halfHead(stall time.Duration) (half, ended bool) {
+func (c *conn) checkPartialHeader(timeout time.Duration) (partial, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != reading {
+	if c.phase != phaseReadingHeader {
 		return false, false
 	}
-	if time.Since(c.progress.lastByte) < stall {
+	if time.Since(c.progress.lastByte) < timeout {
 		return true, false
 	}
-	c.TCPConn.SetReadDeadline(past) // net/http closes it
+	c.TCPConn.SetReadDeadline(pastTime) // net/http closes it
 	return true, true
 }
 
 // leave has the connection taken back as soon as it rests.
-func (c *conn) leave() {
+func (c *conn) requestReclaim() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = true
-	if c.phase == resting {
-		c.TCPConn.SetReadDeadline(past) // Read looks at this before it takes anything
+	c.reclaiming = true
+	if c.phase == phaseIdle {
+		c.TCPConn.SetReadDeadline(pastTime) // Read looks at this before it takes anything
 	}
 }
 
 // stay undoes leave, where it is not too late.
-func (c *conn) stay() {
+func (c *conn) cancelReclaim() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = false
-	if c.phase == resting {
+	c.reclaiming = false
+	if c.phase == phaseIdle {
 		c.TCPConn.SetReadDeadline(c.deadline)
 	}
 }
@@ -127,27 +127,27 @@
 // for the head is set then.
 func (c *conn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	look := len(b) == 1 && c.deadline.IsZero()
-	if !look {
-		c.beginsReadAhead(len(b))
+	closeProbe := len(b) == 1 && c.deadline.IsZero()
+	if !closeProbe {
+		c.checkReadAhead(len(b))
 	}
 	c.mu.Unlock()
-	if look {
+	if closeProbe {
 		return 0, socket.Ended(c.TCPConn)
 	}
 	n, err := c.TCPConn.Read(b)
 	c.mu.Lock()
 	switch {
-	case c.phase == resting && n == 0 && c.leaving && errors.Is(err, os.ErrDeadlineExceeded):
-		c.phase = gone
+	case c.phase == phaseIdle && n == 0 && c.reclaiming && errors.Is(err, os.ErrDeadlineExceeded):
+		c.phase = phaseReclaimed
 		c.mu.Unlock()
-		c.parted(c.TCPConn)
+		c.onReclaimed(c.TCPConn)
 		return 0, io.EOF // net/http takes the client for gone, and says nothing to it
-	case c.phase == resting:
-		c.startReading() // or it is at its end
-		c.TCPConn.SetReadDeadline(c.headDeadline())
+	case c.phase == phaseIdle:
+		c.startRequest() // or it is at its end
+		c.TCPConn.SetReadDeadline(c.headerDeadline())
 	}
-	if n > 0 && (c.phase == reading || c.phase == busy) {
+	if n > 0 && (c.phase == phaseReadingHeader || c.phase == phaseActive) {
 		c.progress.received(n)
 	}
 	c.mu.Unlock()
@@ -157,25 +157,25 @@
 // beginsReadAhead begins a request whose first bytes net/http read together with the request before it: they lie in its
 // buffer, which has less room than when it is empty. It has asked for them as if nothing had come, and a connection taken
 // back now would lose them. c.mu is held.
-func (c *conn) beginsReadAhead(room int) {
-	if c.room == 0 {
-		c.room = room
+func (c *conn) checkReadAhead(bufferFree int) {
+	if c.emptyBufferSize == 0 {
+		c.emptyBufferSize = bufferFree
 	}
-	if c.phase == resting && room < c.room {
-		c.startReading()
-		c.TCPConn.SetReadDeadline(c.headDeadline())
+	if c.phase == phaseIdle && bufferFree < c.emptyBufferSize {
+		c.startRequest()
+		c.TCPConn.SetReadDeadline(c.headerDeadline())
 	}
 }
 
 // startReading begins a request. c.mu is held.
-func (c *conn) startReading() {
-	c.phase, c.progress = reading, progress{lastByte: time.Now()}
+func (c *conn) startRequest() {
+	c.phase, c.progress = phaseReadingHeader, progress{lastByte: time.Now()}
 }
 
 // headDeadline is until when a head must be whole whose first bytes have just come. net/http waits for its fourth byte
 // for as long as for a request.
-func (c *conn) headDeadline() time.Time {
-	latest := time.Now().Add(headerWait)
+func (c *conn) headerDeadline() time.Time {
+	latest := time.Now().Add(headerTimeout)
 	if !c.deadline.IsZero() && c.deadline.Before(latest) {
 		return c.deadline
 	}
@@ -189,18 +189,18 @@
 	defer c.mu.Unlock()
 	c.deadline = t
 	switch c.phase {
-	case settling:
-		c.phase = resting
-		if c.leaving {
-			t = past
+	case phaseBeforeIdle:
+		c.phase = phaseIdle
+		if c.reclaiming {
+			t = pastTime
 		}
-	case resting:
-		c.startReading()
-	case gone:
+	case phaseIdle:
+		c.startRequest()
+	case phaseReclaimed:
 		return nil
 	}
-	if c.bodyEnded {
-		t = past
+	if c.bodyAborted {
+		t = pastTime
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
@@ -210,19 +210,19 @@
 func (c *conn) Close() error {
 	c.mu.Lock()
 	switch c.phase {
-	case gone:
-	case settling: // nobody reads any more
-		c.phase = gone
+	case phaseReclaimed:
+	case phaseBeforeIdle: // nobody reads any more
+		c.phase = phaseReclaimed
 		c.mu.Unlock()
-		c.parted(c.TCPConn)
+		c.onReclaimed(c.TCPConn)
 		return nil
-	case resting:
-		c.leaving = true
-		c.TCPConn.SetReadDeadline(past)
+	case phaseIdle:
+		c.reclaiming = true
+		c.TCPConn.SetReadDeadline(pastTime)
 	default:
 		c.mu.Unlock()
-		if p, none := c.withoutAnswer(); none {
-			c.unanswered(c, p)
+		if p, unanswered := c.unansweredRequest(); unanswered {
+			c.onUnanswered(c, p)
 		}
 		return c.TCPConn.Close()
 	}
--- a/internal/front/conn_test.go
+++ b/internal/front/conn_test.go
@@ -18,16 +18,16 @@
 // which only looks whether the client leaves. The rest is sent once all before it has been read, so the order is the
 // same each time.
 func TestLongLineOfAHeadIsReadOn(t *testing.T) {
-	s, address := served(t, "here")
+	s, address := startServer(t, "here")
 	const buffer, first = 4096, "GET /table-view/1 HTTP/1.1\r\nHost: g\r\n"
 	for _, kept := range []bool{false, true} { // net/http sets other times for the first head of a connection
-		c := dialed(t, address)
+		c := dial(t, address)
 		var near *conn
 		if kept {
 			c.ask(t, request)
 		}
 		for near == nil {
-			l := s.slots.Load()
+			l := s.listener.Load()
 			l.mu.Lock()
 			for k := range l.conns {
 				if k.RemoteAddr().String() == c.LocalAddr().String() {
@@ -47,7 +47,7 @@
 		if got := c.ask(t, "yyyyyyyy\r\n\r\n"); got != "here" {
 			t.Errorf("kept %t: %q", kept, got)
 		}
-		if took := time.Since(began); took > headerWait/2 {
+		if took := time.Since(began); took > headerTimeout/2 {
 			t.Errorf("kept %t: held up for %v", kept, took)
 		}
 	}
@@ -83,15 +83,15 @@
 			}), MaxHeader, nil, slog.New(slog.DiscardHandler))
 			go s.Serve(l, 1)
 			t.Cleanup(func() { s.http.Close() })
-			first := dialed(t, l.Addr().String())
+			first := dial(t, l.Addr().String())
 			io.WriteString(first, "GET /first HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n")
 			<-came // it has the only slot
 			for _, message := range []string{"GET /left HTTP/1.1\r\nHost: g\r\n\r\n", "POST /left HTTP/1.1\r\nHost: g\r\nContent-Length: 4\r\n\r\nbody"} {
-				leaver := dialed(t, l.Addr().String())
+				leaver := dial(t, l.Addr().String())
 				io.WriteString(leaver, message)
 				leave(leaver.Conn.(*net.TCPConn))
 			}
-			last := dialed(t, l.Addr().String())
+			last := dial(t, l.Addr().String())
 			io.WriteString(last, "GET /last HTTP/1.1\r\nHost: g\r\n\r\n")
 			close(release)
 			if got := <-carried; got != "/first" {
--- a/internal/front/conn_write.go
+++ b/internal/front/conn_write.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	writeStall = 10 * time.Second // a client that takes no piece of its answer in for so long has stopped reading
-	writePiece = 16 << 10
+	defaultWriteTimeout = 10 * time.Second // a client that takes no piece of its answer in for so long has stopped reading
+	writeChunkSize      = 16 << 10
 )
 
 // Write implements net.Conn. A client that does not read its answer keeps its connection for a bounded time: each
@@ -17,21 +17,21 @@
 func (c *conn) Write(b []byte) (written int, err error) {
 	for len(b) > 0 && err == nil {
 		var n int
-		n, err = c.writePiece(b[:min(len(b), writePiece)])
+		n, err = c.writeChunk(b[:min(len(b), writeChunkSize)])
 		written += n
 		b = b[n:]
 	}
 	return written, err
 }
 
-func (c *conn) writePiece(piece []byte) (int, error) {
-	c.TCPConn.SetWriteDeadline(time.Now().Add(c.writeStall))
-	n, err := c.TCPConn.Write(piece)
+func (c *conn) writeChunk(chunk []byte) (int, error) {
+	c.TCPConn.SetWriteDeadline(time.Now().Add(c.writeTimeout))
+	n, err := c.TCPConn.Write(chunk)
 	if n > 0 {
-		c.answers()
+		c.markAnswered()
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		c.unread()
+		c.onWriteTimeout()
 	}
 	return n, err
 }
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -22,11 +22,11 @@
 const Margin = 5 * time.Millisecond
 
 const (
-	mostUnits  = 1000 // of one exchange, where nothing is stated
-	mostDigits = 16   // of a number: it fits an int and a float64
-	longest    = 30 * time.Minute
-	lingerFor  = 300 * time.Millisecond
-	lingerMost = 256 << 10
+	defaultMaxUnits = 1000 // of one exchange, where nothing is stated
+	maxDigits       = 16   // of a number: it fits an int and a float64
+	longBodyTimeout = 30 * time.Minute
+	lingerTimeout   = 300 * time.Millisecond
+	lingerMaxBytes  = 256 << 10
 )
 
 // RequestError is what is wrong with a message, and the status that says so.
@@ -144,7 +144,7 @@
 // parseNumber reads a plain decimal number, nothing below 0. strconv also takes signs, exponents, hex, Inf and
 // NaN, none of which clients send: one of them in a sum that is kept would spoil it for good.
 func parseNumber(text string) (float64, error) {
-	if len(text) > mostDigits || strings.Trim(text, "0123456789.") != "" {
+	if len(text) > maxDigits || strings.Trim(text, "0123456789.") != "" {
 		return 0, strconv.ErrSyntax
 	}
 	return strconv.ParseFloat(text, 64)
@@ -174,8 +174,8 @@
 			return BadRequest("no quota: %.60q", text)
 		}
 	}
-	most := cmp.Or(n.MaxUnits, mostUnits)
-	if !(x.Units > 0 && x.Units <= most) || x.Spread < 1 || x.Spread > n.Gateways || x.First < 0 || x.First >= n.Gateways {
+	maxUnits := cmp.Or(n.MaxUnits, defaultMaxUnits)
+	if !(x.Units > 0 && x.Units <= maxUnits) || x.Spread < 1 || x.Spread > n.Gateways || x.First < 0 || x.First >= n.Gateways {
 		return BadRequest("quota out of range: %.60q", text)
 	}
 	return nil
@@ -186,17 +186,17 @@
 	now := time.Now()
 	x.Wait = x.Deadline.Sub(received)
 	if x.Deadline = now.Add(x.Wait); rest != nil {
-		x.Deadline = now.Add(longest) // for its body to come in
+		x.Deadline = now.Add(longBodyTimeout) // for its body to come in
 	}
 }
 
 // Forward has an exchange carried out by a proxy onto the core, its body as it comes in. An answer does not wait for
 // the rest of a body that nobody wants. ended may be nil.
-func Forward(proxy http.Handler, w http.ResponseWriter, r *http.Request, x *core.Exchange, body []byte, rest *Body, ended func(core.Answer)) {
+func Forward(proxy http.Handler, w http.ResponseWriter, r *http.Request, x *core.Exchange, body []byte, rest *Body, onAnswer func(core.Answer)) {
 	if c := connOf(r); c != nil && rest == nil {
-		c.complete()
+		c.markComplete()
 	}
-	if hasLeft(r) { // it waited here, unread: nothing is sent on for it
+	if clientClosed(r) { // it waited here, unread: nothing is sent on for it
 		panic(http.ErrAbortHandler)
 	}
 	var upload *egress.Upload
@@ -206,14 +206,14 @@
 		upload = &egress.Upload{Length: r.ContentLength, Next: rest.Read}
 	}
 	proxy.ServeHTTP(w, egress.WithExchange(r, x, body, upload, func(a core.Answer) {
-		if upload != nil && !upload.Done() || closes(r) {
+		if upload != nil && !upload.Done() || closesConnection(r) {
 			w.Header().Set("Connection", "close")
 		}
 		if c := connOf(r); c != nil && a.Kind == core.Left {
-			c.left(a)
+			c.setAttemptsOut(a)
 		}
-		if ended != nil {
-			ended(a)
+		if onAnswer != nil {
+			onAnswer(a)
 		}
 	}))
 }
@@ -226,7 +226,7 @@
 	switch e := err.(type) {
 	case *RequestError:
 		status = e.Status
-	case *shed:
+	case *shedError:
 		status = http.StatusServiceUnavailable
 		if e.retryAfter != "" {
 			w.Header().Set("Retry-After", e.retryAfter)
@@ -241,6 +241,6 @@
 	control.EnableFullDuplex() // where these are not supported the answer is only slower
 	http.Error(w, err.Error(), status)
 	control.Flush()
-	control.SetReadDeadline(time.Now().Add(lingerFor))
-	io.Copy(io.Discard, io.LimitReader(r.Body, lingerMost))
+	control.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.Copy(io.Discard, io.LimitReader(r.Body, lingerMaxBytes))
 }
--- a/internal/front/read_ahead_test.go
+++ b/internal/front/read_ahead_test.go
@@ -10,7 +10,7 @@
 )
 
 // heldFirst serves a handler that answers with the path; that of /one waits for release, and tells that it came.
-func heldFirst(t *testing.T) (s *Server, address string, came, release chan struct{}) {
+func startBlockingServer(t *testing.T) (s *Server, address string, came, release chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,17 +34,19 @@
 func TestRequestReadInPartIsNotHandedOver(t *testing.T) {
 	for _, part := range []string{"", "G", "GE", "GET", "GET ", "GET /two HTTP/1.1\r\n", "GET /two HTTP/1.1\r\nHost: g\r\n\r\n"} {
 		t.Run(part, func(t *testing.T) {
-			s, address, came, release := heldFirst(t)
-			next, _, _, _ := heldFirst(t)
-			c := dialed(t, address)
+			s, address, came, release := startBlockingServer(t)
+			next, _, _, _ := startBlockingServer(t)
+			c := dial(t, address)
 			const one, two = "GET /one HTTP/1.1\r\nHost: g\r\n\r\n", "GET /two HTTP/1.1\r\nHost: g\r\n\r\n"
 			if _, err := io.WriteString(c, one+part); err != nil {
 				t.Fatal(err)
 			}
 			<-came
 			over := make(chan error, 1)
-			go func() { over <- s.HandOver(t.Context(), func(c *net.TCPConn) bool { return adopts(next, c) }, nil) }()
-			for !leaves(s) {
+			go func() {
+				over <- s.HandOver(t.Context(), func(c *net.TCPConn) bool { return adoptDuplicate(next, c) }, nil)
+			}()
+			for !isReclaiming(s) {
 				runtime.Gosched()
 			}
 			close(release)
@@ -72,14 +74,14 @@
 }
 
 // leaves tells whether a server's one connection is to be taken back.
-func leaves(s *Server) bool {
-	l := s.slots.Load()
+func isReclaiming(s *Server) bool {
+	l := s.listener.Load()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.leaving
+		return c.reclaiming
 	}
 	return false
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -17,58 +17,58 @@
 
 const (
 	// MaxHeader is what a client's headers may hold on the platform.
-	MaxHeader  = 16 << 10
-	headerWait = 2500 * time.Millisecond // from the accept on: who sends no whole head holds a slot for nothing
-	idleWait   = 2 * time.Minute         // clients that went away without a word must not hold descriptors for ever
-
-	sweepFor      = 100 * time.Millisecond // before a drain takes nothing new: connections at rest are closed
-	sweepEach     = 10 * time.Millisecond  // between looks at them, then and until none is left
-	evacuateSweep = 100 * time.Millisecond // between closes of resting connections while evacuated
-	evacuateRest  = 250 * time.Millisecond // rested at least: a client that just connected sends at once
+	MaxHeader     = 16 << 10
+	headerTimeout = 2500 * time.Millisecond // from the accept on: who sends no whole head holds a slot for nothing
+	idleTimeout   = 2 * time.Minute         // clients that went away without a word must not hold descriptors for ever
+
+	closeIdleBeforeStop = 100 * time.Millisecond // before a drain takes nothing new: connections at rest are closed
+	closeIdleInterval   = 10 * time.Millisecond  // between looks at them, then and until none is left
+	evacuateInterval    = 100 * time.Millisecond // between closes of resting connections while evacuated
+	evacuateMinIdle     = 250 * time.Millisecond // rested at least: a client that just connected sends at once
 )
 
 // Server is a front's HTTP server with a drain.
 type Server struct {
-	http      *http.Server
-	draining  atomic.Bool
-	closing   atomic.Bool
-	ready     atomic.Bool
-	evacuated atomic.Bool
-	handing   atomic.Bool // a successor serves at this address
-	slots     atomic.Pointer[slots]
-	serving   chan struct{} // closed when slots is there
-	taken     *atomic.Int64 // requests held now; nil: not counted
-	unread    atomic.Int64  // answers cut since their clients did not read them
-	stall     time.Duration // for a piece of an answer to be read
-	log       *slog.Logger
-	shedding  atomic.Pointer[shed] // set once the process sheds what it holds
+	http            *http.Server
+	draining        atomic.Bool
+	closing         atomic.Bool
+	ready           atomic.Bool
+	evacuated       atomic.Bool
+	handingOver     atomic.Bool // a successor serves at this address
+	listener        atomic.Pointer[limitListener]
+	serving         chan struct{} // closed when slots is there
+	held            *atomic.Int64 // requests held now; nil: not counted
+	unreadResponses atomic.Int64  // answers cut since their clients did not read them
+	writeTimeout    time.Duration // for a piece of an answer to be read
+	log             *slog.Logger
+	shedError       atomic.Pointer[shedError] // set once the process sheds what it holds
 }
 
 // NewServer serves h, with the readiness path in front of it. taken, where not nil, counts the requests held.
-func NewServer(h http.Handler, maxHeader int, taken *atomic.Int64, log *slog.Logger) *Server {
-	s := &Server{taken: taken, serving: make(chan struct{}), stall: writeStall, log: log}
+func NewServer(h http.Handler, maxHeader int, held *atomic.Int64, log *slog.Logger) *Server {
+	s := &Server{held: held, serving: make(chan struct{}), writeTimeout: defaultWriteTimeout, log: log}
 	s.http = &http.Server{
-		MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait,
+		MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, originKey{}, origin{s, c})
 		},
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if c := connOf(r); c != nil {
-				c.names(r.Header.Get("X-Request-ID"))
+				c.setRequestID(r.Header.Get("X-Request-ID"))
 			}
-			if s.sendsAway() {
+			if s.closesConnections() {
 				w.Header().Set("Connection", "close")
 			}
 			if r.URL.Path == "/health/ready" {
-				if !s.Available() && !s.handing.Load() {
+				if !s.Available() && !s.handingOver.Load() {
 					w.WriteHeader(http.StatusServiceUnavailable)
 				}
 				return
 			}
-			if s.taken != nil {
-				s.taken.Add(1)
-				defer s.taken.Add(-1)
+			if s.held != nil {
+				s.held.Add(1)
+				defer s.held.Add(-1)
 			}
 			h.ServeHTTP(w, r)
 		}),
@@ -82,10 +82,10 @@
 }
 
 // UnreadResponses is how many answers were cut since their clients did not read them.
-func (s *Server) UnreadResponses() int64 { return s.unread.Load() }
+func (s *Server) UnreadResponses() int64 { return s.unreadResponses.Load() }
 
 // sendsAway tells whether answers close their connections: clients keep one for as long as it stays open.
-func (s *Server) sendsAway() bool { return s.closing.Load() || s.evacuated.Load() }
+func (s *Server) closesConnections() bool { return s.closing.Load() || s.evacuated.Load() }
 
 // Evacuate sends clients away while the process runs on: readiness says no at once, each answer closes its
 // connection, and resting connections are closed, now and every evacuateSweep, once nothing unread is on them.
@@ -95,11 +95,11 @@
 		return
 	}
 	go func() {
-		t := time.NewTicker(evacuateSweep)
+		t := time.NewTicker(evacuateInterval)
 		defer t.Stop()
 		for s.evacuated.Load() {
-			if l := s.slots.Load(); l != nil {
-				l.closeResting(evacuateRest)
+			if l := s.listener.Load(); l != nil {
+				l.closeIdle(evacuateMinIdle)
 			}
 			select {
 			case <-t.C:
@@ -114,13 +114,13 @@
 func (s *Server) Rejoin() { s.evacuated.Store(false) }
 
 // Serve takes connections until Drain has ended, at most so many at once.
-func (s *Server) Serve(l net.Listener, most int) error {
-	limited := newSlots(l, most)
-	limited.writeStall, limited.unread, limited.unanswered = s.stall, func() { s.unread.Add(1) }, s.logUnanswered
-	s.http.ConnState = limited.state
-	s.slots.Store(limited)
+func (s *Server) Serve(l net.Listener, maxConns int) error {
+	limited := newLimitListener(l, maxConns)
+	limited.writeTimeout, limited.onWriteTimeout, limited.onUnanswered = s.writeTimeout, func() { s.unreadResponses.Add(1) }, s.logUnanswered
+	s.http.ConnState = limited.connState
+	s.listener.Store(limited)
 	close(s.serving)
-	go s.http.Serve(arrivals{limited})
+	go s.http.Serve(adoptionListener{limited})
 	if err := s.http.Serve(limited); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
@@ -136,14 +136,14 @@
 // returns nil once no connection is left, or an error when ctx ends; a later Drain goes on from there.
 func (s *Server) Drain(ctx context.Context, closing, stop time.Time) error {
 	s.draining.Store(true)
-	pause(ctx, time.Until(closing))
+	sleep(ctx, time.Until(closing))
 	s.closing.Store(true)
 	<-s.serving
-	l := s.slots.Load()
-	pause(ctx, time.Until(stop)-sweepFor)
+	l := s.listener.Load()
+	sleep(ctx, time.Until(stop)-closeIdleBeforeStop)
 	for ctx.Err() == nil && time.Now().Before(stop) {
-		l.closeResting(0)
-		pause(ctx, sweepEach)
+		l.closeIdle(0)
+		sleep(ctx, closeIdleInterval)
 	}
 	select { // a listener that is closed with connections waiting in it resets them
 	case <-l.stop():
@@ -151,7 +151,7 @@
 	}
 	// net/http's Shutdown closes idle connections with no look for a request come in on them, and none that is taken
 	// back with one unread could be served any more: it has to find none.
-	if !l.clear(ctx) {
+	if !l.closeWhenIdle(ctx) {
 		return ctx.Err()
 	}
 	return s.http.Shutdown(ctx)
@@ -161,33 +161,33 @@
 // accepts no more: the successor holds the listening socket too. give returns false for a connection that the
 // successor did not take, which is served on here. It returns nil when none is left; when lost is closed,
 // everything is as before, but for readiness: Drain goes on from there.
-func (s *Server) HandOver(ctx context.Context, give func(*net.TCPConn) bool, lost <-chan struct{}) error {
-	s.handing.Store(true) // who asks at this address is told of the successor
+func (s *Server) HandOver(ctx context.Context, transfer func(*net.TCPConn) bool, lost <-chan struct{}) error {
+	s.handingOver.Store(true) // who asks at this address is told of the successor
 	s.draining.Store(true)
 	<-s.serving
-	l := s.slots.Load()
-	l.leave(give)
-	if l.empty(lost, ctx.Done()) {
+	l := s.listener.Load()
+	l.startHandOver(transfer)
+	if l.waitEmpty(lost, ctx.Done()) {
 		return s.http.Shutdown(ctx)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	l.stay()
-	s.handing.Store(false)
-	return errLost
+	l.cancelHandOver()
+	s.handingOver.Store(false)
+	return errSuccessorLost
 }
 
-var errLost = errors.New("the successor is lost")
+var errSuccessorLost = errors.New("the successor is lost")
 
 // Adopt serves a connection that a process before this one held. It returns false, and the connection is the
 // caller's, when nobody serves here any more.
 func (s *Server) Adopt(c *net.TCPConn) bool {
 	<-s.serving // a handover may begin before the listener is served
-	return s.slots.Load().arrive(c, false)
+	return s.listener.Load().adopt(c, false)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	wait := time.NewTimer(d)
 	defer wait.Stop()
 	select {
--- a/internal/front/slots_test.go
+++ b/internal/front/slots_test.go
@@ -19,30 +19,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Run("in time", func(t *testing.T) { stopTakesWhatWaits(t, l) })
+	t.Run("in time", func(t *testing.T) { testStopAcceptsQueued(t, l) })
 	if l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Run("held up", func(t *testing.T) { stopTakesWhatWaits(t, &heldUp{TCPListener: l.(*net.TCPListener), times: 3}) })
+	t.Run("held up", func(t *testing.T) {
+		testStopAcceptsQueued(t, &lateListener{TCPListener: l.(*net.TCPListener), times: 3})
+	})
 }
 
 // heldUp is a listener on a machine that is held up: the first deadlines that are set have passed by the time that the
 // queue is to be looked at.
-type heldUp struct {
+type lateListener struct {
 	*net.TCPListener
 	times int
 }
 
-func (l *heldUp) SetDeadline(t time.Time) error {
+func (l *lateListener) SetDeadline(t time.Time) error {
 	if l.times--; l.times >= 0 {
 		t = time.Unix(1, 0)
 	}
 	return l.TCPListener.SetDeadline(t)
 }
 
-func stopTakesWhatWaits(t *testing.T, l net.Listener) {
+func testStopAcceptsQueued(t *testing.T, l net.Listener) {
 	var err error
-	s := newSlots(l, 64)
+	s := newLimitListener(l, 64)
 	waiting := make([]net.Conn, 5)
 	for i := range waiting { // the kernel completes their handshakes: they wait in the queue, unaccepted
 		if waiting[i], err = net.Dial("tcp", l.Addr().String()); err != nil {
@@ -56,7 +58,7 @@
 	for {
 		c, err := s.Accept()
 		if err != nil {
-			if !errors.Is(err, errStopped) {
+			if !errors.Is(err, errListenerStopped) {
 				t.Fatalf("accept: %v", err)
 			}
 			break
@@ -76,13 +78,13 @@
 
 // served is a front's server on loopback whose handler says which server it is. The slots are there once it
 // takes connections.
-func served(t *testing.T, name string) (s *Server, address string) {
+func startServer(t *testing.T, name string) (s *Server, address string) {
 	t.Helper()
-	return servedWith(t, name, 64)
+	return startServerWithLimit(t, name, 64)
 }
 
 // servedWith is served with so many slots.
-func servedWith(t *testing.T, name string, slots int) (s *Server, address string) {
+func startServerWithLimit(t *testing.T, name string, limit int) (s *Server, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,9 +96,9 @@
 		}
 		io.WriteString(w, name)
 	}), MaxHeader, nil, slog.New(slog.DiscardHandler))
-	go s.Serve(l, slots)
+	go s.Serve(l, limit)
 	t.Cleanup(func() { s.http.Close() })
-	for s.slots.Load() == nil {
+	for s.listener.Load() == nil {
 		runtime.Gosched()
 	}
 	s.MarkReady()
@@ -109,7 +111,7 @@
 	in *bufio.Reader
 }
 
-func dialed(t *testing.T, address string) *client {
+func dial(t *testing.T, address string) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -140,7 +142,7 @@
 }
 
 // gone waits for the connection's end.
-func (c *client) gone(t *testing.T) {
+func (c *client) expectClosed(t *testing.T) {
 	t.Helper()
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("the connection is not closed in good order: %v", err)
@@ -151,19 +153,19 @@
 // one that rests after a request is, also where its client has left half of it; one with a request under way,
 // be it a part of its head, is not.
 func TestWhatIsClosedAtTheEnd(t *testing.T) {
-	s, address := served(t, "here")
-	idle, half, fresh := dialed(t, address), dialed(t, address), dialed(t, address)
+	s, address := startServer(t, "here")
+	idle, half, fresh := dial(t, address), dial(t, address), dial(t, address)
 	for _, c := range []*client{idle, half} {
 		c.ask(t, request)
 	}
 	io.WriteString(half, request[:7])
-	l := s.slots.Load()
+	l := s.listener.Load()
 	for arrived := 0; arrived < 3; runtime.Gosched() { // until the third is accepted, the half head read, and none is busy
 		l.mu.Lock()
 		arrived = 0
 		for c := range l.conns {
 			c.mu.Lock()
-			if c.phase == resting && c.RemoteAddr().String() == half.LocalAddr().String() || c.phase == settling || c.phase == busy {
+			if c.phase == phaseIdle && c.RemoteAddr().String() == half.LocalAddr().String() || c.phase == phaseBeforeIdle || c.phase == phaseActive {
 				arrived--
 			}
 			c.mu.Unlock()
@@ -171,8 +173,8 @@
 		}
 		l.mu.Unlock()
 	}
-	l.closeResting(0)
-	idle.gone(t)
+	l.closeIdle(0)
+	idle.expectClosed(t)
 	if got := half.ask(t, request[7:]); got != "here" {
 		t.Errorf("a request half read at the end was answered %q", got)
 	}
@@ -183,11 +185,11 @@
 
 // busyClients ask again and again, each on one connection, until stop is closed; a request without its answer, or a
 // connection that ends, is an error. They report how many answers each server gave.
-func busyClients(t *testing.T, address string, n int, stop <-chan struct{}) (wait func() map[string]int) {
+func startClients(t *testing.T, address string, n int, stop <-chan struct{}) (wait func() map[string]int) {
 	t.Helper()
 	counts := make(chan map[string]int, n)
 	for range n {
-		c := dialed(t, address)
+		c := dial(t, address)
 		go func() {
 			got := map[string]int{}
 			defer func() { counts <- got }()
@@ -226,7 +228,7 @@
 }
 
 // adopts gives a server a descriptor of its own, as another process gets one.
-func adopts(s *Server, c *net.TCPConn) bool {
+func adoptDuplicate(s *Server, c *net.TCPConn) bool {
 	f, err := c.File()
 	if err != nil {
 		return false
@@ -239,20 +241,22 @@
 // Under load every connection goes to the successor between two requests, with none lost and none closed, also one
 // whose request ends late; the first server ends with nothing left. The successor answers on them.
 func TestHandOverUnderLoad(t *testing.T) {
-	s, address := served(t, "old")
-	next, _ := served(t, "new")
+	s, address := startServer(t, "old")
+	next, _ := startServer(t, "new")
 	stop := make(chan struct{})
-	wait := busyClients(t, address, 24, stop)
-	idle := dialed(t, address)
+	wait := startClients(t, address, 24, stop)
+	idle := dial(t, address)
 	idle.ask(t, request)
-	slow := dialed(t, address)
+	slow := dial(t, address)
 	io.WriteString(slow, "GET /slow HTTP/1.1\r\nHost: g\r\n\r\n")
-	for s.slots.Load().count() < 26 { // here the queue is not the successor's too
+	for s.listener.Load().count() < 26 { // here the queue is not the successor's too
 		runtime.Gosched()
 	}
 	over := make(chan error, 1)
-	go func() { over <- s.HandOver(t.Context(), func(c *net.TCPConn) bool { return adopts(next, c) }, nil) }()
-	for next.slots.Load().count() < 25 && !t.Failed() {
+	go func() {
+		over <- s.HandOver(t.Context(), func(c *net.TCPConn) bool { return adoptDuplicate(next, c) }, nil)
+	}()
+	for next.listener.Load().count() < 25 && !t.Failed() {
 		runtime.Gosched()
 	}
 	if got := idle.ask(t, request); got != "new" {
@@ -271,10 +275,10 @@
 // A successor that takes some connections and is then lost: what it did not take is served on here, new connections
 // are accepted again, and the drain goes on.
 func TestHandOverIsBrokenOff(t *testing.T) {
-	s, address := served(t, "old")
+	s, address := startServer(t, "old")
 	clients := make([]*client, 6)
 	for i := range clients {
-		clients[i] = dialed(t, address)
+		clients[i] = dial(t, address)
 		clients[i].ask(t, request)
 	}
 	lost := make(chan struct{})
@@ -293,7 +297,7 @@
 	if err := <-over; err == nil {
 		t.Fatal("it counts as done")
 	}
-	for _, c := range append(clients, dialed(t, address)) {
+	for _, c := range append(clients, dial(t, address)) {
 		if got := c.ask(t, request); got != "old" {
 			t.Errorf("answered by %q", got)
 		}
@@ -311,37 +315,37 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	client := dialed(t, l.Addr().String())
+	client := dial(t, l.Addr().String())
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newSlots(l, 1)
-	s.take() // the only slot
+	s := newLimitListener(l, 1)
+	s.tryAcquire() // the only slot
 	accepted := make(chan net.Conn, 1)
 	go func() {
-		c, err := arrivals{s}.Accept()
+		c, err := adoptionListener{s}.Accept()
 		if err != nil {
 			t.Error(err)
 		}
 		accepted <- c
 	}()
-	if !s.arrive(c.(*net.TCPConn), false) { // it is taken in, and waits
+	if !s.adopt(c.(*net.TCPConn), false) { // it is taken in, and waits
 		t.Fatal("nobody serves")
 	}
 	over := make(chan struct{})
 	close(over)
-	if s.empty(nil, over) {
+	if s.waitEmpty(nil, over) {
 		t.Error("a handover is done, with a connection that nobody has")
 	}
 	s.release()
 	a := <-accepted
 	a.Close()
-	s.state(a, http.StateClosed)
-	if !s.empty(nil, nil) {
+	s.connState(a, http.StateClosed)
+	if !s.waitEmpty(nil, nil) {
 		t.Error("never done")
 	}
-	client.gone(t)
+	client.expectClosed(t)
 }
 
 // Clients with a part of a head fill every slot, on new connections or on used ones, and send nothing more: the one
@@ -355,20 +359,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			const slots = 8
-			s, address := servedWith(t, "here", slots)
+			s, address := startServerWithLimit(t, "here", slots)
 			halves := make([]*client, slots)
 			for i := range halves {
-				halves[i] = dialed(t, address)
+				halves[i] = dial(t, address)
 				if c.used {
 					halves[i].ask(t, request)
 				}
 				io.WriteString(halves[i], request[:c.bytes])
-				for s.reading() != i+1 {
+				for s.countReadingHeader() != i+1 {
 					runtime.Gosched()
 				}
 			}
 			began := time.Now()
-			if got := dialed(t, address).ask(t, request); got != "here" {
+			if got := dial(t, address).ask(t, request); got != "here" {
 				t.Errorf("answered %q", got)
 			}
 			t.Logf("served after %v", time.Since(began))
@@ -383,13 +387,13 @@
 }
 
 // reading is how many connections have a part of a head.
-func (s *Server) reading() (n int) {
-	l := s.slots.Load()
+func (s *Server) countReadingHeader() (n int) {
+	l := s.listener.Load()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
 		c.mu.Lock()
-		if c.phase == reading {
+		if c.phase == phaseReadingHeader {
 			n++
 		}
 		c.mu.Unlock()
--- a/internal/front/unanswered.go
+++ b/internal/front/unanswered.go
@@ -11,7 +11,7 @@
 // progress is how far the request under way on a connection has come, for the log of those that got no answer.
 type progress struct {
 	id          string // empty until its head is whole
-	whole       bool   // its last byte has come
+	complete    bool   // its last byte has come
 	bytes       int    // that have come
 	reads       int    // in which they came
 	lastByte    time.Time
@@ -33,20 +33,20 @@
 	if socket.HungUp(c.TCPConn) {
 		by = "client"
 	}
-	s.log.Debug("a connection ends with its request unanswered", "by", by, "client", c.RemoteAddr().String(), "id", p.id, "whole", p.whole,
+	s.log.Debug("a connection ends with its request unanswered", "by", by, "client", c.RemoteAddr().String(), "id", p.id, "whole", p.complete,
 		"bytes", p.bytes, "reads", p.reads, "since_last_byte", time.Since(p.lastByte), "attempts_out", p.attemptsOut)
 }
 
 // withoutAnswer tells whether a request is under way that has got nothing of an answer, and how far it has come.
-func (c *conn) withoutAnswer() (p progress, none bool) {
+func (c *conn) unansweredRequest() (p progress, unanswered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	begun := c.progress.reads > 0 || c.progress.id != "" // read together with the request before it: by its id alone
-	return c.progress, begun && (c.phase == reading || c.phase == busy) && !c.progress.answered
+	return c.progress, begun && (c.phase == phaseReadingHeader || c.phase == phaseActive) && !c.progress.answered
 }
 
 // answers notes that something of an answer went out.
-func (c *conn) answers() {
+func (c *conn) markAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.answered = true
@@ -60,21 +60,21 @@
 }
 
 // names tells the connection of a request the request's id.
-func (c *conn) names(id string) {
+func (c *conn) setRequestID(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.id = id
 }
 
 // complete notes that a request's last byte has come.
-func (c *conn) complete() {
+func (c *conn) markComplete() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.progress.whole = true
+	c.progress.complete = true
 }
 
 // left notes what was out for a request whose client has left.
-func (c *conn) left(a core.Answer) {
+func (c *conn) setAttemptsOut(a core.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.attemptsOut = a.AttemptsOut
@@ -82,14 +82,14 @@
 
 // LogUnanswered writes a line on each connection that has a request without an answer: they end with the process.
 func (s *Server) LogUnanswered() {
-	l := s.slots.Load()
+	l := s.listener.Load()
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if p, none := c.withoutAnswer(); none {
+		if p, unanswered := c.unansweredRequest(); unanswered {
 			s.logUnanswered(c, p)
 		}
 	}
--- a/internal/front/unanswered_test.go
+++ b/internal/front/unanswered_test.go
@@ -12,13 +12,13 @@
 )
 
 // lines is a log whose lines a test waits for.
-type lines chan string
+type logLines chan string
 
-func (l lines) Write(p []byte) (int, error) { l <- string(p); return len(p), nil }
+func (l logLines) Write(p []byte) (int, error) { l <- string(p); return len(p), nil }
 
 // logged serves with a handler that answers nothing while its client stays, and returns the log of it.
-func logged(t *testing.T) (address string, log lines, s *Server, begun chan struct{}) {
-	log, begun = make(lines, 64), make(chan struct{}, 1)
+func startLoggedServer(t *testing.T) (address string, log logLines, s *Server, begun chan struct{}) {
+	log, begun = make(logLines, 64), make(chan struct{}, 1)
 	s = NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		begun <- struct{}{}
 		<-r.Context().Done()
@@ -39,7 +39,7 @@
 }
 
 // next is the next line on a request that was not answered.
-func (l lines) next() string {
+func (l logLines) next() string {
 	late := time.After(20 * time.Second)
 	for {
 		select {
@@ -53,7 +53,7 @@
 	}
 }
 
-func holds(t *testing.T, line string, parts ...string) {
+func expectContains(t *testing.T, line string, parts ...string) {
 	t.Helper()
 	for _, part := range parts {
 		if !strings.Contains(line, part) {
@@ -66,7 +66,7 @@
 func TestUnansweredRequestsAreLogged(t *testing.T) {
 	const head = "GET /view/1 HTTP/1.1\r\nHost: g\r\nX-Request-ID: left-1\r\n\r\n"
 	t.Run("its client leaves", func(t *testing.T) {
-		address, log, _, begun := logged(t)
+		address, log, _, begun := startLoggedServer(t)
 		client, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -74,10 +74,10 @@
 		io.WriteString(client, head)
 		<-begun
 		client.Close()
-		holds(t, log.next(), "by=client", "id=left-1", fmt.Sprintf("bytes=%d", len(head)), "attempts_out=0", "since_last_byte=")
+		expectContains(t, log.next(), "by=client", "id=left-1", fmt.Sprintf("bytes=%d", len(head)), "attempts_out=0", "since_last_byte=")
 	})
 	t.Run("the process ends", func(t *testing.T) {
-		address, log, s, begun := logged(t)
+		address, log, s, begun := startLoggedServer(t)
 		client, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -86,6 +86,6 @@
 		io.WriteString(client, head)
 		<-begun
 		s.LogUnanswered()
-		holds(t, log.next(), "by=gateway", "id=left-1", fmt.Sprintf("bytes=%d", len(head)))
+		expectContains(t, log.next(), "by=gateway", "id=left-1", fmt.Sprintf("bytes=%d", len(head)))
 	})
 }
--- a/internal/front/unread_test.go
+++ b/internal/front/unread_test.go
@@ -27,11 +27,11 @@
 		}
 		io.WriteString(w, "here")
 	}), MaxHeader, nil, slog.New(slog.DiscardHandler))
-	s.stall = 200 * time.Millisecond
+	s.writeTimeout = 200 * time.Millisecond
 	go s.Serve(l, 1)
 	t.Cleanup(func() { s.http.Close() })
 
-	silent := dialed(t, l.Addr().String())
+	silent := dial(t, l.Addr().String())
 	io.WriteString(silent, "GET /long HTTP/1.1\r\nHost: g\r\n\r\n")
 	select {
 	case <-over:
@@ -41,11 +41,11 @@
 	for s.UnreadResponses() != 1 {
 		runtime.Gosched()
 	}
-	reader := dialed(t, l.Addr().String())
+	reader := dial(t, l.Addr().String())
 	if got := reader.ask(t, "GET /long HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n"); len(got) != long {
 		t.Errorf("a client that reads got %d bytes of %d", len(got), long)
 	}
-	if got := dialed(t, l.Addr().String()).ask(t, request); got != "here" {
+	if got := dial(t, l.Addr().String()).ask(t, request); got != "here" {
 		t.Errorf("answered %q", got)
 	}
 	if n := s.UnreadResponses(); n != 1 {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -15,7 +15,7 @@
 	"junctionring/internal/front"
 )
 
-const mostID = 128 // bytes of an X-Request-ID
+const maxIDBytes = 128 // bytes of an X-Request-ID
 
 // Platform is the handler of the platform's protocol.
 func Platform(names *front.Names, c *core.Core, log *slog.Logger) http.Handler {
@@ -23,15 +23,15 @@
 }
 
 // PlatformLive is Platform with names that may change: each request is decoded by those in force as it comes.
-func PlatformLive(in func() *front.Names, c *core.Core, log *slog.Logger) http.Handler {
+func PlatformLive(current func() *front.Names, c *core.Core, log *slog.Logger) http.Handler {
 	proxy := front.Proxy(&egress.RoundTripper{Core: c, RetryAfter: egress.DecimalSeconds}, log)
-	var open sync.Map // ids of the exchanges that are held
+	var openIDs sync.Map // ids of the exchanges that are held
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		received := time.Now()
 		if front.Chunked(r) {
 			w.Header().Set("Connection", "close")
 		}
-		x, err := Decode(in(), r, received)
+		x, err := Decode(current(), r, received)
 		if err != nil {
 			front.Reject(w, r, err)
 			return
@@ -44,11 +44,11 @@
 		// Ids are fresh on every request: one that is open is another client's, and two attempts with it would
 		// be two copies of that one.
 		id := r.Header.Get("X-Request-ID")
-		if _, taken := open.LoadOrStore(id, nil); taken {
+		if _, inUse := openIDs.LoadOrStore(id, nil); inUse {
 			front.Reject(w, r, &front.RequestError{Status: http.StatusConflict, Text: "this X-Request-ID is in use"})
 			return
 		}
-		defer open.Delete(id)
+		defer openIDs.Delete(id)
 		front.StartDeadline(&x, received, rest)
 		front.Forward(proxy, w, r, &x, body, rest, nil)
 	})
@@ -68,7 +68,7 @@
 			return x, err
 		}
 	}
-	if id := values[0]; id == "" || len(id) > mostID {
+	if id := values[0]; id == "" || len(id) > maxIDBytes {
 		return x, front.BadRequest("X-Request-ID is missing or too long")
 	}
 	if x.Plan = slices.Index(n.Plans, values[1]); x.Plan < 0 {
@@ -81,14 +81,14 @@
 	if x.Customer, err = ParseAccount(accounts[0].Value); err != nil {
 		return x, err
 	}
-	wait, err := front.ParseTimeout(values[3])
+	timeout, err := front.ParseTimeout(values[3])
 	if err != nil {
 		return x, err
 	}
 	if x.Class < len(n.MaxWait) && n.MaxWait[x.Class] > 0 {
-		wait = min(wait, time.Duration(n.MaxWait[x.Class]*float64(time.Second)))
+		timeout = min(timeout, time.Duration(n.MaxWait[x.Class]*float64(time.Second)))
 	}
-	x.Deadline = received.Add(wait - front.Margin)
+	x.Deadline = received.Add(timeout - front.Margin)
 	x.Repeat = r.Header.Get("X-Retried") == "1"
 	return x, n.Quota(values[4], &x)
 }
