--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -11,74 +11,75 @@
 )
 
 const (
-	bodyIdleTimeout = 2 * time.Second // a client is silent so long at most, within its body
-	minBodyRate     = 16 << 10        // bytes a second
-	longBodyPrefix  = 4 << 10         // of a body that is known to be long
+	bodyIdleTimeout = 2 * time.Second // longest time without a byte of a body that is being read
+	minBodyRate     = 16 << 10        // bytes per second, average over the whole body
+	longBodyPrefix  = 4 << 10         // bytes kept of a body whose declared length is above the limit
 )
 
-// Body is a message's body as it comes in, at the client's pace: it may be slow, and may not stop.
+// Body reads a request's body as the client sends it. It tolerates slow clients, but not ones that stall.
 type Body struct {
 	r               *http.Request
 	control         *http.ResponseController
 	started         time.Time
 	limit, received int64
 
-	mu     sync.Mutex // held while it is read
+	mu     sync.Mutex // held during Read
 	eof    bool
 	closed atomic.Bool
 }
 
-// NewBody begins to read a request's body, of at most so many bytes.
+// NewBody returns a reader of a request's body that accepts at most limit bytes.
 func NewBody(w http.ResponseWriter, r *http.Request, limit int64) *Body {
 	return &Body{r: r, control: http.NewResponseController(w), started: time.Now(), limit: limit}
 }
 
-// Read implements io.Reader. A client that sends nothing for bodyWait, or less than bodyPace all in all, has
-// stopped.
+// Read implements io.Reader. It fails if the client sends nothing for bodyIdleTimeout, or if the average rate
+// since the start is below minBodyRate.
 func (b *Body) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed.Load() {
 		return 0, errBodyClosed
 	}
-	b.control.SetReadDeadline(time.Now().Add(bodyIdleTimeout)) // where it is not supported, a client may be slow
+	b.control.SetReadDeadline(time.Now().Add(bodyIdleTimeout)) // if unsupported, only the average rate counts
 	n, err := b.r.Body.Read(p)
 	b.eof = err == io.EOF
 	if b.received += int64(n); b.received > b.limit {
 		return 0, errBodyTooLarge
 	}
-	if err == nil && time.Since(b.started) > bodyIdleTimeout+time.Duration(float64(b.received)/minBodyRate*float64(time.Second)) {
+	if err == nil && time.Since(b.started) >
+		bodyIdleTimeout+time.Duration(float64(b.received)/minBodyRate*float64(time.Second)) {
 		err = errBodyTooSlow
 	}
 	return n, err
 }
 
-// Close ends the reading: no Read is under way when it returns, and none will read on.
+// Close stops reading. When it returns, no Read is in progress, and every later Read fails.
 func (b *Body) Close() {
 	b.closed.Store(true)
 	if b.mu.TryLock() {
 		eof := b.eof
 		b.mu.Unlock()
-		if eof { // net/http reads on by itself by now
+		if eof { // net/http has started its own background read
 			return
 		}
 	}
 	b.control.SetReadDeadline(pastTime)
-	b.mu.Lock() // until it has taken that in
+	b.mu.Lock() // wait until the Read in progress has returned
 	defer b.mu.Unlock()
-	// The answer goes out now. net/http reads off a part of what still comes, and without time for that would close
-	// on unread bytes at once: a reset, which may take the answer with it.
+	// The response is sent now. net/http then discards part of the remaining body. Without time for that it would
+	// close the connection with unread bytes at once, which resets it and may lose the response.
 	b.control.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
 var (
-	errBodyClosed   = errors.New("nobody reads the body any more")
-	errBodyTooLarge = errors.New("the body is too large")
-	errBodyTooSlow  = errors.New("the body comes too slowly")
+	errBodyClosed   = errors.New("read of a request body after Close")
+	errBodyTooLarge = errors.New("request body exceeds its size limit")
+	errBodyTooSlow  = errors.New("request body arrives below the minimum rate")
 )
 
-// ReadBody takes a body in, whole where it is no longer than the limit. Of a longer one, where at most long may come,
-// it returns the beginning, and rest reads on.
+// ReadBody reads a request's body. A body of up to limit bytes is returned whole. Of a longer one, of up to longLimit
+// bytes, it returns the beginning, and rest reads the remainder.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit, longLimit int64) (body []byte, rest *Body, err error) {
 	if r.ContentLength > max(limit, longLimit) {
 		return nil, nil, &RequestError{http.StatusRequestEntityTooLarge, "the body is too large"}
@@ -96,7 +97,7 @@
 	maxSize := max(limit, longLimit)
 	b := NewBody(w, r, maxSize)
 	if r.ContentLength > limit {
-		body = make([]byte, min(limit, longBodyPrefix)) // it is kept while the rest goes by
+		body = make([]byte, min(limit, longBodyPrefix)) // kept in memory while the remainder is streamed
 		_, err = io.ReadFull(b, body)
 		rest = b
 	} else if body, err = io.ReadAll(io.LimitReader(b, limit+1)); int64(len(body)) > limit {
--- a/internal/front/class_names.go
+++ b/internal/front/class_names.go
@@ -9,10 +9,11 @@
 	"junctionring/control"
 )
 
-// CheckClassNames tells which class could not be named by a request, and why: its name is the first part of the path
-// in a request line, as it is. A name of "" is that of a class which requests may not name any more.
+// CheckClassNames returns an error for the first class that no request could address. A request names its class by
+// the first segment of the path in its request line, unescaped. An empty name stands for a class that requests may
+// no longer address.
 func CheckClassNames(names []string) error {
-	lookup := &Names{Classes: names, Repeats: make([]control.Repeat, len(names))} // all safe: a GET names each
+	lookup := &Names{Classes: names, Repeats: make([]control.Repeat, len(names))} // all Safe, so a GET addresses each
 	for _, name := range names {
 		if name == "" {
 			continue
@@ -35,7 +36,7 @@
 		return err
 	}
 	if names.Classes[found] != name {
-		return fmt.Errorf("it reads as that of another class, %q", names.Classes[found])
+		return fmt.Errorf("the request line resolves to another class, %q", names.Classes[found])
 	}
 	return nil
 }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -12,30 +12,30 @@
 	"junctionring/internal/socket"
 )
 
-// conn is a client's connection under net/http. It knows whether net/http has been given anything of a request,
-// and can be taken back from it while it has not: a close from the outside may always cross a request that is
-// already in net/http's buffer, and that request would be lost.
+// conn is a client's connection that net/http serves. It tracks whether net/http has read any byte of a request, and
+// can be reclaimed from net/http while it has not. Closing the connection from outside net/http instead could lose a
+// request that is already in net/http's buffer.
 type conn struct {
 	*net.TCPConn
-	onReclaimed func(*net.TCPConn) // told once a connection has been taken back; it owns it then
+	onReclaimed func(*net.TCPConn) // called after the connection is reclaimed; it then owns the connection
 
-	writeTimeout   time.Duration // for a piece of an answer
-	onWriteTimeout func()        // told when one did not go out in that time
+	writeTimeout   time.Duration // for each chunk of a response
+	onWriteTimeout func()        // called when a chunk was not written in that time
 
-	onUnanswered func(*conn, progress) // told as it is closed with a request that has no answer
+	onUnanswered func(*conn, progress) // called when the connection closes during a request without a response
 
 	mu              sync.Mutex
 	phase           phase
-	reclaiming      bool
-	deadline        time.Time // net/http's own, for reads
+	reclaiming      bool      // reclaim the connection as soon as it is idle
+	deadline        time.Time // the read deadline that net/http has set
 	progress        progress
-	emptyBufferSize int // of net/http's buffer when it is empty; 0: nothing was read yet
+	emptyBufferSize int // bytes that net/http's read buffer takes when empty; 0: no read yet
 
 	awaitingBody bool
-	bodyAborted  bool // it is not waited for any longer
+	bodyAborted  bool // the process is shedding: no longer wait for the body
 }
 
-// origin is where a request came from.
+// origin is the server and the connection on which a request arrived.
 type origin struct {
 	server *Server
 	conn   net.Conn
@@ -43,15 +43,16 @@
 
 type originKey struct{}
 
-// closes tells whether a request's answer is to close its connection, at the time of its answer: one that was held as
-// the drain began to close connections leaves its client on one that is closed at rest soon, when no way in may be left.
+// closesConnection reports, when a request is answered, whether the response has to close the connection. A request
+// that was held when the drain began to close connections would otherwise leave its client on a connection that is
+// soon closed while idle, when there may be no other way in.
 func closesConnection(r *http.Request) bool {
 	o, ok := r.Context().Value(originKey{}).(origin)
 	return ok && o.server.closesConnections()
 }
 
-// hasLeft tells whether the client of a request has ended its connection by now, be it before the request was read:
-// net/http tells of it only once the request is on its way.
+// clientClosed reports whether the client of a request has closed its connection, even if it did so before the
+// request was read: net/http reports that only after the handler has forwarded the request.
 func clientClosed(r *http.Request) bool {
 	c := connOf(r)
 	return c != nil && socket.HungUp(c.TCPConn)
@@ -60,16 +61,16 @@
 type phase int
 
 const (
-	phaseActive        phase = iota // a request is under way
-	phaseReadingHeader              // a part of a head has come
-	phaseBeforeIdle                 // none is; net/http is about to set the time that it will wait for one
-	phaseIdle                       // it waits in Read, and has nothing
-	phaseReclaimed                  // taken back
+	phaseActive        phase = iota // a request is in progress
+	phaseReadingHeader              // part of a request header has arrived
+	phaseBeforeIdle                 // no request; net/http is about to set the read deadline for the next one
+	phaseIdle                       // net/http waits in Read and has received nothing
+	phaseReclaimed                  // taken from net/http
 )
 
 var pastTime = time.Unix(1, 0)
 
-// rests is called when net/http says that a connection is new or idle.
+// setIdle is called when net/http reports the connection as new or idle.
 func (c *conn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 }
 
-// begins is called when net/http says that a whole head has come.
+// setActive is called when net/http reports that a complete request header was read.
 func (c *conn) setActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +88,8 @@
 	}
 }
 
-// halfHead tells whether a part of a head has come, and ends the connection where nothing more of it came for stall.
+// checkPartialHeader reports whether part of a request header has arrived. It ends the connection if no further byte
+// arrived for timeout.
 func (c *conn) checkPartialHeader(timeout time.Duration) (partial, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,21 +99,21 @@
 	if time.Since(c.progress.lastByte) < timeout {
 		return true, false
 	}
-	c.TCPConn.SetReadDeadline(pastTime) // net/http closes it
+	c.TCPConn.SetReadDeadline(pastTime) // net/http then closes the connection
 	return true, true
 }
 
-// leave has the connection taken back as soon as it rests.
+// requestReclaim has the connection reclaimed as soon as it is idle.
 func (c *conn) requestReclaim() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reclaiming = true
 	if c.phase == phaseIdle {
-		c.TCPConn.SetReadDeadline(pastTime) // Read looks at this before it takes anything
+		c.TCPConn.SetReadDeadline(pastTime) // a read checks the deadline before it takes any byte
 	}
 }
 
-// stay undoes leave, where it is not too late.
+// cancelReclaim undoes requestReclaim unless the connection has already been reclaimed.
 func (c *conn) cancelReclaim() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,10 +123,10 @@
 	}
 }
 
-// Read implements net.Conn. net/http reads a single byte, with no time set, only to see whether the client leaves
-// while its request is under way. What it would get is the next request's: that is left where it is, or a client that
-// is quick would never be found at rest. Danger: a long line of a head may leave room for a single byte, too; the time
-// for the head is set then.
+// Read implements net.Conn. net/http reads a single byte without a deadline only to detect that the client closes the
+// connection during a request. Any byte that such a read returned would belong to the next request. It is left in the
+// socket, since the connection of a fast client would otherwise never be seen idle. A long header line may also leave
+// room for only a single byte in net/http's buffer; such a read differs in that the header deadline is set.
 func (c *conn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	closeProbe := len(b) == 1 && c.deadline.IsZero()
@@ -142,9 +144,9 @@
 		c.phase = phaseReclaimed
 		c.mu.Unlock()
 		c.onReclaimed(c.TCPConn)
-		return 0, io.EOF // net/http takes the client for gone, and says nothing to it
+		return 0, io.EOF // net/http takes this as the client's close and sends nothing
 	case c.phase == phaseIdle:
-		c.startRequest() // or it is at its end
+		c.startRequest() // or the connection has ended
 		c.TCPConn.SetReadDeadline(c.headerDeadline())
 	}
 	if n > 0 && (c.phase == phaseReadingHeader || c.phase == phaseActive) {
@@ -154,9 +156,9 @@
 	return n, err
 }
 
-// beginsReadAhead begins a request whose first bytes net/http read together with the request before it: they lie in its
-// buffer, which has less room than when it is empty. It has asked for them as if nothing had come, and a connection taken
-// back now would lose them. c.mu is held.
+// checkReadAhead starts a request whose first bytes net/http read together with the previous request. They are in its
+// buffer, which therefore has less free space than when empty. net/http reads as if nothing of a request had arrived,
+// and reclaiming the connection now would lose those bytes. c.mu must be held.
 func (c *conn) checkReadAhead(bufferFree int) {
 	if c.emptyBufferSize == 0 {
 		c.emptyBufferSize = bufferFree
@@ -167,13 +169,13 @@
 	}
 }
 
-// startReading begins a request. c.mu is held.
+// startRequest records that the first bytes of a request arrived. c.mu must be held.
 func (c *conn) startRequest() {
 	c.phase, c.progress = phaseReadingHeader, progress{lastByte: time.Now()}
 }
 
-// headDeadline is until when a head must be whole whose first bytes have just come. net/http waits for its fourth byte
-// for as long as for a request.
+// headerDeadline returns the deadline for a complete header whose first bytes have just arrived. net/http itself
+// applies the longer wait for a new request until the fourth byte.
 func (c *conn) headerDeadline() time.Time {
 	latest := time.Now().Add(headerTimeout)
 	if !c.deadline.IsZero() && c.deadline.Before(latest) {
@@ -182,8 +184,8 @@
 	return latest
 }
 
-// SetReadDeadline implements net.Conn. net/http sets the time to wait for a request when it begins to wait, and
-// another once it has the request's first bytes.
+// SetReadDeadline implements net.Conn. net/http sets one deadline when it starts to wait for a request, and another
+// once it has the request's first bytes.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -205,13 +207,13 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// Close implements net.Conn. net/http closes connections at rest when it shuts down, with no look at what is coming
-// in on them: those are taken back instead.
+// Close implements net.Conn. When net/http shuts down, it closes idle connections without checking for arriving
+// requests, so an idle connection is reclaimed instead of closed.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	switch c.phase {
 	case phaseReclaimed:
-	case phaseBeforeIdle: // nobody reads any more
+	case phaseBeforeIdle: // net/http no longer reads from it
 		c.phase = phaseReclaimed
 		c.mu.Unlock()
 		c.onReclaimed(c.TCPConn)
--- a/internal/front/conn_write.go
+++ b/internal/front/conn_write.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	defaultWriteTimeout = 10 * time.Second // a client that takes no piece of its answer in for so long has stopped reading
-	writeChunkSize      = 16 << 10
+	defaultWriteTimeout = 10 * time.Second // without progress on a chunk, the client has stopped reading
+	writeChunkSize      = 16 << 10         // bytes
 )
 
-// Write implements net.Conn. A client that does not read its answer keeps its connection for a bounded time: each
-// piece has to go out within the server's limit.
+// Write implements net.Conn. Each chunk has to be written within the server's write timeout, so that a client that
+// does not read its response holds its connection for a bounded time only.
 func (c *conn) Write(b []byte) (written int, err error) {
 	for len(b) > 0 && err == nil {
 		var n int
@@ -36,7 +36,7 @@
 	return n, err
 }
 
-// ReadFrom implements io.ReaderFrom: that of net.TCPConn would write past Write.
+// ReadFrom implements io.ReaderFrom. The method of net.TCPConn would bypass Write.
 func (c *conn) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
--- a/internal/front/evict.go
+++ b/internal/front/evict.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	evictMinIdle       = 2 * time.Second        // without an open request: the platform lets it be closed then
-	firstRequestGrace  = 250 * time.Millisecond // clients that mean to ask send as they connect; where no slot is left
-	headerStallTimeout = time.Second            // without a byte of a head that has begun; where no slot is left
-	reserveDivisor     = 8                      // one part in so many is kept free, lest a client wait for a close
-	evictMaxChecks     = 16                     // connections looked at for one that can be closed
+	evictMinIdle       = 2 * time.Second        // idle time after which the platform allows a close
+	firstRequestGrace  = 250 * time.Millisecond // for a new connection; clients with a request send it as they connect
+	headerStallTimeout = time.Second            // at the limit; no further byte of a partial header
+	reserveDivisor     = 8                      // limit/reserveDivisor places stay free, so that clients need not wait
+	evictMaxChecks     = 16                     // connections examined per eviction
 )
 
-// take takes a slot if one is free, and closes one connection if few are.
+// tryAcquire takes a place below the connection limit if one is free. If few are free, it closes one connection.
 func (s *limitListener) tryAcquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,10 +29,11 @@
 	return !full
 }
 
-// evict closes the connection that has rested longest. Where no slot is left it need not have rested long: one
-// that finds no slot waits in vain. A connection with a request that is not read yet is passed over: the first
-// request on a connection is lost by a close, and each later one costs a new connection. So is one with a part of a
-// head, but where no slot is left and nothing more of it came for headStall.
+// evict closes the connection that has been idle longest. At the connection limit (full) a shorter idle time suffices,
+// since a client that finds no place waits in vain. A connection with an unread request is skipped: closing it loses
+// the request if it is the first on its connection, and costs the client a new connection if it is a later one. A
+// connection with a partial header is skipped too, unless the limit is reached and no further byte of the header came
+// for headerStallTimeout.
 func (s *limitListener) evict(full bool) {
 	minIdle := evictMinIdle
 	if full {
@@ -41,7 +42,7 @@
 	for e, checks := s.idle.Front(), 0; e != nil && checks < evictMaxChecks; e = e.Next() {
 		r := e.Value.(*idleConn)
 		if time.Since(r.since) < minIdle {
-			return // those behind have rested less
+			return // the following ones have been idle for less time
 		}
 		if partial, ended := endStalledHeader(r.conn, full); ended {
 			s.removeIdle(r.conn)
@@ -52,27 +53,27 @@
 		checks++
 		if socket.Quiet(r.conn) {
 			s.removeIdle(r.conn)
-			reclaim(r.conn) // its slot is free once net/http has noticed
+			reclaim(r.conn) // its place is free once net/http has noticed the close
 			return
 		}
 	}
 }
 
-// endStalled tells whether a part of a head has come on a connection, and ends it where no slot is left and the rest
-// does not come.
+// endStalledHeader reports whether part of a request header has arrived on a connection. It ends the connection if
+// the connection limit is reached and the header has stalled.
 func endStalledHeader(c net.Conn, full bool) (partial, ended bool) {
 	known, ok := c.(*conn)
 	if !ok {
 		return false, false
 	}
-	timeout := headerTimeout // net/http ends it by itself then
+	timeout := headerTimeout // net/http itself ends the connection after that
 	if full {
 		timeout = headerStallTimeout
 	}
 	return known.checkPartialHeader(timeout)
 }
 
-// takeBack has a connection closed that rests, unless a request comes in on it meanwhile.
+// reclaim closes an idle connection unless a request arrives on it in the meantime.
 func reclaim(c net.Conn) {
 	if c, ok := c.(*conn); ok {
 		c.requestReclaim()
@@ -81,16 +82,16 @@
 	c.Close()
 }
 
-// closeResting closes each connection that has rested at least so long, unless a request comes in on it, and
-// says how many still rest. One that has had no request yet is left for firstWord: a client that has just
-// connected sends its request next, and a close then would lose it.
+// closeIdle closes each connection that has been idle for at least minIdle, unless a request arrives on it, and returns
+// how many it asked to close. A connection without a request so far is kept open for firstRequestGrace: a client that
+// has just connected sends its request next, and closing the connection would lose it.
 func (s *limitListener) closeIdle(minIdle time.Duration) (remaining int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for e := s.idle.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*idleConn)
 		if time.Since(r.since) < minIdle {
-			return remaining // those behind have rested less
+			return remaining // the following ones have been idle for less time
 		}
 		if r.isNew && time.Since(r.since) < firstRequestGrace {
 			continue
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -18,18 +18,18 @@
 	"junctionring/internal/routes"
 )
 
-// Margin is how long before the client gives up its answer is to be on its way.
+// Margin is the time before the client's own timeout by which the response has to be sent.
 const Margin = 5 * time.Millisecond
 
 const (
-	defaultMaxUnits = 1000 // of one exchange, where nothing is stated
-	maxDigits       = 16   // of a number: it fits an int and a float64
-	longBodyTimeout = 30 * time.Minute
-	lingerTimeout   = 300 * time.Millisecond
-	lingerMaxBytes  = 256 << 10
+	defaultMaxUnits = 1000                   // units per exchange, unless Names.MaxUnits is set
+	maxDigits       = 16                     // digits of a number, so that it fits an int and a float64
+	longBodyTimeout = 30 * time.Minute       // for a streamed body to arrive
+	lingerTimeout   = 300 * time.Millisecond // how long unread body bytes are discarded before a close
+	lingerMaxBytes  = 256 << 10              // how many of them
 )
 
-// RequestError is what is wrong with a message, and the status that says so.
+// RequestError is the error for a request that is rejected, with the status of the response.
 type RequestError struct {
 	Status int
 	Text   string
@@ -37,23 +37,23 @@
 
 func (m *RequestError) Error() string { return m.Text }
 
-// BadRequest is a message that cannot be read.
+// BadRequest returns a RequestError with status 400.
 func BadRequest(format string, args ...any) error {
 	return &RequestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// Names tells what the words in a message stand for.
+// Names resolves the names in a message to classes, plans and limits.
 type Names struct {
 	Classes  []string
 	Plans    []string
 	Repeats  []control.Repeat  // by class
-	MaxWait  []control.Seconds // by class: no client waits longer; 0 or none: any wait
-	Routes   *routes.Table     // nil: the first part of a path is its class
+	MaxWait  []control.Seconds // by class, the cap on a client's timeout; 0 or missing: no cap
+	Routes   *routes.Table     // nil: the first segment of a path names its class
 	Gateways int
-	MaxUnits float64 // of one exchange; 0: mostUnits
+	MaxUnits float64 // per exchange; 0: defaultMaxUnits
 }
 
-// Class finds the class of a path and checks that the method suits it.
+// Class returns the class of a request by its path, and checks the method and the Idempotency-Key that it requires.
 func (n *Names) Class(r *http.Request) (int, error) {
 	path := r.URL.EscapedPath()
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
@@ -65,7 +65,8 @@
 		}
 		first = n.Classes[class]
 	} else if class = slices.Index(n.Classes, first); class < 0 {
-		// A name that is not plain; in no other form than this, or the next reader may take it for another.
+		// A name that needs escaping. Only the canonical form is accepted: the next server to parse the path might
+		// resolve any other form differently.
 		class = slices.IndexFunc(n.Classes, func(name string) bool {
 			return (&url.URL{Path: "/" + name}).EscapedPath() == "/"+first
 		})
@@ -90,14 +91,15 @@
 	return class, nil
 }
 
-// Framing refuses what the platform's clients never send and what two readers may take for different
-// messages. A chunked body is taken on a POST; net/http has dropped a Content-Length that stood beside it, so
-// behind such a head a second request may be hidden, and the connection is closed after the answer (Chunked).
+// Framing rejects framing that the platform's clients never send and that two servers might parse as different
+// messages (request smuggling). A chunked body is accepted on a POST. Since net/http drops a Content-Length next to it,
+// a second request may be hidden behind such a header, so the connection is closed after the response (see Chunked).
 func Framing(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
 		return &RequestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
-	case len(r.TransferEncoding) > 0 && (r.Method != http.MethodPost || len(r.TransferEncoding) != 1 || r.TransferEncoding[0] != "chunked"):
+	case len(r.TransferEncoding) > 0 &&
+		(r.Method != http.MethodPost || len(r.TransferEncoding) != 1 || r.TransferEncoding[0] != "chunked"):
 		return BadRequest("Transfer-Encoding is taken only as chunked, on a POST")
 	case r.URL.Host != "" || !strings.HasPrefix(r.RequestURI, "/"):
 		return BadRequest("the target must be a path")
@@ -109,12 +111,12 @@
 	return nil
 }
 
-// Chunked tells that a request came with a chunked body: its answer closes the connection, so that nothing
-// that a Content-Length beside it would have hidden is ever read as a request of its own.
+// Chunked reports whether a request has a chunked body. Its response has to close the connection, so that bytes that a
+// Content-Length next to it would have delimited differently are never read as a separate request.
 func Chunked(r *http.Request) bool { return len(r.TransferEncoding) > 0 }
 
-// SingleHeader returns the value of a header that may stand once at most: of two, nobody knows which one the next
-// reader would take.
+// SingleHeader returns the value of a header that may occur at most once. Of two values, it is unknown which one the
+// next server would use.
 func SingleHeader(h http.Header, name string) (string, error) {
 	switch values := h[name]; len(values) {
 	case 0:
@@ -125,7 +127,7 @@
 	return "", BadRequest("%s stands more than once", name)
 }
 
-// ParseTimeout reads a number and its unit, m or u.
+// ParseTimeout parses a timeout: a number and its unit, m (milliseconds) or u (microseconds).
 func ParseTimeout(text string) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
@@ -141,8 +143,8 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// parseNumber reads a plain decimal number, nothing below 0. strconv also takes signs, exponents, hex, Inf and
-// NaN, none of which clients send: one of them in a sum that is kept would spoil it for good.
+// parseNumber parses a plain decimal number, not below 0. strconv also accepts signs, exponents, hexadecimal, Inf and
+// NaN, none of which clients send. Inf or NaN would corrupt a running total permanently.
 func parseNumber(text string) (float64, error) {
 	if len(text) > maxDigits || strings.Trim(text, "0123456789.") != "" {
 		return 0, strconv.ErrSyntax
@@ -150,7 +152,7 @@
 	return strconv.ParseFloat(text, 64)
 }
 
-// Quota reads the units that an exchange draws and the gateways that its customer comes through.
+// Quota parses into x the units that an exchange draws and the gateways that its customer's requests come through.
 func (n *Names) Quota(text string, x *core.Exchange) error {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
@@ -175,28 +177,31 @@
 		}
 	}
 	maxUnits := cmp.Or(n.MaxUnits, defaultMaxUnits)
-	if !(x.Units > 0 && x.Units <= maxUnits) || x.Spread < 1 || x.Spread > n.Gateways || x.First < 0 || x.First >= n.Gateways {
+	if !(x.Units > 0 && x.Units <= maxUnits) ||
+		x.Spread < 1 || x.Spread > n.Gateways || x.First < 0 || x.First >= n.Gateways {
 		return BadRequest("quota out of range: %.60q", text)
 	}
 	return nil
 }
 
-// StartDeadline gives an exchange its time, once its body is in or begins to be passed on: it runs from its last byte.
+// StartDeadline sets an exchange's deadline once its body has arrived or begins to be forwarded. Its time runs from the
+// body's last byte. While rest is still to be read, the deadline is the one for the body to arrive.
 func StartDeadline(x *core.Exchange, received time.Time, rest *Body) {
 	now := time.Now()
 	x.Wait = x.Deadline.Sub(received)
 	if x.Deadline = now.Add(x.Wait); rest != nil {
-		x.Deadline = now.Add(longBodyTimeout) // for its body to come in
+		x.Deadline = now.Add(longBodyTimeout) // for the rest of the body to arrive
 	}
 }
 
-// Forward has an exchange carried out by a proxy onto the core, its body as it comes in. An answer does not wait for
-// the rest of a body that nobody wants. ended may be nil.
-func Forward(proxy http.Handler, w http.ResponseWriter, r *http.Request, x *core.Exchange, body []byte, rest *Body, onAnswer func(core.Answer)) {
+// Forward forwards an exchange through a proxy to the core, and streams the rest of its body as it arrives. The
+// response does not wait for body bytes that are no longer needed. onAnswer, unless nil, is called with the answer.
+func Forward(proxy http.Handler, w http.ResponseWriter, r *http.Request, x *core.Exchange, body []byte, rest *Body,
+	onAnswer func(core.Answer)) {
 	if c := connOf(r); c != nil && rest == nil {
 		c.markComplete()
 	}
-	if clientClosed(r) { // it waited here, unread: nothing is sent on for it
+	if clientClosed(r) { // the client closed while the request waited to be read: it is not forwarded
 		panic(http.ErrAbortHandler)
 	}
 	var upload *egress.Upload
@@ -218,9 +223,10 @@
 	}))
 }
 
-// Reject answers what is malformed, or shed before its body was in, at once, and closes: a client that sends such things gets no slot to keep.
-// net/http would first wait for a body that was not read. What is still on its way is read off for a moment,
-// since closing on unread bytes resets the connection and may take the answer with it.
+// Reject answers a request that is invalid, or that is shed before its body arrived, at once, and closes the
+// connection, so that such a client does not keep one. net/http would first wait for the unread body. Body bytes that
+// still arrive are discarded for a short time, since closing with unread bytes resets the connection and may lose the
+// response.
 func Reject(w http.ResponseWriter, r *http.Request, err error) {
 	status := http.StatusBadRequest
 	switch e := err.(type) {
@@ -238,7 +244,7 @@
 		return
 	}
 	control := http.NewResponseController(w)
-	control.EnableFullDuplex() // where these are not supported the answer is only slower
+	control.EnableFullDuplex() // if these calls are not supported, the response is only slower
 	http.Error(w, err.Error(), status)
 	control.Flush()
 	control.SetReadDeadline(time.Now().Add(lingerTimeout))
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,5 +1,6 @@
-// Package front is what all HTTP fronts share beneath them: a server with its slots for connections and its
-// drain, the reading of messages, and the proxy onto the core's RoundTripper.
+// Package front holds what all HTTP fronts share: the server with its connection limit and its drain, the reading of
+// messages, and the proxy to the core's RoundTripper. It does not define any front's protocol: decoding a message into
+// an exchange is up to each front.
 package front
 
 import (
@@ -16,35 +17,36 @@
 )
 
 const (
-	// MaxHeader is what a client's headers may hold on the platform.
+	// MaxHeader is the size limit for a client's request header on the platform, in bytes.
 	MaxHeader     = 16 << 10
-	headerTimeout = 2500 * time.Millisecond // from the accept on: who sends no whole head holds a slot for nothing
-	idleTimeout   = 2 * time.Minute         // clients that went away without a word must not hold descriptors for ever
+	headerTimeout = 2500 * time.Millisecond // from accept on; an incomplete request must not hold a connection
+	idleTimeout   = 2 * time.Minute         // clients that vanish without closing must not hold descriptors forever
 
-	closeIdleBeforeStop = 100 * time.Millisecond // before a drain takes nothing new: connections at rest are closed
-	closeIdleInterval   = 10 * time.Millisecond  // between looks at them, then and until none is left
-	evacuateInterval    = 100 * time.Millisecond // between closes of resting connections while evacuated
-	evacuateMinIdle     = 250 * time.Millisecond // rested at least: a client that just connected sends at once
+	closeIdleBeforeStop = 100 * time.Millisecond // how long before stop a drain begins to close idle connections
+	closeIdleInterval   = 10 * time.Millisecond  // between passes over idle connections, until none is left
+	evacuateInterval    = 100 * time.Millisecond // between passes over idle connections while evacuated
+	evacuateMinIdle     = 250 * time.Millisecond // idle time before a close; new clients send at once
 )
 
-// Server is a front's HTTP server with a drain.
+// Server is a front's HTTP server. It can drain, and can hand its connections over to a successor process.
 type Server struct {
 	http            *http.Server
 	draining        atomic.Bool
 	closing         atomic.Bool
 	ready           atomic.Bool
 	evacuated       atomic.Bool
-	handingOver     atomic.Bool // a successor serves at this address
+	handingOver     atomic.Bool // a successor process serves at this address
 	listener        atomic.Pointer[limitListener]
-	serving         chan struct{} // closed when slots is there
-	held            *atomic.Int64 // requests held now; nil: not counted
-	unreadResponses atomic.Int64  // answers cut since their clients did not read them
-	writeTimeout    time.Duration // for a piece of an answer to be read
+	serving         chan struct{} // closed once listener is set
+	held            *atomic.Int64 // requests in progress; nil: not counted
+	unreadResponses atomic.Int64  // responses cut off because the client did not read them
+	writeTimeout    time.Duration // for each chunk of a response
 	log             *slog.Logger
-	shedError       atomic.Pointer[shedError] // set once the process sheds what it holds
+	shedError       atomic.Pointer[shedError] // set once the process sheds its requests
 }
 
-// NewServer serves h, with the readiness path in front of it. taken, where not nil, counts the requests held.
+// NewServer returns a server for h that answers the readiness path itself. held, unless nil, counts the requests in
+// progress.
 func NewServer(h http.Handler, maxHeader int, held *atomic.Int64, log *slog.Logger) *Server {
 	s := &Server{held: held, serving: make(chan struct{}), writeTimeout: defaultWriteTimeout, log: log}
 	s.http = &http.Server{
@@ -76,20 +78,20 @@
 	return s
 }
 
-// Available tells whether clients are welcome: ready, and neither draining nor evacuated.
+// Available reports whether the server accepts clients: it is ready, and neither draining nor evacuated.
 func (s *Server) Available() bool {
 	return s.ready.Load() && !s.draining.Load() && !s.evacuated.Load()
 }
 
-// UnreadResponses is how many answers were cut since their clients did not read them.
+// UnreadResponses returns how many responses were cut off because their clients did not read them.
 func (s *Server) UnreadResponses() int64 { return s.unreadResponses.Load() }
 
-// sendsAway tells whether answers close their connections: clients keep one for as long as it stays open.
+// closesConnections reports whether responses close their connections. Clients keep a connection as long as it is open.
 func (s *Server) closesConnections() bool { return s.closing.Load() || s.evacuated.Load() }
 
-// Evacuate sends clients away while the process runs on: readiness says no at once, each answer closes its
-// connection, and resting connections are closed, now and every evacuateSweep, once nothing unread is on them.
-// Connections that still come are served. It lasts until Rejoin, or ctx ends.
+// Evacuate moves clients away while the process keeps running. The readiness path fails at once, each response closes
+// its connection, and idle connections without unread bytes are closed now and every evacuateInterval. New connections
+// are still served. This lasts until Rejoin; idle connections are no longer closed once ctx ends.
 func (s *Server) Evacuate(ctx context.Context) {
 	if s.evacuated.Swap(true) {
 		return
@@ -110,13 +112,14 @@
 	}()
 }
 
-// Rejoin takes clients again after Evacuate.
+// Rejoin accepts clients again after Evacuate.
 func (s *Server) Rejoin() { s.evacuated.Store(false) }
 
-// Serve takes connections until Drain has ended, at most so many at once.
+// Serve accepts connections until Drain has ended, and serves at most maxConns at a time.
 func (s *Server) Serve(l net.Listener, maxConns int) error {
 	limited := newLimitListener(l, maxConns)
-	limited.writeTimeout, limited.onWriteTimeout, limited.onUnanswered = s.writeTimeout, func() { s.unreadResponses.Add(1) }, s.logUnanswered
+	limited.writeTimeout, limited.onWriteTimeout, limited.onUnanswered = s.writeTimeout,
+		func() { s.unreadResponses.Add(1) }, s.logUnanswered
 	s.http.ConnState = limited.connState
 	s.listener.Store(limited)
 	close(s.serving)
@@ -127,13 +130,14 @@
 	return nil
 }
 
-// MarkReady lets the readiness path answer 200.
+// MarkReady makes the readiness path answer 200.
 func (s *Server) MarkReady() { s.ready.Store(true) }
 
-// Drain serves on until closing, since clients keep to the connections that they have: those find no other way
-// in while the gateway is away. From then on each answer closes its connection, and shortly before stop those at rest
-// are closed, while a request that crosses such a close still finds the way in. At stop nothing new is taken. It
-// returns nil once no connection is left, or an error when ctx ends; a later Drain goes on from there.
+// Drain keeps serving until closing, since clients keep using the connections that they have and find no other way in
+// while the gateway is away. From closing on, each response closes its connection. Shortly before stop, idle
+// connections are closed, while the client of a request that crosses such a close can still connect again. At stop, the
+// server accepts no more connections. Drain returns nil once no connection is left, or an error when ctx ends; a later
+// Drain continues from there.
 func (s *Server) Drain(ctx context.Context, closing, stop time.Time) error {
 	s.draining.Store(true)
 	sleep(ctx, time.Until(closing))
@@ -145,24 +149,25 @@
 		l.closeIdle(0)
 		sleep(ctx, closeIdleInterval)
 	}
-	select { // a listener that is closed with connections waiting in it resets them
+	select { // closing a listener resets the connections that are still in its accept queue
 	case <-l.stop():
 	case <-ctx.Done():
 	}
-	// net/http's Shutdown closes idle connections with no look for a request come in on them, and none that is taken
-	// back with one unread could be served any more: it has to find none.
+	// net/http's Shutdown closes idle connections without checking for arrived requests, and a connection that is
+	// reclaimed with an unread request could then no longer be served. So Shutdown must find no idle connection.
 	if !l.closeWhenIdle(ctx) {
 		return ctx.Err()
 	}
 	return s.http.Shutdown(ctx)
 }
 
-// HandOver gives every client's connection to a successor, each as soon as no request is under way on it, and
-// accepts no more: the successor holds the listening socket too. give returns false for a connection that the
-// successor did not take, which is served on here. It returns nil when none is left; when lost is closed,
-// everything is as before, but for readiness: Drain goes on from there.
+// HandOver transfers every client connection to a successor process, each as soon as no request is in progress on it.
+// It accepts no more connections, since the successor holds the listening socket too. transfer returns false for a
+// connection that the successor did not take; that one is still served here. HandOver returns nil when no connection
+// is left. When lost is closed, it restores the previous state except for readiness and returns an error; Drain
+// continues from there.
 func (s *Server) HandOver(ctx context.Context, transfer func(*net.TCPConn) bool, lost <-chan struct{}) error {
-	s.handingOver.Store(true) // who asks at this address is told of the successor
+	s.handingOver.Store(true) // a readiness probe at this address is about the successor
 	s.draining.Store(true)
 	<-s.serving
 	l := s.listener.Load()
@@ -178,10 +183,10 @@
 	return errSuccessorLost
 }
 
-var errSuccessorLost = errors.New("the successor is lost")
+var errSuccessorLost = errors.New("connection handover failed: successor process lost")
 
-// Adopt serves a connection that a process before this one held. It returns false, and the connection is the
-// caller's, when nobody serves here any more.
+// Adopt serves a connection that was transferred from the predecessor process. It returns false if the server no
+// longer serves; the connection then remains the caller's.
 func (s *Server) Adopt(c *net.TCPConn) bool {
 	<-s.serving // a handover may begin before the listener is served
 	return s.listener.Load().adopt(c, false)
@@ -196,16 +201,16 @@
 	}
 }
 
-// Proxy is the reverse proxy on a RoundTripper of ours.
+// Proxy returns the reverse proxy that forwards requests through t.
 func Proxy(t http.RoundTripper, log *slog.Logger) *httputil.ReverseProxy {
 	return &httputil.ReverseProxy{
 		Rewrite:       func(*httputil.ProxyRequest) {},
-		FlushInterval: -1, // what comes of a long answer goes on at once
+		FlushInterval: -1, // pass each part of a long response on at once
 		BufferPool:    egress.Pieces{},
 		Transport:     t,
 		ErrorLog:      slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ErrorHandler: func(w http.ResponseWriter, r *http.Request, err error) {
-			panic(http.ErrAbortHandler) // the client has left: nobody is told anything
+			panic(http.ErrAbortHandler) // the client has closed the connection: there is nobody to answer
 		},
 	}
 }
--- a/internal/front/shed.go
+++ b/internal/front/shed.go
@@ -2,13 +2,15 @@
 
 import "net/http"
 
-// shed is the error of a request whose body had not come in as the process shed what it held. Nothing of it was sent on.
+// shedError is the error for a request whose body had not arrived completely when the process shed its requests. No
+// part of such a request was forwarded.
 type shedError struct{ retryAfter string }
 
 func (*shedError) Error() string { return "the gateway is about to end: the body had not come in" }
 
-// Shed gives each request whose body is still coming in its answer, and each that still comes: a refusal that advises
-// retryAfter, or nothing where that is empty. What the core holds is for core.Shed to answer.
+// Shed rejects each request whose body is still being read, and each later request with a body. The rejection has
+// retryAfter as its Retry-After, or no such header if it is empty. Requests that the core holds are answered by
+// core.Shed.
 func (s *Server) Shed(retryAfter string) {
 	s.shedError.Store(&shedError{retryAfter})
 	l := s.listener.Load()
@@ -22,7 +24,7 @@
 	}
 }
 
-// awaitsBody notes whether a body is read in before anything is sent on.
+// setAwaitingBody records whether the request's body is being read before anything is forwarded.
 func (c *conn) setAwaitingBody(awaits bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,7 +35,7 @@
 	}
 }
 
-// endBody ends the wait for a body.
+// abortBody ends the wait for a body by expiring the read deadline.
 func (c *conn) abortBody() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +45,7 @@
 	}
 }
 
-// shedOf is the error of a request whose body is not read any more; nil: it is.
+// shedErrorOf returns the error for a request whose server is shedding, or nil if its body may be read.
 func shedErrorOf(r *http.Request) error {
 	o, ok := r.Context().Value(originKey{}).(origin)
 	if !ok {
--- a/internal/front/slots.go
+++ b/internal/front/slots.go
@@ -14,49 +14,50 @@
 )
 
 const (
-	acquirePollInterval = 20 * time.Millisecond // between looks while every slot is taken
+	acquirePollInterval = 20 * time.Millisecond // between checks while the connection limit is reached
 	stopAcceptTimeout   = time.Millisecond      // how long a stopping listener waits for one more connection
 )
 
-// slots is a listener that takes so many connections at once, since descriptors are few, and makes room:
-// clients that ask once and keep their connection for good, or connect and say nothing, would fill every
-// slot and shut the others out. When slots run short the connection that has rested longest is closed. It
-// does not close all early: a close that crosses a request costs the client that request.
+// limitListener is a listener that limits the number of open connections, since descriptors are limited, and evicts
+// idle ones. Clients that send one request and keep their connection open, or that connect and send nothing, would
+// otherwise use up the limit and lock the others out. When few places are left, the connection that has been idle
+// longest is closed. It does not close connections earlier: a close that crosses a request costs the client that
+// request.
 //
-// It hands out the connections as they are: netutil's LimitListener wraps them, which hides CloseWrite from
-// net/http, so that an answer to headers that are too large was lost in a reset.
+// netutil.LimitListener is not used because its wrapper hides CloseWrite from net/http; a response to headers that are
+// too large was lost in a reset that way.
 type limitListener struct {
 	net.Listener
 	limit int
-	freed chan struct{} // of one place: a slot may be free
+	freed chan struct{} // capacity 1; signals that a place may be free
 
 	stopping atomic.Bool
-	stopped  chan struct{} // closed once the listener is, after the last connection waiting in it was taken
+	stopped  chan struct{} // closed after the accept queue was emptied and the listener closed
 
-	adoptions       chan adoption // from another process, or taken back and to be served on
-	adoptionsClosed chan struct{} // when no more arrive
+	adoptions       chan adoption // connections from the predecessor, or reclaimed ones that are still to be served
+	adoptionsClosed chan struct{} // closed when no more are accepted
 	closeOnce       sync.Once
 
-	writeTimeout   time.Duration         // for a piece of an answer
-	onWriteTimeout func()                // told of each answer that its client did not read
-	onUnanswered   func(*conn, progress) // told of each connection that is closed with a request without an answer
+	writeTimeout   time.Duration         // for each chunk of a response
+	onWriteTimeout func()                // called for each response that its client did not read
+	onUnanswered   func(*conn, progress) // called for each connection that closes during a request without a response
 
 	mu               sync.Mutex
-	open             int
-	idle             *list.List // of *rest: those without an open request, the longest first
+	open             int        // places taken, also by pending accepts
+	idle             *list.List // of *idleConn: connections without an open request, longest idle first
 	idleElems        map[net.Conn]*list.Element
 	conns            map[*conn]struct{}
-	reclaimsPending  int                     // taken back, and neither given, closed nor served on yet
-	adoptionsPending int                     // arriving, and not among conns yet
-	transfer         func(*net.TCPConn) bool // to a successor; nil: there is none
-	resumed          chan struct{}           // closed when connections are accepted again; nil: they are
-	changed          chan struct{}           // closed and made anew with each connection that ends
+	reclaimsPending  int                     // reclaimed connections that are not yet transferred, closed or adopted again
+	adoptionsPending int                     // connections being adopted that are not in conns yet
+	transfer         func(*net.TCPConn) bool // hands a connection to the successor; nil: there is none
+	resumed          chan struct{}           // closed when Accept may continue; nil: it is not paused
+	changed          chan struct{}           // closed and replaced whenever the result of remaining changes
 }
 
 type idleConn struct {
 	conn  net.Conn
 	since time.Time
-	isNew bool // no request yet: its first may be on its way
+	isNew bool // no request so far; the first may be about to arrive
 }
 
 func newLimitListener(l net.Listener, limit int) *limitListener {
@@ -95,7 +96,7 @@
 		}
 		if s.stopping.Load() {
 			if socket.Arrived(s.Listener) {
-				continue // the deadline had passed before the look at the queue
+				continue // the deadline had passed before the accept queue was checked
 			}
 			s.Listener.Close()
 			close(s.stopped)
@@ -104,7 +105,7 @@
 	}
 }
 
-// takeOne waits until a slot is free, and takes it.
+// acquire waits until there are fewer connections than the limit, and takes a place.
 func (s *limitListener) acquire() {
 	for !s.tryAcquire() {
 		wait := time.NewTimer(acquirePollInterval)
@@ -116,13 +117,15 @@
 	}
 }
 
-// wrap follows a connection whose slot is taken. One that the successor did not take is not offered again.
+// track wraps a connection for which a place was acquired, and registers it. A connection that the successor declined
+// is not offered to it again.
 func (s *limitListener) track(nc net.Conn, declined bool) net.Conn {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
 		return nc
 	}
-	c := &conn{TCPConn: tcp, onReclaimed: s.reclaimed, writeTimeout: s.writeTimeout, onWriteTimeout: s.onWriteTimeout, onUnanswered: s.onUnanswered}
+	c := &conn{TCPConn: tcp, onReclaimed: s.reclaimed, writeTimeout: s.writeTimeout,
+		onWriteTimeout: s.onWriteTimeout, onUnanswered: s.onUnanswered}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
@@ -130,14 +133,14 @@
 	return c
 }
 
-// arrivals is the listener of connections that do not come through the socket.
+// adoptionListener accepts the connections that do not come from the listening socket.
 type adoptionListener struct{ *limitListener }
 
 // Accept implements net.Listener.
 func (a adoptionListener) Accept() (net.Conn, error) {
 	select {
 	case n := <-a.adoptions:
-		a.acquire() // a descriptor is held for it already
+		a.acquire() // the connection already has a descriptor, so it waits for its place here
 		c := a.track(n.conn, n.declined)
 		a.adoptionDone()
 		return c, nil
@@ -157,7 +160,7 @@
 	declined bool // the successor did not take it
 }
 
-// arrive has a connection served. False: nobody serves any more.
+// adopt has a connection served. It returns false if the listener no longer serves.
 func (s *limitListener) adopt(c *net.TCPConn, declined bool) bool {
 	s.mu.Lock()
 	s.adoptionsPending++
@@ -171,7 +174,7 @@
 	}
 }
 
-// came ends an arrival: the connection is among conns by now, or nobody's.
+// adoptionDone ends an adoption: the connection is now in conns, or was not accepted.
 func (s *limitListener) adoptionDone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,13 +182,14 @@
 	s.notifyChange()
 }
 
-// left is how many connections there are, in whatever state; changed is closed at the next change. s.mu is held.
+// remaining returns the number of connections in any state, and a channel that is closed at the next change. s.mu must
+// be held.
 func (s *limitListener) remaining() (n int, changed <-chan struct{}) {
 	return len(s.conns) + s.reclaimsPending + s.adoptionsPending, s.changed
 }
 
-// parted gets a connection that was taken back from net/http with nothing of a request read: it is the
-// successor's, or it is closed, but for one with something unread on it.
+// reclaimed handles a connection that was taken from net/http before any byte of a request was read. It transfers the
+// connection to the successor if there is one. Otherwise it closes the connection, unless there are unread bytes on it.
 func (s *limitListener) reclaimed(c *net.TCPConn) {
 	s.mu.Lock()
 	s.reclaimsPending++
@@ -212,7 +216,7 @@
 	}()
 }
 
-// leave has each connection given away once it rests, and accepts no more; the listener stays open.
+// startHandOver has each connection transferred once it is idle, and stops accepting; the listener stays open.
 func (s *limitListener) startHandOver(transfer func(*net.TCPConn) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,7 +229,7 @@
 	}
 }
 
-// stay undoes leave.
+// cancelHandOver undoes startHandOver.
 func (s *limitListener) cancelHandOver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,7 +246,7 @@
 	}
 }
 
-// empty waits until no connection is left. False: until lost or done is closed.
+// waitEmpty waits until no connection is left. It returns false if lost or done is closed first.
 func (s *limitListener) waitEmpty(lost, done <-chan struct{}) bool {
 	for {
 		s.mu.Lock()
@@ -261,7 +265,8 @@
 	}
 }
 
-// clear closes each connection as it comes to rest, and returns once none is left; false: ctx has ended.
+// closeWhenIdle closes each connection as it becomes idle, and returns true once none is left, or false if ctx ends
+// first.
 func (s *limitListener) closeWhenIdle(ctx context.Context) bool {
 	for {
 		s.closeIdle(0)
@@ -274,7 +279,7 @@
 		recheck := time.NewTimer(closeIdleInterval)
 		select {
 		case <-changed:
-		case <-recheck.C: // one comes to rest, or had no request yet
+		case <-recheck.C: // a connection may have become idle, or its firstRequestGrace ended
 		case <-ctx.Done():
 			recheck.Stop()
 			return false
@@ -283,18 +288,18 @@
 	}
 }
 
-// change wakes those that wait in empty or clear. s.mu is held.
+// notifyChange wakes the callers of waitEmpty and closeWhenIdle. s.mu must be held.
 func (s *limitListener) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// errStopped ends net/http's loop of accepts; it is not temporary, so it is not tried again.
-var errListenerStopped = errors.New("the listener is closed: the gateway drains")
+// errListenerStopped ends net/http's accept loop. It is not a temporary error, so net/http does not retry.
+var errListenerStopped = errors.New("listener closed: the gateway is draining")
 
-// stop takes the connections that wait in the listener's queue, and closes it once none is left. A listener
-// closed with connections in its queue resets them, with their requests sent: with SO_REUSEPORT its queue is
-// its own, and nobody else takes them.
+// stop has the connections in the listener's accept queue accepted, and the listener closed once the queue is empty.
+// Closing a listener resets the connections in its queue, whose clients have already sent requests: with SO_REUSEPORT
+// each listener has its own queue, and no other process accepts them.
 func (s *limitListener) stop() <-chan struct{} {
 	if !s.stopping.Swap(true) {
 		s.setAcceptDeadline()
@@ -302,16 +307,17 @@
 	return s.stopped
 }
 
-// noWait makes Accept return soon where nothing is waiting. A deadline that has passed already would return
-// before a look at the queue.
+// setAcceptDeadline makes Accept return soon if the accept queue is empty. A deadline in the past would make it return
+// without checking the queue.
 func (s *limitListener) setAcceptDeadline() {
 	if d, ok := s.Listener.(interface{ SetDeadline(time.Time) error }); ok {
 		d.SetDeadline(time.Now().Add(stopAcceptTimeout))
 		return
 	}
-	s.Listener.Close() // it cannot be asked without waiting
+	s.Listener.Close() // a listener without deadlines cannot be polled
 }
 
+// release gives up a place, and wakes a waiting acquire.
 func (s *limitListener) release() {
 	s.mu.Lock()
 	s.open--
@@ -322,7 +328,8 @@
 	}
 }
 
-// state follows net/http's connections.
+// connState is net/http's ConnState hook. It tracks which connections are idle, and releases the places of closed
+// ones.
 func (s *limitListener) connState(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	s.removeIdle(c)
@@ -347,7 +354,7 @@
 	}
 }
 
-// count is how many connections are followed now.
+// count returns the number of tracked connections.
 func (s *limitListener) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/front/unanswered.go
+++ b/internal/front/unanswered.go
@@ -8,79 +8,81 @@
 	"junctionring/internal/socket"
 )
 
-// progress is how far the request under way on a connection has come, for the log of those that got no answer.
+// progress records how much of the current request on a connection has arrived, for the log of requests without a
+// response.
 type progress struct {
-	id          string // empty until its head is whole
-	complete    bool   // its last byte has come
-	bytes       int    // that have come
-	reads       int    // in which they came
+	id          string // X-Request-ID; empty until the header is complete
+	complete    bool   // the last byte has arrived
+	bytes       int    // bytes received
+	reads       int    // number of reads that received them
 	lastByte    time.Time
-	attemptsOut int // as it ended without an answer
-	answered    bool
+	attemptsOut int  // open attempts when the request ended without a response
+	answered    bool // part of a response was written
 }
 
-// received counts bytes that have come in.
+// received records a read of n bytes.
 func (p *progress) received(n int) {
 	p.bytes += n
 	p.reads++
 	p.lastByte = time.Now()
 }
 
-// logUnanswered writes a line on a connection that ends with a request on it that has no answer: whose end it was, and how
-// far the request had come.
+// logUnanswered logs that a connection ended during a request without a response: which side ended it, and how much of
+// the request had arrived.
 func (s *Server) logUnanswered(c *conn, p progress) {
 	by := "gateway"
 	if socket.HungUp(c.TCPConn) {
 		by = "client"
 	}
-	s.log.Debug("a connection ends with its request unanswered", "by", by, "client", c.RemoteAddr().String(), "id", p.id, "whole", p.complete,
-		"bytes", p.bytes, "reads", p.reads, "since_last_byte", time.Since(p.lastByte), "attempts_out", p.attemptsOut)
+	s.log.Debug("a connection ends with its request unanswered", "by", by, "client", c.RemoteAddr().String(), "id", p.id,
+		"whole", p.complete, "bytes", p.bytes, "reads", p.reads, "since_last_byte", time.Since(p.lastByte), "attempts_out", p.attemptsOut)
 }
 
-// withoutAnswer tells whether a request is under way that has got nothing of an answer, and how far it has come.
+// unansweredRequest reports whether a request is in progress of whose response nothing was written, and its progress.
 func (c *conn) unansweredRequest() (p progress, unanswered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	begun := c.progress.reads > 0 || c.progress.id != "" // read together with the request before it: by its id alone
+	// A request that was read together with the previous one shows only by its id.
+	begun := c.progress.reads > 0 || c.progress.id != ""
 	return c.progress, begun && (c.phase == phaseReadingHeader || c.phase == phaseActive) && !c.progress.answered
 }
 
-// answers notes that something of an answer went out.
+// markAnswered records that part of a response was written.
 func (c *conn) markAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.answered = true
 }
 
-// connOf is the client's connection that a request came on; nil: it is not one of a Server.
+// connOf returns the client connection of a request, or nil if the request did not come through a Server.
 func connOf(r *http.Request) *conn {
 	o, _ := r.Context().Value(originKey{}).(origin)
 	c, _ := o.conn.(*conn)
 	return c
 }
 
-// names tells the connection of a request the request's id.
+// setRequestID records the id of the current request.
 func (c *conn) setRequestID(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.id = id
 }
 
-// complete notes that a request's last byte has come.
+// markComplete records that the current request's last byte has arrived.
 func (c *conn) markComplete() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.complete = true
 }
 
-// left notes what was out for a request whose client has left.
+// setAttemptsOut records how many attempts were open when the client closed the connection.
 func (c *conn) setAttemptsOut(a core.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.progress.attemptsOut = a.AttemptsOut
 }
 
-// LogUnanswered writes a line on each connection that has a request without an answer: they end with the process.
+// LogUnanswered logs each connection that has a request without a response. They end with the process.
 func (s *Server) LogUnanswered() {
 	l := s.listener.Load()
 	if l == nil {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,5 +1,5 @@
-// Package ingress is the front for the platform's protocol: it decodes a client's message into a typed
-// exchange, has it carried out, and answers. What is malformed is answered here and never reaches the core.
+// Package ingress is the front for the platform's protocol: it decodes a client's message into a typed exchange, has
+// it forwarded, and answers. It does not pass malformed messages to the core; it rejects them itself.
 package ingress
 
 import (
@@ -15,17 +15,18 @@
 	"junctionring/internal/front"
 )
 
-const maxIDBytes = 128 // bytes of an X-Request-ID
+const maxIDBytes = 128 // of an X-Request-ID
 
-// Platform is the handler of the platform's protocol.
+// Platform returns the handler for the platform's protocol.
 func Platform(names *front.Names, c *core.Core, log *slog.Logger) http.Handler {
 	return PlatformLive(func() *front.Names { return names }, c, log)
 }
 
-// PlatformLive is Platform with names that may change: each request is decoded by those in force as it comes.
+// PlatformLive is like Platform with names that may change: each request is decoded with those that current returns
+// when it arrives.
 func PlatformLive(current func() *front.Names, c *core.Core, log *slog.Logger) http.Handler {
 	proxy := front.Proxy(&egress.RoundTripper{Core: c, RetryAfter: egress.DecimalSeconds}, log)
-	var openIDs sync.Map // ids of the exchanges that are held
+	var openIDs sync.Map // request ids of the exchanges in progress
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		received := time.Now()
 		if front.Chunked(r) {
@@ -41,8 +42,8 @@
 			front.Reject(w, r, err)
 			return
 		}
-		// Ids are fresh on every request: one that is open is another client's, and two attempts with it would
-		// be two copies of that one.
+		// Every request has a new id, so an id that is in use belongs to another client's request. Two attempts with
+		// the same id would count as two copies of that request.
 		id := r.Header.Get("X-Request-ID")
 		if _, inUse := openIDs.LoadOrStore(id, nil); inUse {
 			front.Reject(w, r, &front.RequestError{Status: http.StatusConflict, Text: "this X-Request-ID is in use"})
@@ -54,7 +55,7 @@
 	})
 }
 
-// Decode reads a client's message, but for its body. received is when it was taken in.
+// Decode decodes a client's message except for its body. received is the time at which the server received it.
 func Decode(n *front.Names, r *http.Request, received time.Time) (x core.Exchange, err error) {
 	if err = front.Framing(r); err != nil {
 		return x, err
@@ -93,7 +94,7 @@
 	return x, n.Quota(values[4], &x)
 }
 
-// ParseAccount reads a customer: 16 hex digits, below 2^33.
+// ParseAccount parses a customer: 16 hexadecimal digits with a value below 2^33.
 func ParseAccount(text string) (uint64, error) {
 	v, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 || v >= 1<<33 {
