--- a/internal/front/class_names_test.go
+++ b/internal/front/class_names_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A class name that no request line can hold as it is has its settings refused, with the reason; all others are found.
+// A class name that cannot stand unescaped in a request line is rejected with the reason; every other name is found.
 func TestCheckClassNames(t *testing.T) {
 	for name, want := range map[string]string{
 		"move-submit": "", "Größe": "", "答え": "", "a%41": "", "a+b": "", "a:b;c=d": "", "a#b": "",
@@ -21,6 +21,6 @@
 		}
 	}
 	if err := CheckClassNames([]string{"dropped", "", "kept"}); err != nil {
-		t.Errorf("a dropped class: %v", err)
+		t.Errorf("names with an empty entry: %v", err)
 	}
 }
--- a/internal/front/conn_test.go
+++ b/internal/front/conn_test.go
@@ -14,13 +14,13 @@
 	"junctionring/internal/socket"
 )
 
-// A head's line that leaves room for a single byte in net/http's buffer of 4,096 is read on: that read is not the one
-// which only looks whether the client leaves. The rest is sent once all before it has been read, so the order is the
-// same each time.
+// Guards against a request header that stalls because one of its lines leaves room for a single byte in net/http's
+// buffer of 4,096 bytes: that read must not be taken for the one that only detects a close by the client. The remainder
+// is sent once everything before it has been read, so the order of events is the same in each run.
 func TestLongLineOfAHeadIsReadOn(t *testing.T) {
 	s, address := startServer(t, "here")
 	const buffer, first = 4096, "GET /table-view/1 HTTP/1.1\r\nHost: g\r\n"
-	for _, kept := range []bool{false, true} { // net/http sets other times for the first head of a connection
+	for _, kept := range []bool{false, true} { // net/http sets other deadlines for the first header of a connection
 		c := dial(t, address)
 		var near *conn
 		if kept {
@@ -40,21 +40,21 @@
 		if _, err := io.WriteString(c, first+line); err != nil {
 			t.Fatal(err)
 		}
-		for unread := true; unread; unread = !socket.Quiet(near.TCPConn) { // what was written lies there at once
+		for unread := true; unread; unread = !socket.Quiet(near.TCPConn) { // written bytes are in the receive buffer at once
 			runtime.Gosched()
 		}
 		began := time.Now()
 		if got := c.ask(t, "yyyyyyyy\r\n\r\n"); got != "here" {
-			t.Errorf("kept %t: %q", kept, got)
+			t.Errorf("kept connection %t: answered %q", kept, got)
 		}
 		if took := time.Since(began); took > headerTimeout/2 {
-			t.Errorf("kept %t: held up for %v", kept, took)
+			t.Errorf("kept connection %t: answered only after %v", kept, took)
 		}
 	}
 }
 
-// A client that has left before its request was read has nothing sent on for it: its connection waited until there was
-// a slot, and when net/http tells of the end the request would be on its way.
+// Guards against forwarding a request whose client closed the connection before the request was read. The connection
+// waits for a place below the connection limit, and net/http reports the close only after the request is forwarded.
 func TestWhoLeftUnreadIsNotCarried(t *testing.T) {
 	for name, leave := range map[string]func(c *net.TCPConn){
 		"end":                     func(c *net.TCPConn) { c.Close() },
@@ -85,7 +85,7 @@
 			t.Cleanup(func() { s.http.Close() })
 			first := dial(t, l.Addr().String())
 			io.WriteString(first, "GET /first HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n")
-			<-came // it has the only slot
+			<-came // it takes up the connection limit of 1
 			for _, message := range []string{"GET /left HTTP/1.1\r\nHost: g\r\n\r\n", "POST /left HTTP/1.1\r\nHost: g\r\nContent-Length: 4\r\n\r\nbody"} {
 				leaver := dial(t, l.Addr().String())
 				io.WriteString(leaver, message)
@@ -98,7 +98,7 @@
 				t.Fatal(got)
 			}
 			if got := <-carried; got != "/last" {
-				t.Errorf("%s was carried out", got)
+				t.Errorf("%s was forwarded", got)
 			}
 		})
 	}
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -26,7 +26,7 @@
 	maxDigits       = 16                     // digits of a number, so that it fits an int and a float64
 	longBodyTimeout = 30 * time.Minute       // for a streamed body to arrive
 	lingerTimeout   = 300 * time.Millisecond // how long unread body bytes are discarded before a close
-	lingerMaxBytes  = 256 << 10              // how many of them
+	lingerMaxBytes  = 256 << 10              // bytes discarded at most
 )
 
 // RequestError is the error for a request that is rejected, with the status of the response.
@@ -144,7 +144,7 @@
 }
 
 // parseNumber parses a plain decimal number, not below 0. strconv also accepts signs, exponents, hexadecimal, Inf and
-// NaN, none of which clients send. Inf or NaN would corrupt a running total permanently.
+// NaN, none of which clients send. One of them in a running total would corrupt it permanently.
 func parseNumber(text string) (float64, error) {
 	if len(text) > maxDigits || strings.Trim(text, "0123456789.") != "" {
 		return 0, strconv.ErrSyntax
--- a/internal/front/read_ahead_test.go
+++ b/internal/front/read_ahead_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// heldFirst serves a handler that answers with the path; that of /one waits for release, and tells that it came.
+// startBlockingServer starts a server that answers with the method and path. For /one it closes came and waits for
+// release.
 func startBlockingServer(t *testing.T) (s *Server, address string, came, release chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,8 +30,8 @@
 	return s, l.Addr().String(), came, release
 }
 
-// Guards against a request losing its first bytes, where they were read together with the request before it and the
-// connection goes to a successor.
+// Guards against a request losing its first bytes when they were read together with the previous request and the
+// connection is handed over to a successor.
 func TestRequestReadInPartIsNotHandedOver(t *testing.T) {
 	for _, part := range []string{"", "G", "GE", "GET", "GET ", "GET /two HTTP/1.1\r\n", "GET /two HTTP/1.1\r\nHost: g\r\n\r\n"} {
 		t.Run(part, func(t *testing.T) {
@@ -53,7 +54,7 @@
 			if got := c.ask(t, ""); got != "GET /one" {
 				t.Errorf("the first request was answered %q", got)
 			}
-			if part == "" { // at rest: the successor has it
+			if part == "" { // the connection is idle: the successor has it
 				if err := <-over; err != nil {
 					t.Error(err)
 				}
@@ -73,7 +74,7 @@
 	}
 }
 
-// leaves tells whether a server's one connection is to be taken back.
+// isReclaiming reports whether the server's only connection is to be reclaimed.
 func isReclaiming(s *Server) bool {
 	l := s.listener.Load()
 	l.mu.Lock()
--- a/internal/front/shed_test.go
+++ b/internal/front/shed_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Guards against a request being cut with no answer at the end of a shutdown, since its body had not come in.
+// Guards against a request that gets no response at the end of a shutdown because its body had not arrived.
 func TestBodyThatHasNotComeInIsShed(t *testing.T) {
 	reads, ended := make(chan struct{}, 2), make(chan error, 1)
 	s := NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/front/slots_test.go
+++ b/internal/front/slots_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Connections that wait in the listener's queue when the drain stops taking new ones are taken all the same;
-// only then is the listener closed, and nothing new is taken after it.
+// Connections that are in the accept queue when the drain stops accepting are still accepted. Only then is the
+// listener closed, and no connection is accepted after that.
 func TestStopTakesWhatWaits(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,8 +28,8 @@
 	})
 }
 
-// heldUp is a listener on a machine that is held up: the first deadlines that are set have passed by the time that the
-// queue is to be looked at.
+// lateListener simulates a machine under load: the first deadlines that are set have passed by the time that the accept
+// queue is checked.
 type lateListener struct {
 	*net.TCPListener
 	times int
@@ -46,7 +46,7 @@
 	var err error
 	s := newLimitListener(l, 64)
 	waiting := make([]net.Conn, 5)
-	for i := range waiting { // the kernel completes their handshakes: they wait in the queue, unaccepted
+	for i := range waiting { // the kernel completes the handshakes; the connections wait in the accept queue
 		if waiting[i], err = net.Dial("tcp", l.Addr().String()); err != nil {
 			t.Fatal(err)
 		}
@@ -68,22 +68,21 @@
 	}
 	<-stopped
 	if taken != len(waiting) {
-		t.Errorf("%d of the %d connections that waited were taken", taken, len(waiting))
+		t.Errorf("%d of the %d queued connections were accepted", taken, len(waiting))
 	}
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		c.Close()
-		t.Error("a connection was taken after the listener stopped")
+		t.Error("a connection was accepted after the listener stopped")
 	}
 }
 
-// served is a front's server on loopback whose handler says which server it is. The slots are there once it
-// takes connections.
+// startServer starts a front's server on loopback that answers with its name. Its limitListener is set when it returns.
 func startServer(t *testing.T, name string) (s *Server, address string) {
 	t.Helper()
 	return startServerWithLimit(t, name, 64)
 }
 
-// servedWith is served with so many slots.
+// startServerWithLimit is like startServer with a given connection limit.
 func startServerWithLimit(t *testing.T, name string, limit int) (s *Server, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,7 +104,7 @@
 	return s, l.Addr().String()
 }
 
-// client is a connection on which requests are sent one by one.
+// client is a connection for sending requests one at a time.
 type client struct {
 	net.Conn
 	in *bufio.Reader
@@ -124,7 +123,7 @@
 
 const request = "GET /table-view/1 HTTP/1.1\r\nHost: g\r\n\r\n"
 
-// ask sends text, a request or its rest, and returns the answer's body.
+// ask sends text, a request or the remainder of one, and returns the body of the response.
 func (c *client) ask(t *testing.T, text string) string {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -141,17 +140,16 @@
 	return string(b)
 }
 
-// gone waits for the connection's end.
+// expectClosed waits for the end of the connection, which has to be an orderly close.
 func (c *client) expectClosed(t *testing.T) {
 	t.Helper()
 	if _, err := c.in.ReadByte(); err != io.EOF {
-		t.Errorf("the connection is not closed in good order: %v", err)
+		t.Errorf("the connection did not end with an orderly close: %v", err)
 	}
 }
 
-// At the end of a drain a connection that has just come, with its request not yet sent, is not closed under it;
-// one that rests after a request is, also where its client has left half of it; one with a request under way,
-// be it a part of its head, is not.
+// At the end of a drain, a connection that is idle after a request is closed. A new connection whose request is not yet
+// sent is not closed, and neither is one with a request in progress, even if only part of its header has arrived.
 func TestWhatIsClosedAtTheEnd(t *testing.T) {
 	s, address := startServer(t, "here")
 	idle, half, fresh := dial(t, address), dial(t, address), dial(t, address)
@@ -160,7 +158,7 @@
 	}
 	io.WriteString(half, request[:7])
 	l := s.listener.Load()
-	for arrived := 0; arrived < 3; runtime.Gosched() { // until the third is accepted, the half head read, and none is busy
+	for arrived := 0; arrived < 3; runtime.Gosched() { // until all are accepted, the partial header is read, and none is active
 		l.mu.Lock()
 		arrived = 0
 		for c := range l.conns {
@@ -176,15 +174,15 @@
 	l.closeIdle(0)
 	idle.expectClosed(t)
 	if got := half.ask(t, request[7:]); got != "here" {
-		t.Errorf("a request half read at the end was answered %q", got)
+		t.Errorf("a request with a partial header at the end of the drain was answered %q", got)
 	}
 	if got := fresh.ask(t, request); got != "here" {
 		t.Errorf("a connection's first request was answered %q", got)
 	}
 }
 
-// busyClients ask again and again, each on one connection, until stop is closed; a request without its answer, or a
-// connection that ends, is an error. They report how many answers each server gave.
+// startClients starts n clients that each send requests on one connection until stop is closed. A request without a
+// response and a connection that ends are errors. wait returns how many responses each server gave.
 func startClients(t *testing.T, address string, n int, stop <-chan struct{}) (wait func() map[string]int) {
 	t.Helper()
 	counts := make(chan map[string]int, n)
@@ -227,7 +225,7 @@
 	}
 }
 
-// adopts gives a server a descriptor of its own, as another process gets one.
+// adoptDuplicate has a server adopt a duplicate of the connection's descriptor, as another process would get one.
 func adoptDuplicate(s *Server, c *net.TCPConn) bool {
 	f, err := c.File()
 	if err != nil {
@@ -238,8 +236,9 @@
 	return err == nil && s.Adopt(dup.(*net.TCPConn))
 }
 
-// Under load every connection goes to the successor between two requests, with none lost and none closed, also one
-// whose request ends late; the first server ends with nothing left. The successor answers on them.
+// Under load, every connection is transferred to the successor between two requests, including one whose request ends
+// late. No request is lost and no connection closed. The first server ends with no connection left, and the successor
+// answers on the transferred ones.
 func TestHandOverUnderLoad(t *testing.T) {
 	s, address := startServer(t, "old")
 	next, _ := startServer(t, "new")
@@ -249,7 +248,7 @@
 	idle.ask(t, request)
 	slow := dial(t, address)
 	io.WriteString(slow, "GET /slow HTTP/1.1\r\nHost: g\r\n\r\n")
-	for s.listener.Load().count() < 26 { // here the queue is not the successor's too
+	for s.listener.Load().count() < 26 { // in this test the successor does not share the accept queue
 		runtime.Gosched()
 	}
 	over := make(chan error, 1)
@@ -260,7 +259,7 @@
 		runtime.Gosched()
 	}
 	if got := idle.ask(t, request); got != "new" {
-		t.Errorf("a connection at rest was answered by the %s server", got)
+		t.Errorf("an idle connection was answered by the %s server", got)
 	}
 	slow.Close()
 	if err := <-over; err != nil {
@@ -268,12 +267,12 @@
 	}
 	close(stop)
 	if got := wait(); got["new"] == 0 {
-		t.Errorf("answers by server: %v", got)
+		t.Errorf("responses by server: %v", got)
 	}
 }
 
-// A successor that takes some connections and is then lost: what it did not take is served on here, new connections
-// are accepted again, and the drain goes on.
+// The successor declines connections and is then lost. Those it did not take are still served here, new connections are
+// accepted again, and the server stays in its drain.
 func TestHandOverIsBrokenOff(t *testing.T) {
 	s, address := startServer(t, "old")
 	clients := make([]*client, 6)
@@ -291,11 +290,11 @@
 		<-tried
 	}
 	if s.Available() {
-		t.Error("handing over, and clients are welcome")
+		t.Error("the server is available during a handover")
 	}
 	close(lost)
 	if err := <-over; err == nil {
-		t.Fatal("it counts as done")
+		t.Fatal("a handover to a lost successor returned no error")
 	}
 	for _, c := range append(clients, dial(t, address)) {
 		if got := c.ask(t, request); got != "old" {
@@ -303,12 +302,12 @@
 		}
 	}
 	if s.Available() {
-		t.Error("it was told to end, and clients are welcome")
+		t.Error("the server is available after a failed handover")
 	}
 }
 
-// A connection that has arrived and still waits for its slot is not forgotten: neither a handover nor a drain counts
-// as done before it is followed.
+// A connection that is adopted and still waits for a place below the connection limit is counted: neither a handover
+// nor a drain is complete before it is tracked.
 func TestArrivalIsCounted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -321,7 +320,7 @@
 		t.Fatal(err)
 	}
 	s := newLimitListener(l, 1)
-	s.tryAcquire() // the only slot
+	s.tryAcquire() // the only place
 	accepted := make(chan net.Conn, 1)
 	go func() {
 		c, err := adoptionListener{s}.Accept()
@@ -330,26 +329,26 @@
 		}
 		accepted <- c
 	}()
-	if !s.adopt(c.(*net.TCPConn), false) { // it is taken in, and waits
-		t.Fatal("nobody serves")
+	if !s.adopt(c.(*net.TCPConn), false) { // it is adopted, and waits
+		t.Fatal("the connection was not adopted")
 	}
 	over := make(chan struct{})
 	close(over)
 	if s.waitEmpty(nil, over) {
-		t.Error("a handover is done, with a connection that nobody has")
+		t.Error("waitEmpty returned true with an adoption pending")
 	}
 	s.release()
 	a := <-accepted
 	a.Close()
 	s.connState(a, http.StateClosed)
 	if !s.waitEmpty(nil, nil) {
-		t.Error("never done")
+		t.Error("waitEmpty returned false without a connection left")
 	}
 	client.expectClosed(t)
 }
 
-// Clients with a part of a head fill every slot, on new connections or on used ones, and send nothing more: the one
-// that has been silent longest makes room for a client that asks.
+// Clients that sent a partial header on new or used connections use up the connection limit and send nothing more. The
+// connection that has been silent longest is closed for a client that sends a request.
 func TestHalfHeadsMakeRoom(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -377,16 +376,16 @@
 			}
 			t.Logf("served after %v", time.Since(began))
 			if said, err := io.ReadAll(halves[0].in); err != nil {
-				t.Errorf("the one that was silent longest was told %q, and then %v", said, err)
+				t.Errorf("the connection that was silent longest got %q, then %v", said, err)
 			}
 			if got := halves[slots-1].ask(t, request[c.bytes:]); got != "here" {
-				t.Errorf("the one that began last, ended then: %q", got)
+				t.Errorf("the connection that began last, completing its request, was answered %q", got)
 			}
 		})
 	}
 }
 
-// reading is how many connections have a part of a head.
+// countReadingHeader returns how many connections have a partial header.
 func (s *Server) countReadingHeader() (n int) {
 	l := s.listener.Load()
 	l.mu.Lock()
--- a/internal/front/unanswered.go
+++ b/internal/front/unanswered.go
@@ -35,7 +35,8 @@
 		by = "client"
 	}
 	s.log.Debug("a connection ends with its request unanswered", "by", by, "client", c.RemoteAddr().String(), "id", p.id,
-		"whole", p.complete, "bytes", p.bytes, "reads", p.reads, "since_last_byte", time.Since(p.lastByte), "attempts_out", p.attemptsOut)
+		"whole", p.complete, "bytes", p.bytes, "reads", p.reads, "since_last_byte", time.Since(p.lastByte),
+		"attempts_out", p.attemptsOut)
 }
 
 // unansweredRequest reports whether a request is in progress of whose response nothing was written, and its progress.
--- a/internal/front/unanswered_test.go
+++ b/internal/front/unanswered_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// lines is a log whose lines a test waits for.
+// logLines is a log writer that passes each line to the test.
 type logLines chan string
 
 func (l logLines) Write(p []byte) (int, error) { l <- string(p); return len(p), nil }
 
-// logged serves with a handler that answers nothing while its client stays, and returns the log of it.
+// startLoggedServer starts a server that does not answer while the client stays connected, and returns its log.
 func startLoggedServer(t *testing.T) (address string, log logLines, s *Server, begun chan struct{}) {
 	log, begun = make(logLines, 64), make(chan struct{}, 1)
 	s = NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,7 +38,7 @@
 	return l.Addr().String(), log, s, begun
 }
 
-// next is the next line on a request that was not answered.
+// next returns the next log line about an unanswered request.
 func (l logLines) next() string {
 	late := time.After(20 * time.Second)
 	for {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Guards against a request that ends without an answer and that no log names.
+// Guards against a request that ends without a response and without a log line.
 func TestUnansweredRequestsAreLogged(t *testing.T) {
 	const head = "GET /view/1 HTTP/1.1\r\nHost: g\r\nX-Request-ID: left-1\r\n\r\n"
 	t.Run("its client leaves", func(t *testing.T) {
--- a/internal/front/unread_test.go
+++ b/internal/front/unread_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// A client that never reads its answer has its connection ended after a bounded time, which is counted: its slot goes
-// to the next one. One that reads on is served whole, whatever it takes it in all.
+// The connection of a client that never reads its response is ended after a bounded time and counted, which frees its
+// place for the next client. A client that keeps reading gets the whole response, however long that takes.
 func TestUnreadAnswerFreesItsSlot(t *testing.T) {
-	const long = 32 << 20 // more than the system holds for both ends
+	const long = 32 << 20 // more than the socket buffers of both ends hold
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 	select {
 	case <-over:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the answer is held for a client that does not read")
+		t.Fatal("the response is still held for a client that does not read")
 	}
 	for s.UnreadResponses() != 1 {
 		runtime.Gosched()
@@ -49,6 +49,6 @@
 		t.Errorf("answered %q", got)
 	}
 	if n := s.UnreadResponses(); n != 1 {
-		t.Errorf("%d answers counted as unread", n)
+		t.Errorf("%d responses counted as unread", n)
 	}
 }
