--- a/internal/front/evict.go
+++ b/internal/front/evict.go
@@ -8,102 +8,103 @@
 )
 
 const (
-	restful    = 2 * time.Second        // without an open request: the platform lets it be closed then
-	firstWord  = 250 * time.Millisecond // clients that mean to ask send as they connect; where no slot is left
-	headStall  = time.Second            // without a byte of a head that has begun; where no slot is left
-	spareSlots = 8                      // one part in so many is kept free, lest a client wait for a close
-	evictTries = 16                     // connections looked at for one that can be closed
+	evictMinIdle       = 2 * time.Second        // idle time after which the platform allows a close
+	firstRequestGrace  = 250 * time.Millisecond // for a new connection; clients with a request send it as they connect
+	headerStallTimeout = time.Second            // at the limit; no further byte of a partial header
+	reserveDivisor     = 8                      // limit/reserveDivisor places stay free, so that clients need not wait
+	evictMaxChecks     = 16                     // connections examined per eviction
 )
 
-// take takes a slot if one is free, and closes one connection if few are.
-func (s *slots) take() bool {
+// tryAcquire takes a place below the connection limit if one is free. If few are free, it closes one connection.
+func (s *limitListener) tryAcquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	full := s.open >= s.most
+	full := s.open >= s.limit
 	if !full {
 		s.open++
 	}
-	if s.open > s.most-s.most/spareSlots {
+	if s.open > s.limit-s.limit/reserveDivisor {
 		s.evict(full)
 	}
 	return !full
 }
 
-// evict closes the connection that has rested longest. Where no slot is left it need not have rested long: one
-// that finds no slot waits in vain. A connection with a request that is not read yet is passed over: the first
-// request on a connection is lost by a close, and each later one costs a new connection. So is one with a part of a
-// head, but where no slot is left and nothing more of it came for headStall.
-func (s *slots) evict(full bool) {
-	least := restful
+// evict closes the connection that has been idle longest. At the connection limit (full) a shorter idle time suffices,
+// since a client that finds no place waits in vain. A connection with an unread request is skipped: closing it loses
+// the request if it is the first on its connection, and costs the client a new connection if it is a later one. A
+// connection with a partial header is skipped too, unless the limit is reached and no further byte of the header came
+// for headerStallTimeout.
+func (s *limitListener) evict(full bool) {
+	minIdle := evictMinIdle
 	if full {
-		least = firstWord
+		minIdle = firstRequestGrace
 	}
-	for e, tries := s.resting.Front(), 0; e != nil && tries < evictTries; e = e.Next() {
-		r := e.Value.(*rest)
-		if time.Since(r.since) < least {
-			return // those behind have rested less
+	for e, checks := s.idle.Front(), 0; e != nil && checks < evictMaxChecks; e = e.Next() {
+		r := e.Value.(*idleConn)
+		if time.Since(r.since) < minIdle {
+			return // the following ones have been idle for less time
 		}
-		if half, ended := endStalled(r.conn, full); ended {
-			s.forget(r.conn)
+		if partial, ended := endStalledHeader(r.conn, full); ended {
+			s.removeIdle(r.conn)
 			return
-		} else if half {
+		} else if partial {
 			continue
 		}
-		tries++
+		checks++
 		if socket.Quiet(r.conn) {
-			s.forget(r.conn)
-			takeBack(r.conn) // its slot is free once net/http has noticed
+			s.removeIdle(r.conn)
+			reclaim(r.conn) // its place is free once net/http has noticed the close
 			return
 		}
 	}
 }
 
-// endStalled tells whether a part of a head has come on a connection, and ends it where no slot is left and the rest
-// does not come.
-func endStalled(c net.Conn, full bool) (half, ended bool) {
+// endStalledHeader reports whether part of a request header has arrived on a connection. It ends the connection if
+// the connection limit is reached and the header has stalled.
+func endStalledHeader(c net.Conn, full bool) (partial, ended bool) {
 	known, ok := c.(*conn)
 	if !ok {
 		return false, false
 	}
-	stall := headerWait // net/http ends it by itself then
+	timeout := headerTimeout // net/http itself ends the connection after that
 	if full {
-		stall = headStall
+		timeout = headerStallTimeout
 	}
-	return known.halfHead(stall)
+	return known.checkPartialHeader(timeout)
 }
 
-// takeBack has a connection closed that rests, unless a request comes in on it meanwhile.
-func takeBack(c net.Conn) {
+// reclaim closes an idle connection unless a request arrives on it in the meantime.
+func reclaim(c net.Conn) {
 	if c, ok := c.(*conn); ok {
-		c.leave()
+		c.requestReclaim()
 		return
 	}
 	c.Close()
 }
 
-// closeResting closes each connection that has rested at least so long, unless a request comes in on it, and
-// says how many still rest. One that has had no request yet is left for firstWord: a client that has just
-// connected sends its request next, and a close then would lose it.
-func (s *slots) closeResting(least time.Duration) (left int) {
+// closeIdle closes each connection that has been idle for at least minIdle, unless a request arrives on it, and returns
+// how many it asked to close. A connection without a request so far is kept open for firstRequestGrace: a client that
+// has just connected sends its request next, and closing the connection would lose it.
+func (s *limitListener) closeIdle(minIdle time.Duration) (remaining int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for e := s.resting.Front(); e != nil; e = e.Next() {
-		r := e.Value.(*rest)
-		if time.Since(r.since) < least {
-			return left // those behind have rested less
+	for e := s.idle.Front(); e != nil; e = e.Next() {
+		r := e.Value.(*idleConn)
+		if time.Since(r.since) < minIdle {
+			return remaining // the following ones have been idle for less time
 		}
-		if r.fresh && time.Since(r.since) < firstWord {
+		if r.isNew && time.Since(r.since) < firstRequestGrace {
 			continue
 		}
-		left++
-		takeBack(r.conn)
+		remaining++
+		reclaim(r.conn)
 	}
-	return left
+	return remaining
 }
 
-func (s *slots) forget(c net.Conn) {
-	if e := s.rests[c]; e != nil {
-		s.resting.Remove(e)
-		delete(s.rests, c)
+func (s *limitListener) removeIdle(c net.Conn) {
+	if e := s.idleElems[c]; e != nil {
+		s.idle.Remove(e)
+		delete(s.idleElems, c)
 	}
 }
--- a/internal/front/message.go
+++ b/internal/front/message.go
@@ -18,42 +18,42 @@
 	"junctionring/internal/routes"
 )
 
-// Margin is how long before the client gives up its answer is to be on its way.
+// Margin is the time before the client's own timeout by which the response has to be sent.
 const Margin = 5 * time.Millisecond
 
 const (
-	mostUnits  = 1000 // of one exchange, where nothing is stated
-	mostDigits = 16   // of a number: it fits an int and a float64
-	longest    = 30 * time.Minute
-	lingerFor  = 300 * time.Millisecond
-	lingerMost = 256 << 10
+	defaultMaxUnits = 1000                   // units per exchange, unless Names.MaxUnits is set
+	maxDigits       = 16                     // digits of a number, so that it fits an int and a float64
+	longBodyTimeout = 30 * time.Minute       // for a streamed body to arrive
+	lingerTimeout   = 300 * time.Millisecond // how long unread body bytes are discarded before a close
+	lingerMaxBytes  = 256 << 10              // bytes discarded at most
 )
 
-// Malformed is what is wrong with a message, and the status that says so.
-type Malformed struct {
+// RequestError is the error for a request that is rejected, with the status of the response.
+type RequestError struct {
 	Status int
 	Text   string
 }
 
-func (m *Malformed) Error() string { return m.Text }
+func (m *RequestError) Error() string { return m.Text }
 
-// Bad is a message that cannot be read.
-func Bad(format string, args ...any) error {
-	return &Malformed{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+// BadRequest returns a RequestError with status 400.
+func BadRequest(format string, args ...any) error {
+	return &RequestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// Names tells what the words in a message stand for.
+// Names resolves the names in a message to classes, plans and limits.
 type Names struct {
 	Classes  []string
 	Plans    []string
 	Repeats  []control.Repeat  // by class
-	Longest  []control.Seconds // by class: no client waits longer; 0 or none: any wait
-	Routes   *routes.Table     // nil: the first part of a path is its class
+	MaxWait  []control.Seconds // by class, the cap on a client's timeout; 0 or missing: no cap
+	Routes   *routes.Table     // nil: the first segment of a path names its class
 	Gateways int
-	MaxUnits float64 // of one exchange; 0: mostUnits
+	MaxUnits float64 // per exchange; 0: defaultMaxUnits
 }
 
-// Class finds the class of a path and checks that the method suits it.
+// Class returns the class of a request by its path, and checks the method and the Idempotency-Key that it requires.
 func (n *Names) Class(r *http.Request) (int, error) {
 	path := r.URL.EscapedPath()
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
@@ -61,71 +61,73 @@
 	if n.Routes != nil {
 		var ok bool
 		if class, ok = n.Routes.Match(r.Method, path); !ok {
-			return 0, &Malformed{http.StatusNotFound, fmt.Sprintf("no route for %s %.40q", r.Method, path)}
+			return 0, &RequestError{http.StatusNotFound, fmt.Sprintf("no route for %s %.40q", r.Method, path)}
 		}
 		first = n.Classes[class]
 	} else if class = slices.Index(n.Classes, first); class < 0 {
-		// A name that is not plain; in no other form than this, or the next reader may take it for another.
+		// A name that needs escaping. Only the canonical form is accepted: the next server to parse the path might
+		// resolve any other form differently.
 		class = slices.IndexFunc(n.Classes, func(name string) bool {
 			return (&url.URL{Path: "/" + name}).EscapedPath() == "/"+first
 		})
 	}
 	if class < 0 {
-		return 0, &Malformed{http.StatusNotFound, fmt.Sprintf("no such class: %.40q", first)}
+		return 0, &RequestError{http.StatusNotFound, fmt.Sprintf("no such class: %.40q", first)}
 	}
 	want := http.MethodPost
 	if n.Repeats[class] == control.Safe {
 		want = http.MethodGet
 	}
 	if r.Method != want {
-		return 0, &Malformed{http.StatusMethodNotAllowed, first + " takes " + want}
+		return 0, &RequestError{http.StatusMethodNotAllowed, first + " takes " + want}
 	}
-	key, err := One(r.Header, "Idempotency-Key")
+	key, err := SingleHeader(r.Header, "Idempotency-Key")
 	if err != nil {
 		return 0, err
 	}
 	if n.Repeats[class] == control.Keyed && key == "" {
-		return 0, Bad("%s needs an Idempotency-Key", first)
+		return 0, BadRequest("%s needs an Idempotency-Key", first)
 	}
 	return class, nil
 }
 
-// Framing refuses what the platform's clients never send and what two readers may take for different
-// messages. A chunked body is taken on a POST; net/http has dropped a Content-Length that stood beside it, so
-// behind such a head a second request may be hidden, and the connection is closed after the answer (Chunked).
+// Framing rejects framing that the platform's clients never send and that two servers might parse as different
+// messages (request smuggling). A chunked body is accepted on a POST. Since net/http drops a Content-Length next to it,
+// a second request may be hidden behind such a header, so the connection is closed after the response (see Chunked).
 func Framing(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
-		return &Malformed{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
-	case len(r.TransferEncoding) > 0 && (r.Method != http.MethodPost || len(r.TransferEncoding) != 1 || r.TransferEncoding[0] != "chunked"):
-		return Bad("Transfer-Encoding is taken only as chunked, on a POST")
+		return &RequestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
+	case len(r.TransferEncoding) > 0 &&
+		(r.Method != http.MethodPost || len(r.TransferEncoding) != 1 || r.TransferEncoding[0] != "chunked"):
+		return BadRequest("Transfer-Encoding is taken only as chunked, on a POST")
 	case r.URL.Host != "" || !strings.HasPrefix(r.RequestURI, "/"):
-		return Bad("the target must be a path")
+		return BadRequest("the target must be a path")
 	case r.Method == http.MethodGet && r.ContentLength != 0:
-		return Bad("a GET has no body")
+		return BadRequest("a GET has no body")
 	case r.Method == http.MethodPost && r.Header.Get("Content-Length") == "" && len(r.TransferEncoding) == 0:
-		return &Malformed{http.StatusLengthRequired, "Content-Length is missing"}
+		return &RequestError{http.StatusLengthRequired, "Content-Length is missing"}
 	}
 	return nil
 }
 
-// Chunked tells that a request came with a chunked body: its answer closes the connection, so that nothing
-// that a Content-Length beside it would have hidden is ever read as a request of its own.
+// Chunked reports whether a request has a chunked body. Its response has to close the connection, so that bytes that a
+// Content-Length next to it would have delimited differently are never read as a separate request.
 func Chunked(r *http.Request) bool { return len(r.TransferEncoding) > 0 }
 
-// One returns the value of a header that may stand once at most: of two, nobody knows which one the next
-// reader would take.
-func One(h http.Header, name string) (string, error) {
+// SingleHeader returns the value of a header that may occur at most once. Of two values, it is unknown which one the
+// next server would use.
+func SingleHeader(h http.Header, name string) (string, error) {
 	switch values := h[name]; len(values) {
 	case 0:
 		return "", nil
 	case 1:
 		return values[0], nil
 	}
-	return "", Bad("%s stands more than once", name)
+	return "", BadRequest("%s stands more than once", name)
 }
 
-// ParseTimeout reads a number and its unit, m or u.
+// ParseTimeout parses a timeout: a number and its unit, m (milliseconds) or u (microseconds).
 func ParseTimeout(text string) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
@@ -136,28 +138,28 @@
 	}
 	v, err := parseNumber(text[:max(0, len(text)-1)])
 	if unit == 0 || err != nil || !(v > 0 && v*float64(unit) < float64(24*time.Hour)) {
-		return 0, Bad("no timeout: %.40q", text)
+		return 0, BadRequest("no timeout: %.40q", text)
 	}
 	return time.Duration(v * float64(unit)), nil
 }
 
-// parseNumber reads a plain decimal number, nothing below 0. strconv also takes signs, exponents, hex, Inf and
-// NaN, none of which clients send: one of them in a sum that is kept would spoil it for good.
+// parseNumber parses a plain decimal number, not below 0. strconv also accepts signs, exponents, hexadecimal, Inf and
+// NaN, none of which clients send. One of them in a running total would corrupt it permanently.
 func parseNumber(text string) (float64, error) {
-	if len(text) > mostDigits || strings.Trim(text, "0123456789.") != "" {
+	if len(text) > maxDigits || strings.Trim(text, "0123456789.") != "" {
 		return 0, strconv.ErrSyntax
 	}
 	return strconv.ParseFloat(text, 64)
 }
 
-// Quota reads the units that an exchange draws and the gateways that its customer comes through.
+// Quota parses into x the units that an exchange draws and the gateways that its customer's requests come through.
 func (n *Names) Quota(text string, x *core.Exchange) error {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
 		key, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := parseNumber(value)
 		if err != nil || seen[key] {
-			return Bad("no quota: %.60q", text)
+			return BadRequest("no quota: %.60q", text)
 		}
 		seen[key] = true
 		switch key {
@@ -171,32 +173,35 @@
 			continue
 		}
 		if key != "units" && v != math.Trunc(v) {
-			return Bad("no quota: %.60q", text)
+			return BadRequest("no quota: %.60q", text)
 		}
 	}
-	most := cmp.Or(n.MaxUnits, mostUnits)
-	if !(x.Units > 0 && x.Units <= most) || x.Spread < 1 || x.Spread > n.Gateways || x.First < 0 || x.First >= n.Gateways {
-		return Bad("quota out of range: %.60q", text)
+	maxUnits := cmp.Or(n.MaxUnits, defaultMaxUnits)
+	if !(x.Units > 0 && x.Units <= maxUnits) ||
+		x.Spread < 1 || x.Spread > n.Gateways || x.First < 0 || x.First >= n.Gateways {
+		return BadRequest("quota out of range: %.60q", text)
 	}
 	return nil
 }
 
-// Arrived gives an exchange its time, once its body is in or begins to be passed on: it runs from its last byte.
-func Arrived(x *core.Exchange, received time.Time, rest *Body) {
+// StartDeadline sets an exchange's deadline once its body has arrived or begins to be forwarded. Its time runs from the
+// body's last byte. While rest is still to be read, the deadline is the one for the body to arrive.
+func StartDeadline(x *core.Exchange, received time.Time, rest *Body) {
 	now := time.Now()
 	x.ResponseTimeout = x.Deadline.Sub(received)
 	if x.Deadline = now.Add(x.ResponseTimeout); rest != nil {
-		x.Deadline = now.Add(longest) // for its body to come in
+		x.Deadline = now.Add(longBodyTimeout) // for the rest of the body to arrive
 	}
 }
 
-// Carry has an exchange carried out by a proxy onto the core, its body as it comes in. An answer does not wait for
-// the rest of a body that nobody wants. ended may be nil.
-func Carry(proxy http.Handler, w http.ResponseWriter, r *http.Request, x *core.Exchange, body []byte, rest *Body, ended func(core.Answer)) {
+// Forward forwards an exchange through a proxy to the core, and streams the rest of its body as it arrives. The
+// response does not wait for body bytes that are no longer needed. onAnswer, unless nil, is called with the answer.
+func Forward(proxy http.Handler, w http.ResponseWriter, r *http.Request, x *core.Exchange, body []byte, rest *Body,
+	onAnswer func(core.Answer)) {
 	if c := connOf(r); c != nil && rest == nil {
-		c.complete()
+		c.markComplete()
 	}
-	if hasLeft(r) { // it waited here, unread: nothing is sent on for it
+	if clientClosed(r) { // the client closed while the request waited to be read: it is not forwarded
 		panic(http.ErrAbortHandler)
 	}
 	var upload *egress.Upload
@@ -206,27 +211,28 @@
 		upload = &egress.Upload{Length: r.ContentLength, Next: rest.Read}
 	}
 	proxy.ServeHTTP(w, egress.WithExchange(r, x, body, upload, func(a core.Answer) {
-		if upload != nil && !upload.Done() || closes(r) {
+		if upload != nil && !upload.Done() || closesConnection(r) {
 			w.Header().Set("Connection", "close")
 		}
 		if c := connOf(r); c != nil && a.Kind == core.ClientGone {
-			c.left(a)
+			c.setAttemptsOut(a)
 		}
-		if ended != nil {
-			ended(a)
+		if onAnswer != nil {
+			onAnswer(a)
 		}
 	}))
 }
 
-// Reject answers what is malformed, or shed before its body was in, at once, and closes: a client that sends such things gets no slot to keep.
-// net/http would first wait for a body that was not read. What is still on its way is read off for a moment,
-// since closing on unread bytes resets the connection and may take the answer with it.
+// Reject answers a request that is invalid, or that is shed before its body arrived, at once, and closes the
+// connection, so that such a client does not keep one. net/http would first wait for the unread body. Body bytes that
+// still arrive are discarded for a short time, since closing with unread bytes resets the connection and may lose the
+// response.
 func Reject(w http.ResponseWriter, r *http.Request, err error) {
 	status := http.StatusBadRequest
 	switch e := err.(type) {
-	case *Malformed:
+	case *RequestError:
 		status = e.Status
-	case *shed:
+	case *shedError:
 		status = http.StatusServiceUnavailable
 		if e.retryAfter != "" {
 			w.Header().Set("Retry-After", e.retryAfter)
@@ -238,9 +244,9 @@
 		return
 	}
 	control := http.NewResponseController(w)
-	control.EnableFullDuplex() // where these are not supported the answer is only slower
+	control.EnableFullDuplex() // if these calls are not supported, the response is only slower
 	http.Error(w, err.Error(), status)
 	control.Flush()
-	control.SetReadDeadline(time.Now().Add(lingerFor))
-	io.Copy(io.Discard, io.LimitReader(r.Body, lingerMost))
+	control.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.Copy(io.Discard, io.LimitReader(r.Body, lingerMaxBytes))
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,5 +1,6 @@
-// Package front is what all HTTP fronts share beneath them: a server with its slots for connections and its
-// drain, the reading of messages, and the proxy onto the core's RoundTripper.
+// Package front holds what all HTTP fronts share: the server with its connection limit and its drain, the reading of
+// messages, and the proxy to the core's RoundTripper. It does not define any front's protocol: decoding a message into
+// an exchange is up to each front.
 package front
 
 import (
@@ -16,59 +17,60 @@
 )
 
 const (
-	// MaxHeader is what a client's headers may hold on the platform.
-	MaxHeader  = 16 << 10
-	headerWait = 2500 * time.Millisecond // from the accept on: who sends no whole head holds a slot for nothing
-	idleWait   = 2 * time.Minute         // clients that went away without a word must not hold descriptors for ever
-
-	sweepFor      = 100 * time.Millisecond // before a drain takes nothing new: connections at rest are closed
-	sweepEach     = 10 * time.Millisecond  // between looks at them, then and until none is left
-	evacuateSweep = 100 * time.Millisecond // between closes of resting connections while evacuated
-	evacuateRest  = 250 * time.Millisecond // rested at least: a client that just connected sends at once
+	// MaxHeader is the size limit for a client's request header on the platform, in bytes.
+	MaxHeader     = 16 << 10
+	headerTimeout = 2500 * time.Millisecond // from accept on; an incomplete request must not hold a connection
+	idleTimeout   = 2 * time.Minute         // clients that vanish without closing must not hold descriptors forever
+
+	closeIdleBeforeStop = 100 * time.Millisecond // how long before stop a drain begins to close idle connections
+	closeIdleInterval   = 10 * time.Millisecond  // between passes over idle connections, until none is left
+	evacuateInterval    = 100 * time.Millisecond // between passes over idle connections while evacuated
+	evacuateMinIdle     = 250 * time.Millisecond // idle time before a close; new clients send at once
 )
 
-// Server is a front's HTTP server with a drain.
+// Server is a front's HTTP server. It can drain, and can hand its connections over to a successor process.
 type Server struct {
-	http      *http.Server
-	draining  atomic.Bool
-	closing   atomic.Bool
-	ready     atomic.Bool
-	evacuated atomic.Bool
-	handing   atomic.Bool // a successor serves at this address
-	slots     atomic.Pointer[slots]
-	serving   chan struct{} // closed when slots is there
-	taken     *atomic.Int64 // requests held now; nil: not counted
-	unread    atomic.Int64  // answers cut since their clients did not read them
-	stall     time.Duration // for a piece of an answer to be read
-	log       *slog.Logger
-	shedding  atomic.Pointer[shed] // set once the process sheds what it holds
+	http            *http.Server
+	draining        atomic.Bool
+	closing         atomic.Bool
+	ready           atomic.Bool
+	evacuated       atomic.Bool
+	handingOver     atomic.Bool // a successor process serves at this address
+	listener        atomic.Pointer[limitListener]
+	serving         chan struct{} // closed once listener is set
+	held            *atomic.Int64 // requests in progress; nil: not counted
+	unreadResponses atomic.Int64  // responses cut off because the client did not read them
+	writeTimeout    time.Duration // for each chunk of a response
+	log             *slog.Logger
+	shedError       atomic.Pointer[shedError] // set once the process sheds its requests
 }
 
-// NewServer serves h, with the readiness path in front of it. taken, where not nil, counts the requests held.
-func NewServer(h http.Handler, maxHeader int, taken *atomic.Int64, log *slog.Logger) *Server {
-	s := &Server{taken: taken, serving: make(chan struct{}), stall: writeStall, log: log}
+// NewServer returns a server for h that answers the readiness path itself. held, unless nil, counts the requests in
+// progress.
+func NewServer(h http.Handler, maxHeader int, held *atomic.Int64, log *slog.Logger) *Server {
+	s := &Server{held: held, serving: make(chan struct{}), writeTimeout: defaultWriteTimeout, log: log}
 	s.http = &http.Server{
-		MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait,
+		MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, originKey{}, origin{s, c})
 		},
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if c := connOf(r); c != nil {
-				c.names(r.Header.Get("X-Request-ID"))
+				c.setRequestID(r.Header.Get("X-Request-ID"))
 			}
-			if s.sendsAway() {
+			if s.closesConnections() {
 				w.Header().Set("Connection", "close")
 			}
 			if r.URL.Path == "/health/ready" {
-				if !s.Taking() && !s.handing.Load() {
+				if !s.Available() && !s.handingOver.Load() {
 					w.WriteHeader(http.StatusServiceUnavailable)
 				}
 				return
 			}
-			if s.taken != nil {
-				s.taken.Add(1)
-				defer s.taken.Add(-1)
+			if s.held != nil {
+				s.held.Add(1)
+				defer s.held.Add(-1)
 			}
 			h.ServeHTTP(w, r)
 		}),
@@ -76,30 +78,30 @@
 	return s
 }
 
-// Taking tells whether clients are welcome: ready, and neither draining nor evacuated.
-func (s *Server) Taking() bool {
+// Available reports whether the server accepts clients: it is ready, and neither draining nor evacuated.
+func (s *Server) Available() bool {
 	return s.ready.Load() && !s.draining.Load() && !s.evacuated.Load()
 }
 
-// Unread is how many answers were cut since their clients did not read them.
-func (s *Server) Unread() int64 { return s.unread.Load() }
+// UnreadResponses returns how many responses were cut off because their clients did not read them.
+func (s *Server) UnreadResponses() int64 { return s.unreadResponses.Load() }
 
-// sendsAway tells whether answers close their connections: clients keep one for as long as it stays open.
-func (s *Server) sendsAway() bool { return s.closing.Load() || s.evacuated.Load() }
+// closesConnections reports whether responses close their connections. Clients keep a connection as long as it is open.
+func (s *Server) closesConnections() bool { return s.closing.Load() || s.evacuated.Load() }
 
-// Evacuate sends clients away while the process runs on: readiness says no at once, each answer closes its
-// connection, and resting connections are closed, now and every evacuateSweep, once nothing unread is on them.
-// Connections that still come are served. It lasts until Rejoin, or ctx ends.
+// Evacuate moves clients away while the process keeps running. The readiness path fails at once, each response closes
+// its connection, and idle connections without unread bytes are closed now and every evacuateInterval. New connections
+// are still served. This lasts until Rejoin; idle connections are no longer closed once ctx ends.
 func (s *Server) Evacuate(ctx context.Context) {
 	if s.evacuated.Swap(true) {
 		return
 	}
 	go func() {
-		t := time.NewTicker(evacuateSweep)
+		t := time.NewTicker(evacuateInterval)
 		defer t.Stop()
 		for s.evacuated.Load() {
-			if l := s.slots.Load(); l != nil {
-				l.closeResting(evacuateRest)
+			if l := s.listener.Load(); l != nil {
+				l.closeIdle(evacuateMinIdle)
 			}
 			select {
 			case <-t.C:
@@ -110,84 +112,87 @@
 	}()
 }
 
-// Rejoin takes clients again after Evacuate.
+// Rejoin accepts clients again after Evacuate.
 func (s *Server) Rejoin() { s.evacuated.Store(false) }
 
-// Serve takes connections until Drain has ended, at most so many at once.
-func (s *Server) Serve(l net.Listener, most int) error {
-	limited := newSlots(l, most)
-	limited.writeStall, limited.unread, limited.unanswered = s.stall, func() { s.unread.Add(1) }, s.logUnanswered
-	s.http.ConnState = limited.state
-	s.slots.Store(limited)
+// Serve accepts connections until Drain has ended, and serves at most maxConns at a time.
+func (s *Server) Serve(l net.Listener, maxConns int) error {
+	limited := newLimitListener(l, maxConns)
+	limited.writeTimeout, limited.onWriteTimeout, limited.onUnanswered = s.writeTimeout,
+		func() { s.unreadResponses.Add(1) }, s.logUnanswered
+	s.http.ConnState = limited.connState
+	s.listener.Store(limited)
 	close(s.serving)
-	go s.http.Serve(arrivals{limited})
+	go s.http.Serve(adoptionListener{limited})
 	if err := s.http.Serve(limited); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Ready lets the readiness path answer 200.
-func (s *Server) Ready() { s.ready.Store(true) }
+// MarkReady makes the readiness path answer 200.
+func (s *Server) MarkReady() { s.ready.Store(true) }
 
-// Drain serves on until closing, since clients keep to the connections that they have: those find no other way
-// in while the gateway is away. From then on each answer closes its connection, and shortly before stop those at rest
-// are closed, while a request that crosses such a close still finds the way in. At stop nothing new is taken. It
-// returns nil once no connection is left, or an error when ctx ends; a later Drain goes on from there.
+// Drain keeps serving until closing, since clients keep using the connections that they have and find no other way in
+// while the gateway is away. From closing on, each response closes its connection. Shortly before stop, idle
+// connections are closed, while the client of a request that crosses such a close can still connect again. At stop, the
+// server accepts no more connections. Drain returns nil once no connection is left, or an error when ctx ends; a later
+// Drain continues from there.
 func (s *Server) Drain(ctx context.Context, closing, stop time.Time) error {
 	s.draining.Store(true)
-	pause(ctx, time.Until(closing))
+	sleep(ctx, time.Until(closing))
 	s.closing.Store(true)
 	<-s.serving
-	l := s.slots.Load()
-	pause(ctx, time.Until(stop)-sweepFor)
+	l := s.listener.Load()
+	sleep(ctx, time.Until(stop)-closeIdleBeforeStop)
 	for ctx.Err() == nil && time.Now().Before(stop) {
-		l.closeResting(0)
-		pause(ctx, sweepEach)
+		l.closeIdle(0)
+		sleep(ctx, closeIdleInterval)
 	}
-	select { // a listener that is closed with connections waiting in it resets them
+	select { // closing a listener resets the connections that are still in its accept queue
 	case <-l.stop():
 	case <-ctx.Done():
 	}
-	// net/http's Shutdown closes idle connections with no look for a request come in on them, and none that is taken
-	// back with one unread could be served any more: it has to find none.
-	if !l.clear(ctx) {
+	// net/http's Shutdown closes idle connections without checking for arrived requests, and a connection that is
+	// reclaimed with an unread request could then no longer be served. So Shutdown must find no idle connection.
+	if !l.closeWhenIdle(ctx) {
 		return ctx.Err()
 	}
 	return s.http.Shutdown(ctx)
 }
 
-// HandOver gives every client's connection to a successor, each as soon as no request is under way on it, and
-// accepts no more: the successor holds the listening socket too. give returns false for a connection that the
-// successor did not take, which is served on here. It returns nil when none is left; when lost is closed,
-// everything is as before, but for readiness: Drain goes on from there.
-func (s *Server) HandOver(ctx context.Context, give func(*net.TCPConn) bool, lost <-chan struct{}) error {
-	s.handing.Store(true) // who asks at this address is told of the successor
+// HandOver transfers every client connection to a successor process, each as soon as no request is in progress on it.
+// It accepts no more connections, since the successor holds the listening socket too. transfer returns false for a
+// connection that the successor did not take; that one is still served here. HandOver returns nil when no connection
+// is left. When lost is closed, it restores the previous state except for readiness and returns an error; Drain
+// continues from there.
+func (s *Server) HandOver(ctx context.Context, transfer func(*net.TCPConn) bool, lost <-chan struct{}) error {
+	s.handingOver.Store(true) // a readiness probe at this address is about the successor
 	s.draining.Store(true)
 	<-s.serving
-	l := s.slots.Load()
-	l.leave(give)
-	if l.empty(lost, ctx.Done()) {
+	l := s.listener.Load()
+	l.startHandOver(transfer)
+	if l.waitEmpty(lost, ctx.Done()) {
 		return s.http.Shutdown(ctx)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	l.stay()
-	s.handing.Store(false)
-	return errLost
+	l.cancelHandOver()
+	s.handingOver.Store(false)
+	return errSuccessorLost
 }
 
-var errLost = errors.New("the successor is lost")
+var errSuccessorLost = errors.New("connection handover failed: successor process lost")
 
-// Adopt serves a connection that a process before this one held. It returns false, and the connection is the
-// caller's, when nobody serves here any more.
+// Adopt serves a connection that was transferred from the predecessor process. It returns false if the server no
+// longer serves; the connection then remains the caller's.
 func (s *Server) Adopt(c *net.TCPConn) bool {
 	<-s.serving // a handover may begin before the listener is served
-	return s.slots.Load().arrive(c, false)
+	return s.listener.Load().adopt(c, false)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	wait := time.NewTimer(d)
 	defer wait.Stop()
 	select {
@@ -196,16 +201,16 @@
 	}
 }
 
-// Proxy is the reverse proxy on a RoundTripper of ours.
+// Proxy returns the reverse proxy that forwards requests through t.
 func Proxy(t http.RoundTripper, log *slog.Logger) *httputil.ReverseProxy {
 	return &httputil.ReverseProxy{
 		Rewrite:       func(*httputil.ProxyRequest) {},
-		FlushInterval: -1, // what comes of a long answer goes on at once
+		FlushInterval: -1, // pass each part of a long response on at once
 		BufferPool:    egress.BufferPool{},
 		Transport:     t,
 		ErrorLog:      slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		ErrorHandler: func(w http.ResponseWriter, r *http.Request, err error) {
-			panic(http.ErrAbortHandler) // the client has left: nobody is told anything
+			panic(http.ErrAbortHandler) // the client has closed the connection: there is nobody to answer
 		},
 	}
 }
--- a/internal/front/shed.go
+++ b/internal/front/shed.go
@@ -2,54 +2,56 @@
 
 import "net/http"
 
-// shed is the error of a request whose body had not come in as the process shed what it held. Nothing of it was sent on.
-type shed struct{ retryAfter string }
+// shedError is the error for a request whose body had not arrived completely when the process shed its requests. No
+// part of such a request was forwarded.
+type shedError struct{ retryAfter string }
 
-func (*shed) Error() string { return "the gateway is about to end: the body had not come in" }
+func (*shedError) Error() string { return "the gateway is about to end: the body had not come in" }
 
-// Shed gives each request whose body is still coming in its answer, and each that still comes: a refusal that advises
-// retryAfter, or nothing where that is empty. What the core holds is for core.Shed to answer.
+// Shed rejects each request whose body is still being read, and each later request with a body. The rejection has
+// retryAfter as its Retry-After, or no such header if it is empty. Requests that the core holds are answered by
+// core.Shed.
 func (s *Server) Shed(retryAfter string) {
-	s.shedding.Store(&shed{retryAfter})
-	l := s.slots.Load()
+	s.shedError.Store(&shedError{retryAfter})
+	l := s.listener.Load()
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		c.endBody()
+		c.abortBody()
 	}
 }
 
-// awaitsBody notes whether a body is read in before anything is sent on.
-func (c *conn) awaitsBody(awaits bool) {
+// setAwaitingBody records whether the request's body is being read before anything is forwarded.
+func (c *conn) setAwaitingBody(awaits bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bodyAwaited = awaits
-	if c.bodyEnded && !awaits {
-		c.bodyEnded = false
+	c.awaitingBody = awaits
+	if c.bodyAborted && !awaits {
+		c.bodyAborted = false
 		c.TCPConn.SetReadDeadline(c.deadline)
 	}
 }
 
-// endBody ends the wait for a body.
-func (c *conn) endBody() {
+// abortBody ends the wait for a body by expiring the read deadline.
+func (c *conn) abortBody() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.bodyAwaited {
-		c.bodyEnded = true
-		c.TCPConn.SetReadDeadline(past)
+	if c.awaitingBody {
+		c.bodyAborted = true
+		c.TCPConn.SetReadDeadline(pastTime)
 	}
 }
 
-// shedOf is the error of a request whose body is not read any more; nil: it is.
-func shedOf(r *http.Request) error {
+// shedErrorOf returns the error for a request whose server is shedding, or nil if its body may be read.
+func shedErrorOf(r *http.Request) error {
 	o, ok := r.Context().Value(originKey{}).(origin)
 	if !ok {
 		return nil
 	}
-	if s := o.server.shedding.Load(); s != nil {
+	if s := o.server.shedError.Load(); s != nil {
 		return s
 	}
 	return nil
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,5 +1,5 @@
-// Package ingress is the front for the platform's protocol: it decodes a client's message into a typed
-// exchange, has it carried out, and answers. What is malformed is answered here and never reaches the core.
+// Package ingress is the front for the platform's protocol: it decodes a client's message into a typed exchange, has
+// it forwarded, and answers. It does not pass malformed messages to the core; it rejects them itself.
 package ingress
 
 import (
@@ -15,23 +15,24 @@
 	"junctionring/internal/front"
 )
 
-const mostID = 128 // bytes of an X-Request-ID
+const maxIDBytes = 128 // of an X-Request-ID
 
-// Platform is the handler of the platform's protocol.
+// Platform returns the handler for the platform's protocol.
 func Platform(names *front.Names, c *core.Core, log *slog.Logger) http.Handler {
 	return PlatformLive(func() *front.Names { return names }, c, log)
 }
 
-// PlatformLive is Platform with names that may change: each request is decoded by those in force as it comes.
-func PlatformLive(in func() *front.Names, c *core.Core, log *slog.Logger) http.Handler {
+// PlatformLive is like Platform with names that may change: each request is decoded with those that current returns
+// when it arrives.
+func PlatformLive(current func() *front.Names, c *core.Core, log *slog.Logger) http.Handler {
 	proxy := front.Proxy(&egress.RoundTripper{Core: c, RetryAfter: egress.DecimalSeconds}, log)
-	var open sync.Map // ids of the exchanges that are held
+	var openIDs sync.Map // request ids of the exchanges in progress
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		received := time.Now()
 		if front.Chunked(r) {
 			w.Header().Set("Connection", "close")
 		}
-		x, err := Decode(in(), r, received)
+		x, err := Decode(current(), r, received)
 		if err != nil {
 			front.Reject(w, r, err)
 			return
@@ -41,20 +42,20 @@
 			front.Reject(w, r, err)
 			return
 		}
-		// Ids are fresh on every request: one that is open is another client's, and two attempts with it would
-		// be two copies of that one.
+		// Every request has a new id, so an id that is in use belongs to another client's request. Two attempts with
+		// the same id would count as two copies of that request.
 		id := r.Header.Get("X-Request-ID")
-		if _, taken := open.LoadOrStore(id, nil); taken {
-			front.Reject(w, r, &front.Malformed{Status: http.StatusConflict, Text: "this X-Request-ID is in use"})
+		if _, inUse := openIDs.LoadOrStore(id, nil); inUse {
+			front.Reject(w, r, &front.RequestError{Status: http.StatusConflict, Text: "this X-Request-ID is in use"})
 			return
 		}
-		defer open.Delete(id)
-		front.Arrived(&x, received, rest)
-		front.Carry(proxy, w, r, &x, body, rest, nil)
+		defer openIDs.Delete(id)
+		front.StartDeadline(&x, received, rest)
+		front.Forward(proxy, w, r, &x, body, rest, nil)
 	})
 }
 
-// Decode reads a client's message, but for its body. received is when it was taken in.
+// Decode decodes a client's message except for its body. received is the time at which the server received it.
 func Decode(n *front.Names, r *http.Request, received time.Time) (x core.Exchange, err error) {
 	if err = front.Framing(r); err != nil {
 		return x, err
@@ -64,40 +65,40 @@
 	}
 	var values [5]string
 	for i, name := range [...]string{"X-Request-Id", "X-Plan", "Cookie", "X-Timeout", "X-Quota"} {
-		if values[i], err = front.One(r.Header, name); err != nil {
+		if values[i], err = front.SingleHeader(r.Header, name); err != nil {
 			return x, err
 		}
 	}
-	if id := values[0]; id == "" || len(id) > mostID {
-		return x, front.Bad("X-Request-ID is missing or too long")
+	if id := values[0]; id == "" || len(id) > maxIDBytes {
+		return x, front.BadRequest("X-Request-ID is missing or too long")
 	}
 	if x.Plan = slices.Index(n.Plans, values[1]); x.Plan < 0 {
-		return x, front.Bad("no such plan: %.40q", values[1])
+		return x, front.BadRequest("no such plan: %.40q", values[1])
 	}
 	accounts := r.CookiesNamed("account")
 	if len(accounts) != 1 {
-		return x, front.Bad("there must be one account cookie")
+		return x, front.BadRequest("there must be one account cookie")
 	}
 	if x.Customer, err = ParseAccount(accounts[0].Value); err != nil {
 		return x, err
 	}
-	wait, err := front.ParseTimeout(values[3])
+	timeout, err := front.ParseTimeout(values[3])
 	if err != nil {
 		return x, err
 	}
-	if x.Class < len(n.Longest) && n.Longest[x.Class] > 0 {
-		wait = min(wait, time.Duration(n.Longest[x.Class]*float64(time.Second)))
+	if x.Class < len(n.MaxWait) && n.MaxWait[x.Class] > 0 {
+		timeout = min(timeout, time.Duration(n.MaxWait[x.Class]*float64(time.Second)))
 	}
-	x.Deadline = received.Add(wait - front.Margin)
+	x.Deadline = received.Add(timeout - front.Margin)
 	x.Repeat = r.Header.Get("X-Retried") == "1"
 	return x, n.Quota(values[4], &x)
 }
 
-// ParseAccount reads a customer: 16 hex digits, below 2^33.
+// ParseAccount parses a customer: 16 hexadecimal digits with a value below 2^33.
 func ParseAccount(text string) (uint64, error) {
 	v, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 || v >= 1<<33 {
-		return 0, front.Bad("no account: %.40q", text)
+		return 0, front.BadRequest("no account: %.40q", text)
 	}
 	return v, nil
 }
