--- a/control/answers_test.go
+++ b/control/answers_test.go
@@ -20,19 +20,19 @@
 		fail    bool           // or refused, with a hint
 	}{
 		{"no server", 0, 0, func(f *fleet) {
-			f.do(control.Members{Kind: control.Cached, Entries: nil})
+			f.handle(control.Members{Kind: control.Cached, Entries: nil})
 		}, 3, 0, false},
 		{"beyond its quota", 0, 0, func(f *fleet) {
 			for range 200 {
-				f.served(0, 0, 7)
+				f.requestAnswered(0, 0, 7)
 			}
 		}, 3, 0, false},
 		{"no time left", 0, 0, none, 0.001, 0, false},
 		{"shed in a crowd", 0, 0, func(f *fleet) {
 			for i := range 400 { // nothing is answered any more
-				f.ask(0, 0, uint64(100+i))
+				f.request(0, 0, uint64(100+i))
 				f.now += 0.05
-				f.do(control.Timer{})
+				f.handle(control.Timer{})
 			}
 		}, 3, 0, false},
 		{"attempts spent", 0, 0, none, 3, control.Reset, false},
@@ -40,10 +40,10 @@
 		{"unsafe and never ran", 2, 0, none, 3, control.ConnectFailed, false},
 		{"purse empty", 0, 0, func(f *fleet) {
 			for i := range 60 {
-				f.class[f.id+1] = 0
-				_, acts := f.ask(0, 0, uint64(100+i))
-				for _, s := range pick[control.Send](acts) {
-					f.do(control.Outcome{ID: s.ID, Server: s.Server, Status: control.Error, Elapsed: 0.001})
+				f.classOf[f.lastID+1] = 0
+				_, acts := f.request(0, 0, uint64(100+i))
+				for _, s := range filter[control.Send](acts) {
+					f.handle(control.Outcome{ID: s.ID, Server: s.Server, Status: control.Error, Elapsed: 0.001})
 				}
 			}
 		}, 3, control.Error, false},
@@ -52,44 +52,44 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, settings(), "a", "b", "c", "d")
 			c.prepare(f)
-			f.id++
-			acts := f.do(control.Request{
-				ID: f.id, Class: c.class, Plan: c.plan, Customer: 7, TimeLeft: c.left, Units: 1, Spread: 2,
+			f.lastID++
+			acts := f.handle(control.Request{
+				ID: f.lastID, Class: c.class, Plan: c.plan, Customer: 7, TimeLeft: c.left, Units: 1, Spread: 2,
 			})
-			for attempt := 0; c.end != 0 && len(pick[control.Send](acts)) > 0; attempt++ {
-				s := pick[control.Send](acts)[0]
+			for attempt := 0; c.end != 0 && len(filter[control.Send](acts)) > 0; attempt++ {
+				s := filter[control.Send](acts)[0]
 				took := 0.01
 				if c.end == control.Timeout {
 					took = c.left
 				}
 				f.now += took
-				acts = f.do(control.Outcome{ID: s.ID, Server: s.Server, Attempt: attempt, Status: c.end, Elapsed: took})
+				acts = f.handle(control.Outcome{ID: s.ID, Server: s.Server, Attempt: attempt, Status: c.end, Elapsed: took})
 			}
 			refused, failed := 0, 0
-			for _, a := range pick[control.Refuse](acts) {
-				if a.ID == f.id {
+			for _, a := range filter[control.Refuse](acts) {
+				if a.ID == f.lastID {
 					refused++
 					if a.RetryAfter <= 0 {
 						t.Error("refused without a time to come back")
 					}
 				}
 			}
-			for _, a := range pick[control.Fail](acts) {
-				if a.ID == f.id {
+			for _, a := range filter[control.Fail](acts) {
+				if a.ID == f.lastID {
 					failed++
 				}
 			}
 			if refused+failed != 1 || (failed == 1) != c.fail {
 				t.Errorf("refused %d and failed %d in the step that gave up, want one answer at once", refused, failed)
 			}
-			for _, a := range f.wait(4) { // and none later
+			for _, a := range f.advance(4) { // and none later
 				switch a := a.(type) {
 				case control.Refuse:
-					if a.ID == f.id {
+					if a.ID == f.lastID {
 						t.Error("answered again")
 					}
 				case control.Send:
-					if a.ID == f.id {
+					if a.ID == f.lastID {
 						t.Error("sent on after its answer")
 					}
 				}
--- a/control/ceiling_test.go
+++ b/control/ceiling_test.go
@@ -14,33 +14,33 @@
 	open := plan
 	open.CeilingRate, open.CeilingBurst, open.CeilingSlack = 0, 0, 0
 	silent := func(now float64) bool { return now > 1008 && now < 1016 }
-	for name, change := range map[string]func(f *thinFleet){
-		"counter quick":  func(*thinFleet) {},
-		"counter slow":   func(f *thinFleet) { f.lag = 0.02 },
-		"counter silent": func(f *thinFleet) { f.silent = silent },
-		"gateways restart": func(f *thinFleet) {
+	for name, change := range map[string]func(f *quotaSimulation){
+		"counter quick":  func(*quotaSimulation) {},
+		"counter slow":   func(f *quotaSimulation) { f.counterDelay = 0.02 },
+		"counter silent": func(f *quotaSimulation) { f.counterDown = silent },
+		"gateways restart": func(f *quotaSimulation) {
 			for at := 1003.0; at < 1020; at += 1.7 {
-				f.at(at, 0, nil, func(now float64) { f.start(t, f.rng.IntN(len(f.gates))) })
+				f.schedule(at, 0, nil, func(now float64) { f.startGateway(t, f.rng.IntN(len(f.gateways))) })
 			}
 		},
-		"gateways restart while the counter is silent": func(f *thinFleet) {
-			f.silent = silent
+		"gateways restart while the counter is silent": func(f *quotaSimulation) {
+			f.counterDown = silent
 			for at := 1008.0; at < 1018; at += 0.5 {
-				f.at(at, 0, nil, func(now float64) { f.start(t, f.rng.IntN(len(f.gates))) })
+				f.schedule(at, 0, nil, func(now float64) { f.startGateway(t, f.rng.IntN(len(f.gateways))) })
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for gateways := 2; gateways <= 4; gateways++ {
 				for _, skew := range []float64{1, 4} {
-					with := ceilingRun(t, plan, gateways, skew, change)
+					with := runWithCeiling(t, plan, gateways, skew, change)
 					t.Logf("%d gateways, skew %v: excess %.2f units, %.2f allowed; in quota let in, of what an exact bucket does: %.3f",
-						gateways, skew, with.excess, plan.CeilingSlack, with.served())
+						gateways, skew, with.ceilingExcess, plan.CeilingSlack, with.servedShare())
 					if name == "counter quick" {
-						t.Logf("%.3f without a ceiling", ceilingRun(t, open, gateways, skew, change).served())
+						t.Logf("%.3f without a ceiling", runWithCeiling(t, open, gateways, skew, change).servedShare())
 					}
-					if with.excess > plan.CeilingSlack {
-						t.Errorf("%d gateways, skew %v: %.2f units beyond the ceiling, %.2f allowed", gateways, skew, with.excess, plan.CeilingSlack)
+					if with.ceilingExcess > plan.CeilingSlack {
+						t.Errorf("%d gateways, skew %v: %.2f units beyond the ceiling, %.2f allowed", gateways, skew, with.ceilingExcess, plan.CeilingSlack)
 					}
 				}
 			}
@@ -49,26 +49,26 @@
 }
 
 // served is what customers that ask for no more than about their quota got inside it, of what an exact bucket gives.
-func (f thinFigures) served() float64 {
+func (f quotaStats) servedShare() float64 {
 	normal, full := f.byKind["normal"], f.byKind["full"]
 	return (normal[0] - normal[1] + full[0] - full[1]) / (normal[2] + full[2])
 }
 
 // ceilingRun plays customers against a plan, judged by the ceiling of the first of them.
-func ceilingRun(t *testing.T, plan control.Plan, gateways int, skew float64, change func(*thinFleet)) thinFigures {
+func runWithCeiling(t *testing.T, plan control.Plan, gateways int, skew float64, change func(*quotaSimulation)) quotaStats {
 	set := settings()
 	set.Plans, set.Counter.Timeout = []control.Plan{plan}, 0.05
-	f := newThinFleet(t, set, gateways, 1)
+	f := newQuotaSimulation(t, set, gateways, 1)
 	f.skew = skew
 	change(f)
-	customers := thinCustomers(f.rng, set.Plans, gateways, 18, 1000)
+	customers := newQuotaCustomers(f.rng, set.Plans, gateways, 18, 1000)
 	for i, c := range customers {
 		c.spread = gateways
 		if i%3 == 0 {
-			c.use, c.spike = 4+6*f.rng.Float64(), 0
+			c.demandShare, c.spikeFactor = 4+6*f.rng.Float64(), 0
 		}
-		c.ceiling = newBucket(2*plan.Rate, 2*plan.Burst)
-		c.ceiling.at = 1000
+		c.ceilingBucket = newBucket(2*plan.Rate, 2*plan.Burst)
+		c.ceilingBucket.at = 1000
 	}
 	return f.run(customers, 1000, 18, 0)
 }
@@ -77,13 +77,13 @@
 func TestCeilingOfACustomerBeyondMemory(t *testing.T) {
 	s := settings()
 	s.Plans = []control.Plan{{Rate: 2, Burst: 4, Worth: 1, CeilingRate: 4, CeilingBurst: 8}}
-	r := newRig(t, s, warm("a")...)
-	r.wait(100) // no longer a restart
+	r := newHarness(t, s, readyMembers("a")...)
+	r.advance(100) // no longer a restart
 	sent := 0
 	ask := func(customer uint64) {
-		r.id++
-		acts := r.do(control.Request{ID: r.id, Customer: customer, TimeLeft: 3, Units: 1, Spread: 2, VerdictOnly: true})
-		sent += len(pick[control.Admit](acts))
+		r.lastID++
+		acts := r.handle(control.Request{ID: r.lastID, Customer: customer, TimeLeft: 3, Units: 1, Spread: 2, VerdictOnly: true})
+		sent += len(filter[control.Admit](acts))
 	}
 	for customer := range uint64(control.MaxCustomers) {
 		ask(customer + 1)
--- a/control/coldfleet_test.go
+++ b/control/coldfleet_test.go
@@ -14,20 +14,20 @@
 // traffic doubles. Quotas are off, so that all that is refused is refused for want of servers.
 
 const (
-	simTick       = 0.004 // s
-	simCores      = 3.0
-	simQueue      = 60 // requests at a server beyond which it turns away
-	simDiscovery  = 0.3
-	simLateList   = 1.4 // s that a gateway's list may lag beyond simDiscovery
-	simWarmUp     = 10.0
-	simLasts      = 34.0
-	simBurstFrom  = 12.0
-	simBurstTo    = 18.0
-	simBurst      = 2.0
-	simLoad       = 0.5 // of the capacity of all servers while warm, before the burst
-	simCrashAt    = 13.0
-	simCrashFor   = 1.5
-	simDeployStep = 0.8 // s between the replacements of a release
+	simTick            = 0.004 // s
+	simCores           = 3.0
+	simMaxQueue        = 60 // requests at a server beyond which it turns away
+	simMinListDelay    = 0.3
+	simListDelayRange  = 1.4 // s that a gateway's list may lag beyond simDiscovery
+	simWarmUp          = 10.0
+	simDuration        = 34.0
+	simBurstFrom       = 12.0
+	simBurstTo         = 18.0
+	simBurstFactor     = 2.0
+	simLoad            = 0.5 // of the capacity of all servers while warm, before the burst
+	simCrashAt         = 13.0
+	simCrashDuration   = 1.5
+	simReplaceInterval = 0.8 // s between the replacements of a release
 )
 
 // simClass is a class of the simulated traffic.
@@ -41,39 +41,39 @@
 	gateway  *simGateway
 	request  *simRequest
 	attempt  int
-	left     float64 // s of work
+	workLeft float64 // s of work
 	timeout  float64 // absolute; 0: none
-	canceled bool
+	ended    bool
 }
 
 // simRequest is a client's request.
 type simRequest struct {
-	id      uint64
-	class   int
-	came    float64
-	work    float64
-	tries   int
-	settled bool
+	id        uint64
+	class     int
+	arrivedAt float64
+	work      float64
+	attempts  int
+	ended     bool
 }
 
 // simServer is one server: its cores share what is at it.
 type simServer struct {
-	name    string
-	speed   float64
-	started float64 // last start; 0: long past
-	up      bool
-	jobs    []*simJob
-	calls   []float64 // times of the calls that it took while cold
+	name         string
+	speed        float64
+	startedAt    float64 // last start; 0: long past
+	up           bool
+	jobs         []*simJob
+	coldArrivals []float64 // times of the calls that it took while cold
 }
 
 // simGateway is one control instance with its view of time and list.
 type simGateway struct {
-	*rig
-	set      control.Settings
-	ordinal  int
-	requests map[uint64]*simRequest
-	timer    float64
-	lists    []simList // still to be learned
+	*harness
+	set          control.Settings
+	ordinal      int
+	requests     map[uint64]*simRequest
+	timerAt      float64
+	pendingLists []simList // still to be learned
 }
 
 type simList struct {
@@ -83,198 +83,198 @@
 
 // simFleet is all of it.
 type simFleet struct {
-	t        *testing.T
-	rng      *rand.Rand
-	set      control.Settings
-	classes  []simClass
-	now      float64
-	gateways []*simGateway
-	servers  map[string]*simServer
-	order    []*simServer
-	members  map[string]control.Member
-	served   []float64 // by class, worth in time
-	asked    []float64
-	refused  []int
-	late     []int
-	lost     []int
-	next     uint64
-	choose   func(f *simFleet, r *simRequest) *simServer // the policy that knows all; nil: the gateways
+	t            *testing.T
+	rng          *rand.Rand
+	set          control.Settings
+	classes      []simClass
+	now          float64
+	gateways     []*simGateway
+	servers      map[string]*simServer
+	order        []*simServer
+	members      map[string]control.Member
+	earnedWorth  []float64 // by class, worth in time
+	offeredWorth []float64
+	refused      []int
+	late         []int
+	timedOut     []int
+	lastID       uint64
+	choose       func(f *simFleet, r *simRequest) *simServer // the policy that knows all; nil: the gateways
 }
 
 func newSimFleet(t *testing.T, set control.Settings, classes []simClass, servers int, seed uint64) *simFleet {
 	f := &simFleet{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), set: set, classes: classes, now: 1000,
 		servers: map[string]*simServer{}, members: map[string]control.Member{},
-		served: make([]float64, len(classes)), asked: make([]float64, len(classes)),
-		refused: make([]int, len(classes)), late: make([]int, len(classes)), lost: make([]int, len(classes)),
+		earnedWorth: make([]float64, len(classes)), offeredWorth: make([]float64, len(classes)),
+		refused: make([]int, len(classes)), late: make([]int, len(classes)), timedOut: make([]int, len(classes)),
 	}
 	for i := range servers {
-		f.add(fmt.Sprint("s", i), 0)
+		f.addServer(fmt.Sprint("s", i), 0)
 	}
 	for i := range set.Gateways {
-		f.gateways = append(f.gateways, f.start(i, seed))
+		f.gateways = append(f.gateways, f.startGateway(i, seed))
 	}
 	return f
 }
 
 // add starts a server.
-func (f *simFleet) add(name string, since float64) {
+func (f *simFleet) addServer(name string, since float64) {
 	speed := 0.97
 	if len(f.order)%2 == 1 {
 		speed = 0.6
 	}
-	s := &simServer{name: name, speed: speed, started: since, up: true}
+	s := &simServer{name: name, speed: speed, startedAt: since, up: true}
 	f.servers[name] = s
 	f.order = append(f.order, s)
 	f.members[name] = control.Member{Server: name, Since: since}
 }
 
 // start begins a gateway with the list as it is.
-func (f *simFleet) start(ordinal int, seed uint64) *simGateway {
+func (f *simFleet) startGateway(ordinal int, seed uint64) *simGateway {
 	set := f.set
 	set.Ordinal = ordinal
 	g, err := control.New(set, seed*1000+uint64(ordinal)+uint64(f.now*10))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	gw := &simGateway{rig: &rig{t: f.t, g: g, now: f.now}, set: set, ordinal: ordinal, requests: map[uint64]*simRequest{}}
+	gw := &simGateway{harness: &harness{t: f.t, g: g, now: f.now}, set: set, ordinal: ordinal, requests: map[uint64]*simRequest{}}
 	var entries []control.Member
 	for _, s := range f.order {
 		if m := f.members[s.name]; m.State == control.Ready {
 			entries = append(entries, m)
 		}
 	}
-	f.take(gw, gw.do(control.Members{Kind: control.Cached, Entries: entries}))
+	f.perform(gw, gw.handle(control.Members{Kind: control.Cached, Entries: entries}))
 	return gw
 }
 
 // tell has each gateway learn of a change, each at its own time.
-func (f *simFleet) tell(m control.Member) {
+func (f *simFleet) announceChange(m control.Member) {
 	f.members[m.Server] = m
 	for _, gw := range f.gateways {
-		gw.lists = append(gw.lists, simList{f.now + simDiscovery + simLateList*f.rng.Float64(), []control.Member{m}})
+		gw.pendingLists = append(gw.pendingLists, simList{f.now + simMinListDelay + simListDelayRange*f.rng.Float64(), []control.Member{m}})
 	}
 }
 
 // warmth is the share of its capacity that a server has.
-func (s *simServer) warmth(f *simFleet) float64 {
+func (s *simServer) warmShare(f *simFleet) float64 {
 	g := f.set.Guarantees
-	if s.started == 0 || f.now-s.started >= g.Ramp {
+	if s.startedAt == 0 || f.now-s.startedAt >= g.Ramp {
 		return 1
 	}
-	return g.ColdFrom + (1-g.ColdFrom)*(f.now-s.started)/g.Ramp
+	return g.ColdFrom + (1-g.ColdFrom)*(f.now-s.startedAt)/g.Ramp
 }
 
 // rate is how much work a server does in a second on each of its jobs.
-func (s *simServer) rate(f *simFleet) float64 {
-	return s.speed * s.warmth(f) * min(1, simCores/float64(max(1, len(s.jobs))))
+func (s *simServer) ratePerJob(f *simFleet) float64 {
+	return s.speed * s.warmShare(f) * min(1, simCores/float64(max(1, len(s.jobs))))
 }
 
 // run lets the servers work for one tick.
-func (f *simFleet) run() {
+func (f *simFleet) runServers() {
 	for _, s := range f.order {
 		if !s.up {
 			continue
 		}
-		done := s.rate(f) * simTick
+		done := s.ratePerJob(f) * simTick
 		jobs := s.jobs
 		s.jobs = nil
 		var ended []*simJob
 		for _, j := range jobs {
-			if j.left -= done; j.left <= 0 {
+			if j.workLeft -= done; j.workLeft <= 0 {
 				ended = append(ended, j)
 			} else {
 				s.jobs = append(s.jobs, j)
 			}
 		}
 		for _, j := range ended {
-			f.finish(j, s, control.OK)
+			f.endAttempt(j, s, control.OK)
 		}
 	}
 }
 
 // finish tells how an attempt ended.
-func (f *simFleet) finish(j *simJob, s *simServer, st control.Status) {
-	if j.canceled {
+func (f *simFleet) endAttempt(j *simJob, s *simServer, st control.Status) {
+	if j.ended {
 		return
 	}
-	j.canceled = true
+	j.ended = true
 	r := j.request
 	class := f.set.Classes[r.class]
-	if st == control.OK && !r.settled {
-		r.settled = true
-		if took := f.now - r.came; took <= class.Aim {
-			f.served[r.class] += class.Worth
+	if st == control.OK && !r.ended {
+		r.ended = true
+		if took := f.now - r.arrivedAt; took <= class.Aim {
+			f.earnedWorth[r.class] += class.Worth
 		} else {
-			f.served[r.class] += class.Worth * class.LateWorth
+			f.earnedWorth[r.class] += class.Worth * class.LateWorth
 			f.late[r.class]++
 		}
 	}
 	if j.gateway != nil {
-		f.take(j.gateway, j.gateway.doAt(f.now, control.Outcome{
-			ID: r.id, Server: s.name, Attempt: j.attempt, Status: st, Closed: st == control.OK, Elapsed: f.now - r.came,
+		f.perform(j.gateway, j.gateway.handleAt(f.now, control.Outcome{
+			ID: r.id, Server: s.name, Attempt: j.attempt, Status: st, Closed: st == control.OK, Elapsed: f.now - r.arrivedAt,
 		}))
 	}
 }
 
-func (gw *simGateway) doAt(now float64, ev control.Event) []control.Action {
+func (gw *simGateway) handleAt(now float64, ev control.Event) []control.Action {
 	gw.now = now
-	return gw.do(ev)
+	return gw.handle(ev)
 }
 
 // take carries out what a gateway asks for.
-func (f *simFleet) take(gw *simGateway, acts []control.Action) {
+func (f *simFleet) perform(gw *simGateway, acts []control.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case control.Send:
 			r := gw.requests[a.ID]
-			j := &simJob{gateway: gw, request: r, attempt: r.tries, left: r.work}
+			j := &simJob{gateway: gw, request: r, attempt: r.attempts, workLeft: r.work}
 			if a.Timeout > 0 {
 				j.timeout = f.now + a.Timeout
 			}
-			r.tries++
-			f.call(j, f.servers[a.Server])
+			r.attempts++
+			f.deliver(j, f.servers[a.Server])
 		case control.Refuse:
-			if r := gw.requests[a.ID]; r != nil && !r.settled {
-				r.settled = true
+			if r := gw.requests[a.ID]; r != nil && !r.ended {
+				r.ended = true
 				f.refused[r.class]++
 			}
 		case control.SetTimer:
-			gw.timer = f.now + a.Delay
+			gw.timerAt = f.now + a.Delay
 		}
 	}
 }
 
 // call brings a request to a server.
-func (f *simFleet) call(j *simJob, s *simServer) {
+func (f *simFleet) deliver(j *simJob, s *simServer) {
 	switch {
 	case !s.up:
-		f.finish(j, s, control.ConnectFailed)
-	case len(s.jobs) >= simQueue:
-		f.finish(j, s, control.Full)
+		f.endAttempt(j, s, control.ConnectFailed)
+	case len(s.jobs) >= simMaxQueue:
+		f.endAttempt(j, s, control.Full)
 	default:
-		if s.warmth(f) < 1 {
-			s.calls = append(s.calls, f.now)
+		if s.warmShare(f) < 1 {
+			s.coldArrivals = append(s.coldArrivals, f.now)
 		}
 		s.jobs = append(s.jobs, j)
 	}
 }
 
 // expire ends what has run out of time.
-func (f *simFleet) expire() {
+func (f *simFleet) endExpired() {
 	for _, s := range f.order {
 		for _, j := range slices.Clone(s.jobs) {
-			deadline := j.request.came + f.set.Classes[j.request.class].Deadline
+			deadline := j.request.arrivedAt + f.set.Classes[j.request.class].Deadline
 			if over := f.now >= deadline; over || j.timeout > 0 && f.now >= j.timeout {
-				if over && !j.request.settled {
-					j.request.settled = true
-					f.lost[j.request.class]++
+				if over && !j.request.ended {
+					j.request.ended = true
+					f.timedOut[j.request.class]++
 				}
 				j.timeout = 0
 				st := control.Timeout
-				f.finish(j, s, st)
+				f.endAttempt(j, s, st)
 				if over && j.gateway != nil {
-					f.take(j.gateway, j.gateway.doAt(f.now, control.ClientGone{ID: j.request.id}))
+					f.perform(j.gateway, j.gateway.handleAt(f.now, control.ClientGone{ID: j.request.id}))
 				}
 			}
 		}
@@ -288,12 +288,12 @@
 		u -= f.classes[class].share
 		class++
 	}
-	f.next++
-	r := &simRequest{id: f.next, class: class, came: f.now, work: f.classes[class].work * math.Exp(0.9*f.rng.NormFloat64()-0.405)}
-	f.asked[class] += f.set.Classes[class].Worth
+	f.lastID++
+	r := &simRequest{id: f.lastID, class: class, arrivedAt: f.now, work: f.classes[class].work * math.Exp(0.9*f.rng.NormFloat64()-0.405)}
+	f.offeredWorth[class] += f.set.Classes[class].Worth
 	if f.choose != nil {
 		if s := f.choose(f, r); s != nil {
-			f.call(&simJob{request: r, left: r.work}, s)
+			f.deliver(&simJob{request: r, workLeft: r.work}, s)
 		} else {
 			f.refused[class]++
 		}
@@ -301,7 +301,7 @@
 	}
 	gw := f.gateways[f.rng.IntN(len(f.gateways))]
 	gw.requests[r.id] = r
-	f.take(gw, gw.doAt(f.now, control.Request{ID: r.id, Class: class, Customer: f.rng.Uint64(), TimeLeft: f.set.Classes[class].Deadline, Units: 1, Spread: f.set.Gateways}))
+	f.perform(gw, gw.handleAt(f.now, control.Request{ID: r.id, Class: class, Customer: f.rng.Uint64(), TimeLeft: f.set.Classes[class].Deadline, Units: 1, Spread: f.set.Gateways}))
 }
 
 // meanWork is that of a request.
@@ -314,7 +314,7 @@
 
 // play lets a day pass: a release of half of the servers, a crash of two others, a burst, and, where asked for,
 // gateways that are restarted meanwhile.
-func (f *simFleet) play(restarts bool) {
+func (f *simFleet) run(restarts bool) {
 	begin := f.now
 	half := len(f.order) / 2
 	deployed, crashed, returned, restarted := 0, false, false, 0
@@ -322,21 +322,21 @@
 	for _, s := range f.order {
 		capacity += s.speed * simCores
 	}
-	for due := begin; f.now < begin+simLasts; f.now += simTick {
+	for due := begin; f.now < begin+simDuration; f.now += simTick {
 		at := f.now - begin
 		rate := simLoad * capacity / f.meanWork()
 		if at > simBurstFrom && at < simBurstTo {
-			rate *= simBurst
+			rate *= simBurstFactor
 		}
 		for ; due < f.now; due += f.rng.ExpFloat64() / rate {
 			f.arrive()
 		}
-		if deployed < half && at > simWarmUp+simDeployStep*float64(deployed) {
+		if deployed < half && at > simWarmUp+simReplaceInterval*float64(deployed) {
 			old := fmt.Sprint("s", deployed)
-			f.tell(control.Member{Server: old, State: control.Removed})
+			f.announceChange(control.Member{Server: old, State: control.Removed})
 			name := fmt.Sprint("new", deployed)
-			f.add(name, f.now)
-			f.tell(f.members[name])
+			f.addServer(name, f.now)
+			f.announceChange(f.members[name])
 			deployed++
 		}
 		if !crashed && at > simCrashAt {
@@ -345,38 +345,38 @@
 				f.crash(f.servers[fmt.Sprint("s", i)])
 			}
 		}
-		if crashed && !returned && at > simCrashAt+simCrashFor {
+		if crashed && !returned && at > simCrashAt+simCrashDuration {
 			returned = true
 			for i := half; i < half+2; i++ {
 				s := f.servers[fmt.Sprint("s", i)]
-				s.up, s.started = true, f.now
-				f.tell(control.Member{Server: s.name, Since: f.now})
+				s.up, s.startedAt = true, f.now
+				f.announceChange(control.Member{Server: s.name, Since: f.now})
 			}
 		}
 		if restarts && restarted < len(f.gateways)/2 && at > simWarmUp+5*float64(restarted)/float64(len(f.gateways)) {
-			f.gateways[restarted] = f.start(restarted, 77)
+			f.gateways[restarted] = f.startGateway(restarted, 77)
 			restarted++
 		}
-		f.run()
-		f.expire()
+		f.runServers()
+		f.endExpired()
 		for _, gw := range f.gateways {
-			f.wake(gw)
+			f.deliverDue(gw)
 		}
 	}
 }
 
 // wake gives a gateway the lists and timers that are due.
-func (f *simFleet) wake(gw *simGateway) {
-	gw.lists = slices.DeleteFunc(gw.lists, func(l simList) bool {
+func (f *simFleet) deliverDue(gw *simGateway) {
+	gw.pendingLists = slices.DeleteFunc(gw.pendingLists, func(l simList) bool {
 		if l.at > f.now {
 			return false
 		}
-		f.take(gw, gw.doAt(f.now, control.Members{Kind: control.Delta, Entries: l.entries}))
+		f.perform(gw, gw.handleAt(f.now, control.Members{Kind: control.Delta, Entries: l.entries}))
 		return true
 	})
-	if gw.timer > 0 && f.now >= gw.timer {
-		gw.timer = 0
-		f.take(gw, gw.doAt(f.now, control.Timer{}))
+	if gw.timerAt > 0 && f.now >= gw.timerAt {
+		gw.timerAt = 0
+		f.perform(gw, gw.handleAt(f.now, control.Timer{}))
 	}
 }
 
@@ -386,30 +386,30 @@
 	jobs := s.jobs
 	s.jobs = nil
 	for _, j := range jobs {
-		f.finish(j, s, control.Reset)
+		f.endAttempt(j, s, control.Reset)
 	}
 }
 
 // share is the served part of the worth asked for.
-func (f *simFleet) share() float64 {
+func (f *simFleet) earnedShare() float64 {
 	served, asked := 0.0, 0.0
-	for i := range f.served {
-		served += f.served[i]
-		asked += f.asked[i]
+	for i := range f.earnedWorth {
+		served += f.earnedWorth[i]
+		asked += f.offeredWorth[i]
 	}
 	return served / asked
 }
 
 // excess is how much of what the rule on cold servers allows the worst server got.
-func (f *simFleet) excess() float64 {
+func (f *simFleet) worstColdLoad() float64 {
 	g, worst := f.set.Guarantees, 0.0
 	for _, s := range f.order {
-		for i, end := range s.calls {
+		for i, end := range s.coldArrivals {
 			n := 0
-			for k := i; k >= 0 && s.calls[k] > end-g.FallAfter; k-- {
+			for k := i; k >= 0 && s.coldArrivals[k] > end-g.FallAfter; k-- {
 				n++
 			}
-			age := max(0, end-g.FallAfter-s.started)
+			age := max(0, end-g.FallAfter-s.startedAt)
 			warm := g.ColdFrom + (1-g.ColdFrom)*min(1, age/g.Ramp)
 			allowed := g.FallMultiple * warm * simCores * s.speed / f.meanWork() * g.FallAfter
 			worst = max(worst, float64(n)/(allowed+2*math.Sqrt(allowed)+2))
@@ -419,14 +419,14 @@
 }
 
 // knowsAll sends to the server that will be done first, by what is really at each, and refuses what would be late.
-func knowsAll(f *simFleet, r *simRequest) *simServer {
+func fullInformationPolicy(f *simFleet, r *simRequest) *simServer {
 	var best *simServer
 	bestTime := math.Inf(1)
 	for _, s := range f.order {
 		if !s.up || f.members[s.name].State != control.Ready {
 			continue
 		}
-		rate := s.speed * s.warmth(f) * min(1, simCores/float64(len(s.jobs)+1))
+		rate := s.speed * s.warmShare(f) * min(1, simCores/float64(len(s.jobs)+1))
 		if took := f.classes[r.class].work / rate; took < bestTime {
 			best, bestTime = s, took
 		}
@@ -464,15 +464,15 @@
 			for day := range uint64(days) {
 				set, classes := coldSettings(c.gateways)
 				f := newSimFleet(t, set, classes, 12, day)
-				f.play(day%2 == 1)
-				if excess := f.excess(); excess > 1 {
+				f.run(day%2 == 1)
+				if excess := f.worstColdLoad(); excess > 1 {
 					t.Errorf("day %d: a cold server got %.2f of the calls that the rule allows", day, excess)
 				}
 				best := newSimFleet(t, set, classes, 12, day)
-				best.choose = knowsAll
-				best.play(false)
-				served += f.share() / days
-				possible += best.share() / days
+				best.choose = fullInformationPolicy
+				best.run(false)
+				served += f.earnedShare() / days
+				possible += best.earnedShare() / days
 				refused += f.refused[0]
 			}
 			t.Logf("served %.3f, knowing all %.3f; refused %d of the cheap class", served, possible, refused)
@@ -491,10 +491,10 @@
 		for seed := range uint64(10) {
 			s := settings()
 			s.Gateways, s.Ordinal = gateways, int(seed)%gateways
-			f := newFleet(t, s, named(12)...)
-			f.rig = seeded(t, s, seed, warm(named(12)...)...)
+			f := newFleet(t, s, serverNames(12)...)
+			f.harness = newSeededHarness(t, s, seed, readyMembers(serverNames(12)...)...)
 			restarted := map[string]bool{}
-			f.takes = func(server string) (float64, control.Status) {
+			f.answer = func(server string) (float64, control.Status) {
 				if restarted[server] {
 					return 0.7, control.OK // within its aim, though later than a warm server answers
 				}
@@ -502,23 +502,23 @@
 			}
 			offer := func(seconds float64) {
 				for end := f.now + seconds; f.now < end; {
-					f.offer(0, 0, f.id)
-					f.offer(2, 0, f.id)
+					f.offer(0, 0, f.lastID)
+					f.offer(2, 0, f.lastID)
 					for range gateways { // 40 requests a second of all
 						f.step(0.05)
 					}
 				}
 			}
 			offer(20)
-			for _, name := range named(4) {
+			for _, name := range serverNames(4) {
 				restarted[name] = true
-				f.take(f.do(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: name, Since: f.now}}}))
+				f.perform(f.handle(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: name, Since: f.now}}}))
 			}
 			clear(f.refused)
-			before := f.id
+			before := f.lastID
 			offer(9)
 			refused += f.refused[0] + f.refused[2]
-			asked += int(f.id - before)
+			asked += int(f.lastID - before)
 		}
 		if share := float64(refused) / float64(asked); share > 0.01 {
 			t.Errorf("%d gateways: %.3f of %d refused while eight warm servers of twelve had room", gateways, share, asked)
@@ -534,15 +534,15 @@
 	for seed := range uint64(10) {
 		s := settings()
 		s.Gateways = 10
-		f := newFleet(t, s, named(12)...)
-		f.rig = seeded(t, s, seed)
-		for _, name := range named(12) {
-			f.take(f.do(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: name, Since: f.now}}}))
+		f := newFleet(t, s, serverNames(12)...)
+		f.harness = newSeededHarness(t, s, seed)
+		for _, name := range serverNames(12) {
+			f.perform(f.handle(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: name, Since: f.now}}}))
 		}
-		f.takes = func(string) (float64, control.Status) { return 0.7, control.OK }
+		f.answer = func(string) (float64, control.Status) { return 0.7, control.OK }
 		for range 150 {
-			f.offer(0, 0, f.id)
-			f.offer(2, 0, f.id)
+			f.offer(0, 0, f.lastID)
+			f.offer(2, 0, f.lastID)
 			f.step(0.05)
 		}
 		for class, n := range f.refused {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -32,60 +32,60 @@
 }
 
 // rig drives one gateway by hand.
-type rig struct {
-	t   *testing.T
-	g   *control.Gateway
-	now float64
-	id  uint64
+type harness struct {
+	t      *testing.T
+	g      *control.Gateway
+	now    float64
+	lastID uint64
 }
 
-func newRig(t *testing.T, s control.Settings, servers ...control.Member) *rig {
+func newHarness(t *testing.T, s control.Settings, servers ...control.Member) *harness {
 	t.Helper()
-	return seeded(t, s, 1, servers...)
+	return newSeededHarness(t, s, 1, servers...)
 }
 
 // seeded is newRig with a seed of its own.
-func seeded(t *testing.T, s control.Settings, seed uint64, servers ...control.Member) *rig {
+func newSeededHarness(t *testing.T, s control.Settings, seed uint64, servers ...control.Member) *harness {
 	t.Helper()
 	g, err := control.New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, g: g, now: 1000}
-	r.do(control.Members{Kind: control.Cached, Entries: servers})
+	r := &harness{t: t, g: g, now: 1000}
+	r.handle(control.Members{Kind: control.Cached, Entries: servers})
 	return r
 }
 
-func (r *rig) do(ev control.Event) []control.Action { return r.g.Handle(r.now, ev, nil) }
+func (r *harness) handle(ev control.Event) []control.Action { return r.g.Handle(r.now, ev, nil) }
 
 // ask brings a request in and returns its number and the answer.
-func (r *rig) ask(class, plan int, customer uint64) (uint64, []control.Action) {
-	r.id++
-	return r.id, r.do(control.Request{
-		ID: r.id, Class: class, Plan: plan, Customer: customer, TimeLeft: 3, Units: 1, Spread: 2,
+func (r *harness) request(class, plan int, customer uint64) (uint64, []control.Action) {
+	r.lastID++
+	return r.lastID, r.handle(control.Request{
+		ID: r.lastID, Class: class, Plan: plan, Customer: customer, TimeLeft: 3, Units: 1, Spread: 2,
 	})
 }
 
 // served is ask with a good answer at once to whatever was sent on.
-func (r *rig) served(class, plan int, customer uint64) []control.Action {
-	_, acts := r.ask(class, plan, customer)
-	for _, s := range pick[control.Send](acts) {
-		r.end(s, 0, control.OK)
+func (r *harness) requestAnswered(class, plan int, customer uint64) []control.Action {
+	_, acts := r.request(class, plan, customer)
+	for _, s := range filter[control.Send](acts) {
+		r.endAttempt(s, 0, control.OK)
 	}
 	return acts
 }
 
 // wait lets time pass in pulses and returns what was done meanwhile.
-func (r *rig) wait(seconds float64) []control.Action {
+func (r *harness) advance(seconds float64) []control.Action {
 	var acts []control.Action
 	for end := r.now + seconds; r.now < end; {
 		r.now += 0.02
-		acts = append(acts, r.do(control.Timer{})...)
+		acts = append(acts, r.handle(control.Timer{})...)
 	}
 	return acts
 }
 
-func pick[A control.Action](acts []control.Action) []A {
+func filter[A control.Action](acts []control.Action) []A {
 	var got []A
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
@@ -95,7 +95,7 @@
 	return got
 }
 
-func warm(names ...string) []control.Member {
+func readyMembers(names ...string) []control.Member {
 	var ms []control.Member
 	for i, n := range names {
 		ms = append(ms, control.Member{Server: n, Zone: i % 2, Cell: i, State: control.Ready})
@@ -104,12 +104,12 @@
 }
 
 // answer ends the attempt in acts with a status.
-func (r *rig) end(s control.Send, attempt int, st control.Status) []control.Action {
-	return r.do(control.Outcome{ID: s.ID, Server: s.Server, Attempt: attempt, Status: st, Closed: st == control.OK})
+func (r *harness) endAttempt(s control.Send, attempt int, st control.Status) []control.Action {
+	return r.handle(control.Outcome{ID: s.ID, Server: s.Server, Attempt: attempt, Status: st, Closed: st == control.OK})
 }
 
 func TestNewRefusesWrongSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*control.Settings){
+	for name, corrupt := range map[string]func(*control.Settings){
 		"no class":         func(s *control.Settings) { s.Classes = nil },
 		"no plan":          func(s *control.Settings) { s.Plans = nil },
 		"negative rate":    func(s *control.Settings) { s.Plans[0].Rate = -1 },
@@ -123,7 +123,7 @@
 		"NaN price":        func(s *control.Settings) { s.Counter.Price = math.NaN() },
 	} {
 		s := settings()
-		spoil(&s)
+		corrupt(&s)
 		if _, err := control.New(s, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
@@ -131,13 +131,13 @@
 }
 
 func TestFirstSightGivesTheEvenSplit(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b", "c", "d", "e", "f")...)
+	r := newHarness(t, settings(), readyMembers("a", "b", "c", "d", "e", "f")...)
 	sent := 0
 	for range 8 {
-		id, acts := r.ask(0, 0, 5)
-		for _, s := range pick[control.Send](acts) {
+		id, acts := r.request(0, 0, 5)
+		for _, s := range filter[control.Send](acts) {
 			sent++
-			r.do(control.Outcome{ID: id, Server: s.Server, Status: control.OK, Closed: true})
+			r.handle(control.Outcome{ID: id, Server: s.Server, Status: control.OK, Closed: true})
 		}
 	}
 	if sent != 4 {
@@ -146,22 +146,22 @@
 }
 
 // flushed answers the one call in acts with a total.
-func (r *rig) flushed(acts []control.Action, st control.Status, total float64) (control.Count, []control.Action) {
+func (r *harness) answerCount(acts []control.Action, st control.Status, total float64) (control.Count, []control.Action) {
 	r.t.Helper()
-	calls := pick[control.Count](acts)
+	calls := filter[control.Count](acts)
 	if len(calls) != 1 {
 		r.t.Fatalf("%d calls to the counter, want 1: %v", len(calls), acts)
 	}
-	return calls[0], r.do(control.Counted{Name: calls[0].Name, Status: st, Total: total, Elapsed: 0.002})
+	return calls[0], r.handle(control.Counted{Name: calls[0].Name, Status: st, Total: total, Elapsed: 0.002})
 }
 
-func TestTotalsOfOthersCloseTheRoom(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b", "c")...)
-	_, acts := r.ask(0, 0, 5)
-	acts = append(acts, r.wait(1.2)...)
-	r.flushed(acts, control.OK, 9) // others used 8: the store is empty
-	_, acts = r.ask(0, 0, 5)
-	refused := pick[control.Refuse](acts)
+func TestTotalsOfOthersUseUpTheQuota(t *testing.T) {
+	r := newHarness(t, settings(), readyMembers("a", "b", "c")...)
+	_, acts := r.request(0, 0, 5)
+	acts = append(acts, r.advance(1.2)...)
+	r.answerCount(acts, control.OK, 9) // others used 8: the store is empty
+	_, acts = r.request(0, 0, 5)
+	refused := filter[control.Refuse](acts)
 	if len(refused) != 1 {
 		t.Fatalf("not refused with the quota used up: %v", acts)
 	}
@@ -188,30 +188,30 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
 			s.Plans[0].Rate = 0.4 // long windows
-			r := newRig(t, s, warm("a", "b")...)
-			acts := r.served(0, 0, 5)
-			first, _ := r.flushed(append(acts, r.wait(1.2)...), c.status, 0)
+			r := newHarness(t, s, readyMembers("a", "b")...)
+			acts := r.requestAnswered(0, 0, 5)
+			first, _ := r.answerCount(append(acts, r.advance(1.2)...), c.status, 0)
 			if first.Amount != 1 {
 				t.Fatalf("added %v, want 1", first.Amount)
 			}
-			next := r.wait(1.4)
+			next := r.advance(1.4)
 			if c.status == control.Timeout {
-				read, more := r.flushed(next, control.OK, c.total)
+				read, more := r.answerCount(next, control.OK, c.total)
 				if read.Amount != 0 || read.Name != first.Name {
 					t.Fatalf("want a bare read of the same name first, got %+v", read)
 				}
-				r.served(0, 0, 5) // one more unit, so that a call is due in any case
-				next = append(more, r.wait(1.2)...)
+				r.requestAnswered(0, 0, 5) // one more unit, so that a call is due in any case
+				next = append(more, r.advance(1.2)...)
 				want := 1.0
 				if c.readd {
 					want = 2
 				}
-				if got, _ := r.flushed(next, control.OK, 2); got.Amount != want {
+				if got, _ := r.answerCount(next, control.OK, 2); got.Amount != want {
 					t.Errorf("then added %v, want %v", got.Amount, want)
 				}
 				return
 			}
-			if again, _ := r.flushed(next, control.OK, 1); again.Amount != 1 {
+			if again, _ := r.answerCount(next, control.OK, 1); again.Amount != 1 {
 				t.Errorf("then added %v, want 1", again.Amount)
 			}
 		})
@@ -219,13 +219,13 @@
 }
 
 // counterFor answers calls like a working counter for a while.
-func (r *rig) counterFor(seconds float64, totals map[uint64]float64, acts []control.Action) {
-	for end := r.now + seconds; r.now < end; acts = append(acts, r.wait(0.02)...) {
-		calls := pick[control.Count](acts)
+func (r *harness) runCounter(seconds float64, totals map[uint64]float64, acts []control.Action) {
+	for end := r.now + seconds; r.now < end; acts = append(acts, r.advance(0.02)...) {
+		calls := filter[control.Count](acts)
 		acts = nil
 		for _, c := range calls {
 			totals[c.Name] += c.Amount
-			acts = append(acts, r.do(control.Counted{Name: c.Name, Total: totals[c.Name], Elapsed: 0.002})...)
+			acts = append(acts, r.handle(control.Counted{Name: c.Name, Total: totals[c.Name], Elapsed: 0.002})...)
 		}
 	}
 }
@@ -233,14 +233,14 @@
 func TestEmptiedCounterIsPostedAgain(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate = 0.2 // a window of 40 s
-	r := newRig(t, s, warm("a", "b")...)
+	r := newHarness(t, s, readyMembers("a", "b")...)
 	totals := map[uint64]float64{}
 	for range 3 {
-		r.counterFor(2, totals, r.served(0, 0, 5))
+		r.runCounter(2, totals, r.requestAnswered(0, 0, 5))
 	}
 	clear(totals)
-	acts := r.served(0, 0, 5)
-	r.counterFor(4, totals, acts)
+	acts := r.requestAnswered(0, 0, 5)
+	r.runCounter(4, totals, acts)
 	sum := 0.0
 	for _, v := range totals {
 		sum += v
@@ -256,24 +256,24 @@
 	for _, gateways := range []int{2, 10, 100, 500} {
 		set := settings()
 		set.Gateways = gateways
-		r := newRig(t, set, warm("a", "b", "c")...)
+		r := newHarness(t, set, readyMembers("a", "b", "c")...)
 		calls := 0
 		for i := range 1000 {
-			r.id++
-			acts := r.do(control.Request{
-				ID: r.id, Plan: 0, Customer: uint64(i % 50), TimeLeft: 3, Units: 1, Spread: gateways,
+			r.lastID++
+			acts := r.handle(control.Request{
+				ID: r.lastID, Plan: 0, Customer: uint64(i % 50), TimeLeft: 3, Units: 1, Spread: gateways,
 			})
-			acts = append(acts, r.wait(0.1)...)
-			for _, s := range pick[control.Send](acts) {
-				acts = append(acts, r.end(s, 0, control.OK)...)
+			acts = append(acts, r.advance(0.1)...)
+			for _, s := range filter[control.Send](acts) {
+				acts = append(acts, r.endAttempt(s, 0, control.OK)...)
 			}
 			for len(acts) > 0 {
 				var more []control.Action
-				for _, c := range pick[control.Count](acts) {
+				for _, c := range filter[control.Count](acts) {
 					if i >= 200 {
 						calls++
 					}
-					more = append(more, r.do(control.Counted{Name: c.Name, Status: control.Full, Elapsed: 0.001})...)
+					more = append(more, r.handle(control.Counted{Name: c.Name, Status: control.Full, Elapsed: 0.001})...)
 				}
 				acts = more
 			}
@@ -285,13 +285,13 @@
 }
 
 func TestCeilingHoldsWithoutACounter(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b", "c", "d", "e", "f")...)
+	r := newHarness(t, settings(), readyMembers("a", "b", "c", "d", "e", "f")...)
 	sent := 0
 	for range 500 { // 5 s
-		id, acts := r.ask(0, 1, 9)
-		for _, s := range pick[control.Send](acts) {
+		id, acts := r.request(0, 1, 9)
+		for _, s := range filter[control.Send](acts) {
 			sent++
-			r.do(control.Outcome{ID: id, Server: s.Server, Status: control.OK, Closed: true})
+			r.handle(control.Outcome{ID: id, Server: s.Server, Status: control.OK, Closed: true})
 		}
 		r.now += 0.01
 	}
@@ -303,11 +303,11 @@
 }
 
 func TestOpenLimitIsSplit(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b", "c", "d", "e", "f")...)
+	r := newHarness(t, settings(), readyMembers("a", "b", "c", "d", "e", "f")...)
 	sent := 0
 	for range 6 {
-		_, acts := r.ask(0, 2, 9)
-		sent += len(pick[control.Send](acts))
+		_, acts := r.request(0, 2, 9)
+		sent += len(filter[control.Send](acts))
 	}
 	if sent != 2 {
 		t.Errorf("%d out at once, want half of 4", sent)
@@ -326,21 +326,21 @@
 		s.Plans[0] = control.Plan{Rate: 20, Burst: 60, Open: 6, Worth: 1, OverCost: 1}
 		s.Classes[0].Aim, s.Classes[0].Deadline = c.aim, 20
 		var servers []control.Member
-		for _, name := range named(9) {
+		for _, name := range serverNames(9) {
 			servers = append(servers, control.Member{Server: name})
 		}
-		r := newRig(t, s, servers...)
+		r := newHarness(t, s, servers...)
 		totals := map[uint64]float64{}
 		for range 40 { // 4 s
 			var acts []control.Action
-			acts = append(acts, r.served(0, 0, 5)...)
-			for end := r.now + 0.1; r.now < end; acts = r.wait(0.02) {
-				for _, call := range pick[control.Count](acts) {
+			acts = append(acts, r.requestAnswered(0, 0, 5)...)
+			for end := r.now + 0.1; r.now < end; acts = r.advance(0.02) {
+				for _, call := range filter[control.Count](acts) {
 					if _, known := totals[call.Name]; !known {
 						totals[call.Name] = 0
 					}
 					totals[call.Name] += call.Amount
-					r.do(control.Counted{Name: call.Name, Total: totals[call.Name], Elapsed: 0.002})
+					r.handle(control.Counted{Name: call.Name, Total: totals[call.Name], Elapsed: 0.002})
 				}
 			}
 			for name := range totals {
@@ -349,8 +349,8 @@
 		}
 		sent := 0
 		for range 6 {
-			_, acts := r.ask(0, 0, 5)
-			sent += len(pick[control.Send](acts))
+			_, acts := r.request(0, 0, 5)
+			sent += len(filter[control.Send](acts))
 		}
 		if sent < c.least || sent > c.most {
 			t.Errorf("aim %v s: %d of 6 at once are sent on, want %d to %d", c.aim, sent, c.least, c.most)
@@ -361,15 +361,15 @@
 // A server that a whole list does not name is gone: it is not kept for ever, and one that comes later under the
 // same id is new.
 func TestServersNotOnAWholeListAreForgotten(t *testing.T) {
-	r := newRig(t, settings(), control.Member{Server: "old"})
+	r := newHarness(t, settings(), control.Member{Server: "old"})
 	for i := range 100 {
-		r.do(control.Members{Kind: control.Snapshot, Version: int64(i), Entries: []control.Member{{Server: fmt.Sprint("s", i)}}})
+		r.handle(control.Members{Kind: control.Snapshot, Version: int64(i), Entries: []control.Member{{Server: fmt.Sprint("s", i)}}})
 	}
-	if n := r.g.Servers(); n != 1 {
+	if n := r.g.ServerCount(); n != 1 {
 		t.Errorf("%d servers are remembered, want 1", n)
 	}
-	_, acts := r.ask(0, 0, 5)
-	if sent := pick[control.Send](acts); len(sent) != 1 || sent[0].Server != "s99" {
+	_, acts := r.request(0, 0, 5)
+	if sent := filter[control.Send](acts); len(sent) != 1 || sent[0].Server != "s99" {
 		t.Errorf("sent %v", sent)
 	}
 }
@@ -387,11 +387,11 @@
 		{keyed, control.Reset, true}, {keyedAll, control.Reset, true},
 		{safe, control.NotSent, false},
 	} {
-		r := newRig(t, settings(), warm("a", "b", "c", "d")...)
-		_, acts := r.ask(c.class, 0, 5)
-		first := pick[control.Send](acts)[0]
-		acts = r.end(first, 0, c.status)
-		again := pick[control.Send](acts)
+		r := newHarness(t, settings(), readyMembers("a", "b", "c", "d")...)
+		_, acts := r.request(c.class, 0, 5)
+		first := filter[control.Send](acts)[0]
+		acts = r.endAttempt(first, 0, c.status)
+		again := filter[control.Send](acts)
 		if (len(again) == 1) != c.again {
 			t.Errorf("class %d after status %d: sent again %v, want %v", c.class, c.status, again, c.again)
 		}
@@ -399,31 +399,31 @@
 		if c.class == keyed && len(again) == 1 && zone[again[0].Server] != zone[first.Server] {
 			t.Errorf("a keyed request left its group: %s, then %s", first.Server, again[0].Server)
 		}
-		if c.class == unsafe && !c.again && len(pick[control.Fail](acts)) != 1 {
+		if c.class == unsafe && !c.again && len(filter[control.Fail](acts)) != 1 {
 			t.Errorf("an unsafe request that may have run: want a failure, got %v", acts)
 		}
 	}
 }
 
 func TestKeyedIsNotSentAgainAfterItsWindow(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b", "c", "d")...)
-	_, acts := r.ask(1, 0, 5)
-	first := pick[control.Send](acts)[0]
+	r := newHarness(t, settings(), readyMembers("a", "b", "c", "d")...)
+	_, acts := r.request(1, 0, 5)
+	first := filter[control.Send](acts)[0]
 	r.now += 2.1
-	if acts = r.end(first, 0, control.Reset); len(pick[control.Fail](acts)) != 1 {
+	if acts = r.endAttempt(first, 0, control.Reset); len(filter[control.Fail](acts)) != 1 {
 		t.Errorf("want a failure after the window, got %v", acts)
 	}
 }
 
 func TestAttemptsAreCapped(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b", "c", "d")...)
-	_, acts := r.ask(0, 0, 5)
+	r := newHarness(t, settings(), readyMembers("a", "b", "c", "d")...)
+	_, acts := r.request(0, 0, 5)
 	n := 0
-	for sends := pick[control.Send](acts); len(sends) == 1; sends = pick[control.Send](acts) {
-		acts = r.end(sends[0], n, control.ConnectFailed)
+	for sends := filter[control.Send](acts); len(sends) == 1; sends = filter[control.Send](acts) {
+		acts = r.endAttempt(sends[0], n, control.ConnectFailed)
 		n++
 	}
-	if n != 3 || len(pick[control.Refuse](acts)) != 1 {
+	if n != 3 || len(filter[control.Refuse](acts)) != 1 {
 		t.Errorf("%d attempts and then %v, want 3 and a refusal", n, acts)
 	}
 }
@@ -432,13 +432,13 @@
 	for _, ev := range []control.Members{
 		{Kind: control.Delta, Entries: []control.Member{{Server: "a", State: control.Draining}}},
 		{Kind: control.Delta, Entries: []control.Member{{Server: "a", State: control.Removed}}},
-		{Kind: control.Snapshot, Entries: warm("b")},
+		{Kind: control.Snapshot, Entries: readyMembers("b")},
 	} {
-		r := newRig(t, settings(), warm("a", "b")...)
-		r.do(ev)
+		r := newHarness(t, settings(), readyMembers("a", "b")...)
+		r.handle(ev)
 		for i := range 20 {
-			_, acts := r.ask(0, 0, uint64(i))
-			for _, s := range pick[control.Send](acts) {
+			_, acts := r.request(0, 0, uint64(i))
+			for _, s := range filter[control.Send](acts) {
 				if s.Server == "a" {
 					t.Fatalf("sent to a server that was taken off by %+v", ev)
 				}
@@ -454,35 +454,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, g: g, now: 10}
-	if n := len(pick[control.Watch](r.do(control.Members{Kind: control.Cached, Entries: warm("a")}))); n != 1 {
+	r := &harness{t: t, g: g, now: 10}
+	if n := len(filter[control.Watch](r.handle(control.Members{Kind: control.Cached, Entries: readyMembers("a")}))); n != 1 {
 		t.Fatalf("%d subscriptions at the start, want 1", n)
 	}
-	r.do(control.Members{Kind: control.Failed})
-	if n := len(pick[control.Watch](r.wait(3))); n != 1 {
+	r.handle(control.Members{Kind: control.Failed})
+	if n := len(filter[control.Watch](r.advance(3))); n != 1 {
 		t.Errorf("%d subscriptions after a failure, want 1", n)
 	}
 }
 
 func TestColdServerGetsLittle(t *testing.T) {
-	members := warm("a", "b", "c")
-	r := newRig(t, settings(), members...)
+	members := readyMembers("a", "b", "c")
+	r := newHarness(t, settings(), members...)
 	counts := map[string]int{}
 	run := func(n int) {
 		clear(counts)
 		for i := range n {
-			_, acts := r.ask(0, 0, uint64(i))
-			for _, s := range pick[control.Send](acts) {
+			_, acts := r.request(0, 0, uint64(i))
+			for _, s := range filter[control.Send](acts) {
 				counts[s.Server]++
 				r.now += 0.02
-				r.end(s, 0, control.OK)
+				r.endAttempt(s, 0, control.OK)
 			}
 		}
 	}
 	run(200)
 	cold := members[0]
 	cold.Since = r.now
-	r.do(control.Members{Kind: control.Delta, Entries: []control.Member{cold}})
+	r.handle(control.Members{Kind: control.Delta, Entries: []control.Member{cold}})
 	run(100) // 2 s after its start it has at least 0.2 to 0.36 of its capacity
 	if n := counts["a"]; n == 0 || n > 100/3/2 {
 		t.Errorf("a cold server got %d of 100, want some and well under a third", n)
@@ -492,12 +492,12 @@
 // Danger: quick errors must not attract traffic; nor may a dead server.
 func TestFailingServersAreLeftAloneAndTriedAgain(t *testing.T) {
 	for _, st := range []control.Status{control.Error, control.ConnectFailed, control.Reset} {
-		r := newRig(t, settings(), warm("a", "b", "c")...)
+		r := newHarness(t, settings(), readyMembers("a", "b", "c")...)
 		bad, last := 0, 0
 		for i := range 1000 {
-			_, acts := r.ask(0, 0, uint64(i))
-			for n := 0; len(pick[control.Send](acts)) > 0; n++ {
-				s := pick[control.Send](acts)[0]
+			_, acts := r.request(0, 0, uint64(i))
+			for n := 0; len(filter[control.Send](acts)) > 0; n++ {
+				s := filter[control.Send](acts)[0]
 				end := control.OK
 				if s.Server == "a" && i < 400 {
 					bad++
@@ -507,7 +507,7 @@
 					last++
 				}
 				r.now += 0.01
-				acts = r.end(s, n, end)
+				acts = r.endAttempt(s, n, end)
 			}
 			r.now += 0.02
 		}
@@ -521,33 +521,33 @@
 }
 
 func TestNeverAllServersOut(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b")...)
+	r := newHarness(t, settings(), readyMembers("a", "b")...)
 	for i := range 40 {
-		_, acts := r.ask(0, 0, uint64(i))
-		for n := 0; len(pick[control.Send](acts)) > 0; n++ {
-			acts = r.end(pick[control.Send](acts)[0], n, control.Error)
+		_, acts := r.request(0, 0, uint64(i))
+		for n := 0; len(filter[control.Send](acts)) > 0; n++ {
+			acts = r.endAttempt(filter[control.Send](acts)[0], n, control.Error)
 		}
 		r.now += 0.01
 	}
-	if _, acts := r.ask(0, 0, 99); len(pick[control.Send](acts)) != 1 {
+	if _, acts := r.request(0, 0, 99); len(filter[control.Send](acts)) != 1 {
 		t.Errorf("with all servers failing none was tried: %v", acts)
 	}
 }
 
 func TestFloodOfCustomersSeenOnceIsForgotten(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b", "c")...)
+	r := newHarness(t, settings(), readyMembers("a", "b", "c")...)
 	calls := 0
 	for i := range 5000 {
-		_, acts := r.ask(0, 0, uint64(1000+i))
-		for _, s := range pick[control.Send](acts) {
-			acts = append(acts, r.end(s, 0, control.OK)...)
+		_, acts := r.request(0, 0, uint64(1000+i))
+		for _, s := range filter[control.Send](acts) {
+			acts = append(acts, r.endAttempt(s, 0, control.OK)...)
 		}
-		for _, c := range pick[control.Count](append(acts, r.wait(0.02)...)) {
+		for _, c := range filter[control.Count](append(acts, r.advance(0.02)...)) {
 			calls++
-			r.do(control.Counted{Name: c.Name, Status: control.OK, Total: c.Amount, Elapsed: 0.001})
+			r.handle(control.Counted{Name: c.Name, Status: control.OK, Total: c.Amount, Elapsed: 0.001})
 		}
 	}
-	if held := r.g.Held(); held > 2000 {
+	if held := r.g.CustomerCount(); held > 2000 {
 		t.Errorf("%d customers held after a flood", held)
 	}
 	if calls > 10000 {
@@ -558,25 +558,25 @@
 // TestRandomDays feeds legal events in random order and checks the rules.
 func TestRandomDays(t *testing.T) {
 	for seed := range uint64(30) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomDay(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomEvents(t, seed) })
 	}
 }
 
 func FuzzDays(f *testing.F) {
 	f.Add(uint64(1))
-	f.Fuzz(randomDay)
+	f.Fuzz(runRandomEvents)
 }
 
-type held struct {
+type trackedRequest struct {
 	class    int
 	deadline float64
 	sends    []control.Send
 	sentAt   []float64
-	done     []control.Status // -1: out
+	statuses []control.Status // -1: out
 	final    bool
 }
 
-func randomDay(t *testing.T, seed uint64) {
+func runRandomEvents(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := settings()
 	s.Limits.SecondCopies = seed%3 == 0
@@ -588,9 +588,9 @@
 	}
 	twin, _ := control.New(s, seed)
 	now := 50.0
-	members := warm("a", "b", "c", "d", "e")
+	members := readyMembers("a", "b", "c", "d", "e")
 	up := map[string]bool{"a": true, "b": true, "c": true, "d": true, "e": true}
-	open := map[uint64]*held{}
+	requests := map[uint64]*trackedRequest{}
 	var order []uint64
 	var counts []control.Count
 	handle := func(ev control.Event) {
@@ -601,26 +601,26 @@
 		for _, a := range acts {
 			switch a := a.(type) {
 			case control.Send:
-				h := open[a.ID]
-				if h == nil || h.final {
+				req := requests[a.ID]
+				if req == nil || req.final {
 					t.Fatalf("sent for a request that is closed: %+v", a)
 				}
 				if !up[a.Server] {
 					t.Fatalf("sent to %s, which is not up", a.Server)
 				}
-				checkRepeat(t, s, h, a, now)
-				h.sends, h.sentAt, h.done = append(h.sends, a), append(h.sentAt, now), append(h.done, -1)
+				checkRepeat(t, s, req, a, now)
+				req.sends, req.sentAt, req.statuses = append(req.sends, a), append(req.sentAt, now), append(req.statuses, -1)
 			case control.Refuse:
-				checkFinal(t, open, a.ID)
-				for i, st := range open[a.ID].done {
-					class := s.Classes[open[a.ID].class]
+				checkFinal(t, requests, a.ID)
+				for i, st := range requests[a.ID].statuses {
+					class := s.Classes[requests[a.ID].class]
 					free := class.Repeat == control.Safe || class.Repeat == control.Keyed && class.Group == control.GroupAll
-					if !free && mayRan(st) {
+					if !free && mayHaveRun(st) {
 						t.Fatalf("refused although attempt %d may have run", i)
 					}
 				}
 			case control.Fail:
-				checkFinal(t, open, a.ID)
+				checkFinal(t, requests, a.ID)
 			case control.Count:
 				counts = append(counts, a)
 			case control.Cancel:
@@ -636,14 +636,14 @@
 		switch k := rng.IntN(10); {
 		case k < 4:
 			id := uint64(step + 1)
-			open[id] = &held{class: rng.IntN(4), deadline: now + 3}
+			requests[id] = &trackedRequest{class: rng.IntN(4), deadline: now + 3}
 			order = append(order, id)
-			handle(control.Request{ID: id, Class: open[id].class, Plan: rng.IntN(3), Customer: rng.Uint64N(9),
+			handle(control.Request{ID: id, Class: requests[id].class, Plan: rng.IntN(3), Customer: rng.Uint64N(9),
 				TimeLeft: 3, Units: 1, Spread: 2})
 		case k < 7 && len(order) > 0:
 			id := order[rng.IntN(len(order))]
-			h := open[id]
-			for i, st := range h.done {
+			req := requests[id]
+			for i, st := range req.statuses {
 				if st >= 0 {
 					continue
 				}
@@ -651,10 +651,10 @@
 				if rng.IntN(2) == 0 {
 					st = control.OK
 				}
-				h.done[i] = st
-				h.final = h.final || st == control.OK
-				handle(control.Outcome{ID: id, Server: h.sends[i].Server, Attempt: i, Status: st, Closed: h.final,
-					Elapsed: now - h.sentAt[i]})
+				req.statuses[i] = st
+				req.final = req.final || st == control.OK
+				handle(control.Outcome{ID: id, Server: req.sends[i].Server, Attempt: i, Status: st, Closed: req.final,
+					Elapsed: now - req.sentAt[i]})
 				break
 			}
 		case k == 7 && len(counts) > 0:
@@ -670,7 +670,7 @@
 			handle(control.Members{Kind: control.Delta, Entries: []control.Member{m}})
 		case k == 9 && len(order) > 0 && rng.IntN(5) == 0:
 			id := order[rng.IntN(len(order))]
-			open[id].final = true
+			requests[id].final = true
 			handle(control.ClientGone{ID: id})
 		default:
 			handle(control.Timer{Token: uint64(rng.IntN(3))})
@@ -686,59 +686,59 @@
 		handle(control.Counted{Name: c.Name, Status: control.Timeout, Elapsed: 0.03})
 	}
 	for _, id := range order { // whatever is out ends at the deadline
-		for i, st := range open[id].done {
-			if h := open[id]; st < 0 {
-				h.done[i] = control.Timeout
-				now = max(now, h.deadline)
-				handle(control.Outcome{ID: id, Server: h.sends[i].Server, Attempt: i, Status: control.Timeout,
-					Closed: h.final, Elapsed: now - h.sentAt[i]})
+		for i, st := range requests[id].statuses {
+			if req := requests[id]; st < 0 {
+				req.statuses[i] = control.Timeout
+				now = max(now, req.deadline)
+				handle(control.Outcome{ID: id, Server: req.sends[i].Server, Attempt: i, Status: control.Timeout,
+					Closed: req.final, Elapsed: now - req.sentAt[i]})
 			}
 		}
 	}
 	for _, id := range order {
-		h := open[id]
-		if out := len(h.done) > 0 && h.done[len(h.done)-1] < 0; !h.final && !out {
+		req := requests[id]
+		if out := len(req.statuses) > 0 && req.statuses[len(req.statuses)-1] < 0; !req.final && !out {
 			t.Fatalf("request %d has no final answer and nothing out", id)
 		}
 	}
 }
 
-func mayRan(st control.Status) bool {
+func mayHaveRun(st control.Status) bool {
 	return st != control.Full && st != control.ConnectFailed && st != control.NotSent
 }
 
-func checkFinal(t *testing.T, open map[uint64]*held, id uint64) {
+func checkFinal(t *testing.T, open map[uint64]*trackedRequest, id uint64) {
 	t.Helper()
-	h := open[id]
-	if h == nil || h.final {
+	req := open[id]
+	if req == nil || req.final {
 		t.Fatalf("a final answer for request %d, which is closed", id)
 	}
-	h.final = true
+	req.final = true
 }
 
 // checkRepeat holds an attempt against the rule of repeats.
-func checkRepeat(t *testing.T, s control.Settings, h *held, a control.Send, now float64) {
+func checkRepeat(t *testing.T, s control.Settings, req *trackedRequest, a control.Send, now float64) {
 	t.Helper()
 	zone := map[string]int{"a": 0, "b": 1, "c": 0, "d": 1, "e": 0}
-	class := s.Classes[h.class]
-	if len(h.sends) >= s.Limits.MaxAttempts {
-		t.Fatalf("attempt %d of %d", len(h.sends)+1, s.Limits.MaxAttempts)
+	class := s.Classes[req.class]
+	if len(req.sends) >= s.Limits.MaxAttempts {
+		t.Fatalf("attempt %d of %d", len(req.sends)+1, s.Limits.MaxAttempts)
 	}
-	for i, st := range h.done {
+	for i, st := range req.statuses {
 		if st < 0 && !(s.Limits.SecondCopies && class.Repeat == control.Safe) {
 			t.Fatal("two attempts out at once")
 		}
-		if !mayRan(st) {
+		if !mayHaveRun(st) {
 			continue
 		}
 		switch class.Repeat {
 		case control.Unsafe:
 			t.Fatalf("an unsafe request was sent again after status %d", st)
 		case control.Keyed:
-			if now >= h.sentAt[i]+class.Window {
+			if now >= req.sentAt[i]+class.Window {
 				t.Fatal("a keyed request was sent again after its window")
 			}
-			if class.Group == control.GroupZone && zone[a.Server] != zone[h.sends[i].Server] {
+			if class.Group == control.GroupZone && zone[a.Server] != zone[req.sends[i].Server] {
 				t.Fatal("a keyed request left its group")
 			}
 		}
--- a/control/floors_test.go
+++ b/control/floors_test.go
@@ -22,12 +22,12 @@
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
 			w := &workload{settings: set, shares: []float64{0.7, 0.25, 0.05}, work: []float64{0.12, 0.16, 0.2},
 				plans: []float64{0.95, 0.05}, servers: 10, cores: 3, queue: 60, load: load, seconds: 60}
-			best, got := bestSeen(w, 3), play(w, &gateways{seed: 5}, 3)
-			check := func(name string, got, best earning, part float64) {
+			best, got := bestShortestQueue(w, 3), simulate(w, &gatewayFleet{seed: 5}, 3)
+			check := func(name string, got, best requestStats, part float64) {
 				t.Helper()
-				t.Logf("load %v, %s: %.2f, a seeing dispatcher %.2f", load, name, got.share(), best.share())
-				if got.share() < part*best.share() {
-					t.Errorf("%s: %.2f is under %.2f of %.2f", name, got.share(), part, best.share())
+				t.Logf("load %v, %s: %.2f, a seeing dispatcher %.2f", load, name, got.earnedShare(), best.earnedShare())
+				if got.earnedShare() < part*best.earnedShare() {
+					t.Errorf("%s: %.2f is under %.2f of %.2f", name, got.earnedShare(), part, best.earnedShare())
 				}
 			}
 			for class, name := range []string{"the usual class", "unsafe class", "class of a twentieth"} {
--- a/control/idle_test.go
+++ b/control/idle_test.go
@@ -12,17 +12,17 @@
 	const begins, ends, over = 10.0, 18.0, 40.0 // s
 	answers := func(after float64, status control.Status) func(*fleet) {
 		return func(f *fleet) {
-			f.takes = func(string) (float64, control.Status) { return after, status }
+			f.answer = func(string) (float64, control.Status) { return after, status }
 		}
 	}
 	list := func(member control.Member) func(*fleet) {
 		return func(f *fleet) {
 			var entries []control.Member
-			for _, name := range named(12) {
+			for _, name := range serverNames(12) {
 				member.Server = name
 				entries = append(entries, member)
 			}
-			f.take(f.do(control.Members{Kind: control.Delta, Entries: entries}))
+			f.perform(f.handle(control.Members{Kind: control.Delta, Entries: entries}))
 		}
 	}
 	for name, begin := range map[string]func(*fleet){
@@ -32,30 +32,30 @@
 		"no connections":        answers(0.25, control.ConnectFailed),
 		"connections reset":     answers(0.01, control.Reset),
 		"errors":                answers(0.01, control.Error),
-		"full":                  func(f *fleet) { f.full = func(string, int) bool { return true } },
+		"full":                  func(f *fleet) { f.rejects = func(string, int) bool { return true } },
 		"all servers restarted": list(control.Member{Since: 1000 + begins}),
 		"full for a moment": func(f *fleet) {
-			f.full = func(string, int) bool { return f.now < 1000+begins+1 }
+			f.rejects = func(string, int) bool { return f.now < 1000+begins+1 }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings()
 			s.Gateways = 30
-			f := newFleet(t, s, named(12)...)
+			f := newFleet(t, s, serverNames(12)...)
 			asked, since, longest := 0, f.now, 0.0
 			for i := 0; f.now < 1000+over; i++ {
 				switch at := f.now - 1000; {
 				case at >= begins && at < begins+0.05:
 					begin(f)
 				case at >= ends && at < ends+0.05:
-					f.takes = func(string) (float64, control.Status) { return 0.1, control.OK }
-					f.full = func(string, int) bool { return false }
+					f.answer = func(string) (float64, control.Status) { return 0.1, control.OK }
+					f.rejects = func(string, int) bool { return false }
 				}
 				asked++
-				before := f.allSent()
+				before := f.totalSent()
 				f.offer(i%3, 0, uint64(i))
 				f.step(0.1)
-				if f.allSent() > before {
+				if f.totalSent() > before {
 					asked, since = 0, f.now
 				} else if asked >= 15 {
 					longest = max(longest, f.now-since)
--- a/control/look_test.go
+++ b/control/look_test.go
@@ -8,36 +8,36 @@
 )
 
 // thin is a gateway of many: its part of a customer's quota holds no try by itself.
-func thin(t *testing.T, timeout control.Seconds) *rig {
+func newSmallShareHarness(t *testing.T, timeout control.Seconds) *harness {
 	s := settings()
 	s.Gateways, s.Counter.Timeout = 100, timeout
 	s.Plans[0] = control.Plan{Rate: 2, Burst: 3, Worth: 1, OverCost: 1}
-	return newRig(t, s, warm("a", "b", "c")...)
+	return newHarness(t, s, readyMembers("a", "b", "c")...)
 }
 
 // waits brings in a request that is to wait for the counter, and returns its number and the calls made for it.
-func (r *rig) waits(customer uint64) (uint64, []control.Count) {
+func (r *harness) requestHeld(customer uint64) (uint64, []control.Count) {
 	r.t.Helper()
-	r.id++
-	acts := r.do(control.Request{ID: r.id, Customer: customer, TimeLeft: 3, Units: 1, Spread: 4})
-	if len(pick[control.Send](acts))+len(pick[control.Refuse](acts)) > 0 {
+	r.lastID++
+	acts := r.handle(control.Request{ID: r.lastID, Customer: customer, TimeLeft: 3, Units: 1, Spread: 4})
+	if len(filter[control.Send](acts))+len(filter[control.Refuse](acts)) > 0 {
 		r.t.Fatalf("decided before the counter was heard: %v", acts)
 	}
-	return r.id, pick[control.Count](acts)
+	return r.lastID, filter[control.Count](acts)
 }
 
 // told answers a call, and the read of the previous window that may follow: that window was empty.
-func (r *rig) told(call control.Count, st control.Status, total float64) []control.Action {
-	acts := r.do(control.Counted{Name: call.Name, Status: st, Total: total, Elapsed: 0.002})
-	if reads := pick[control.Count](acts); len(reads) == 1 && reads[0].Amount == 0 && reads[0].Name != call.Name {
-		acts = append(acts, r.do(control.Counted{Name: reads[0].Name, Status: control.OK, Elapsed: 0.002})...)
+func (r *harness) answerLookup(call control.Count, st control.Status, total float64) []control.Action {
+	acts := r.handle(control.Counted{Name: call.Name, Status: st, Total: total, Elapsed: 0.002})
+	if reads := filter[control.Count](acts); len(reads) == 1 && reads[0].Amount == 0 && reads[0].Name != call.Name {
+		acts = append(acts, r.handle(control.Counted{Name: reads[0].Name, Status: control.OK, Elapsed: 0.002})...)
 	}
 	return acts
 }
 
 // totalThatLeaves is the total of the window of thin's customers that leaves some units in a store that was full as
 // the window began.
-func (r *rig) totalThatLeaves(units float64) float64 {
+func (r *harness) totalLeaving(units float64) float64 {
 	const rate, burst, window = 2, 3, 3
 	return burst + rate*math.Mod(r.now, window) - units
 }
@@ -55,13 +55,13 @@
 		{"turned away", control.Full, 0, true}, {"silent", control.Timeout, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := thin(t, 0.05)
-			id, calls := r.waits(7)
+			r := newSmallShareHarness(t, 0.05)
+			id, calls := r.requestHeld(7)
 			if len(calls) != 1 || calls[0].Amount != 0 {
 				t.Fatalf("asked for a try that is not let in yet: %v", calls)
 			}
-			acts := r.told(calls[0], c.status, c.total)
-			sends, refusals := pick[control.Send](acts), pick[control.Refuse](acts)
+			acts := r.answerLookup(calls[0], c.status, c.total)
+			sends, refusals := filter[control.Send](acts), filter[control.Refuse](acts)
 			if c.sent && (len(sends) != 1 || sends[0].ID != id || len(refusals) > 0) {
 				t.Fatalf("not sent on: %v", acts)
 			}
@@ -69,7 +69,7 @@
 				t.Fatalf("not refused: %v", acts)
 			}
 			if c.status != control.OK {
-				if _, acts := r.ask(0, 0, 8); len(pick[control.Send](acts)) != 1 {
+				if _, acts := r.request(0, 0, 8); len(filter[control.Send](acts)) != 1 {
 					t.Errorf("held for a counter in trouble: %v", acts)
 				}
 			}
@@ -80,8 +80,8 @@
 // A counter that settings give more time than clients have is not waited for: the answer would come too late.
 func TestSlowCounterIsNotWaitedFor(t *testing.T) {
 	for timeout, waits := range map[control.Seconds]bool{0.7: true, 1: false} {
-		acts := thin(t, timeout).do(control.Request{ID: 1, Customer: 7, TimeLeft: 3, Units: 1, Spread: 4})
-		if len(pick[control.Send](acts)) == 1 == waits {
+		acts := newSmallShareHarness(t, timeout).handle(control.Request{ID: 1, Customer: 7, TimeLeft: 3, Units: 1, Spread: 4})
+		if len(filter[control.Send](acts)) == 1 == waits {
 			t.Errorf("a client that waits 3 s, a call of up to %v s: %v", timeout, acts)
 		}
 	}
@@ -94,22 +94,22 @@
 		room   float64
 		leaves bool
 	}{{3, false}, {3, true}, {1, false}, {-96, false}} {
-		r := thin(t, 0.05)
-		total := r.totalThatLeaves(c.room)
-		first, calls := r.waits(7)
-		second, more := r.waits(7)
+		r := newSmallShareHarness(t, 0.05)
+		total := r.totalLeaving(c.room)
+		first, calls := r.requestHeld(7)
+		second, more := r.requestHeld(7)
 		if len(calls) != 1 || len(more) > 0 {
 			t.Fatalf("calls %v, and then %v while one is out", calls, more)
 		}
 		ids := []uint64{first, second}
 		if c.leaves {
 			ids = ids[1:]
-			if acts := r.do(control.ClientGone{ID: first}); len(pick[control.Send](acts)) > 0 {
+			if acts := r.handle(control.ClientGone{ID: first}); len(filter[control.Send](acts)) > 0 {
 				t.Errorf("sent on as its client left: %v", acts)
 			}
 		}
-		acts := r.told(calls[0], control.OK, total)
-		sends, refusals := pick[control.Send](acts), pick[control.Refuse](acts)
+		acts := r.answerLookup(calls[0], control.OK, total)
+		sends, refusals := filter[control.Send](acts), filter[control.Refuse](acts)
 		if len(sends)+len(refusals) != len(ids) || len(sends) > max(0, int(c.room)) || c.room == 3 && len(sends) == 0 {
 			t.Fatalf("%+v: %d sent on and %d refused of %d", c, len(sends), len(refusals), len(ids))
 		}
@@ -118,7 +118,7 @@
 				t.Errorf("%+v: %d went before %d", c, s.ID, ids[i])
 			}
 		}
-		if _, acts := r.ask(0, 0, 7); len(pick[control.Send](acts))+len(pick[control.Refuse](acts)) != 1 {
+		if _, acts := r.request(0, 0, 7); len(filter[control.Send](acts))+len(filter[control.Refuse](acts)) != 1 {
 			t.Errorf("%+v: held by a view just taken: %v", c, acts)
 		}
 	}
@@ -138,16 +138,16 @@
 		{"the present window has used all", 20, 0, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := thin(t, 0.05)
-			_, calls := r.waits(7)
-			acts := r.do(control.Counted{Name: calls[0].Name, Total: c.present, Elapsed: 0.002})
-			if reads := pick[control.Count](acts); c.reads {
+			r := newSmallShareHarness(t, 0.05)
+			_, calls := r.requestHeld(7)
+			acts := r.handle(control.Counted{Name: calls[0].Name, Total: c.present, Elapsed: 0.002})
+			if reads := filter[control.Count](acts); c.reads {
 				if len(reads) != 1 || reads[0].Name == calls[0].Name || reads[0].Amount != 0 {
 					t.Fatalf("the previous window is not read: %v", acts)
 				}
-				acts = r.do(control.Counted{Name: reads[0].Name, Total: c.before, Elapsed: 0.002})
+				acts = r.handle(control.Counted{Name: reads[0].Name, Total: c.before, Elapsed: 0.002})
 			}
-			if sends, refusals := pick[control.Send](acts), pick[control.Refuse](acts); len(sends) == 1 != c.sent ||
+			if sends, refusals := filter[control.Send](acts), filter[control.Refuse](acts); len(sends) == 1 != c.sent ||
 				len(refusals) == 1 == c.sent {
 				t.Errorf("sent on %v, refused %v", sends, refusals)
 			}
@@ -160,10 +160,10 @@
 	s := settings()
 	s.Gateways, s.Counter.Timeout = 300, 0.05
 	s.Plans[0] = control.Plan{Rate: 2, Burst: 3, Worth: 1, OverCost: 1}
-	r := newRig(t, s, warm("a", "b", "c")...)
-	r.wait(1)
+	r := newHarness(t, s, readyMembers("a", "b", "c")...)
+	r.advance(1)
 	for customer := range uint64(4) {
-		if _, calls := r.waits(customer + 1); len(calls) != 1 {
+		if _, calls := r.requestHeld(customer + 1); len(calls) != 1 {
 			t.Errorf("customer %d: calls %v", customer+1, calls)
 		}
 		r.now += 0.001
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -13,13 +13,13 @@
 	for _, silent := range []bool{false, true} {
 		f := newFleet(t, s, "a", "b", "c")
 		if silent {
-			f.counts = func() (float64, control.Status) { return 0.05, control.Timeout }
+			f.answerCount = func() (float64, control.Status) { return 0.05, control.Timeout }
 		}
 		told := 0
 		for i := range 200 {
 			f.offer(0, 0, uint64(i%5))
 			f.now += 0.02
-			for _, m := range pick[control.MessagePeer](f.do(control.Timer{})) {
+			for _, m := range filter[control.MessagePeer](f.handle(control.Timer{})) {
 				told++
 				if len(m.Data) > 256 {
 					t.Errorf("a message of %d bytes", len(m.Data))
@@ -35,12 +35,12 @@
 
 // In a silence a customer that others leave alone may use its whole quota
 // here, and one that others use up may not.
-func TestPeersOpenAndCloseTheRoom(t *testing.T) {
+func TestPeerReportsDecideAdmission(t *testing.T) {
 	s := settings()
 	s.Limits.Peers = true
 	sentOn := func(words func(step int) string) int {
 		f := newFleet(t, s, "a", "b", "c", "d")
-		f.counts = func() (float64, control.Status) {
+		f.answerCount = func() (float64, control.Status) {
 			if f.now < 1002 {
 				return 0.002, control.OK // looked up before the silence
 			}
@@ -52,7 +52,7 @@
 				sent++
 			}
 			if i%8 == 0 {
-				f.take(f.do(control.PeerMessage{From: 1, Data: words(i)}))
+				f.perform(f.handle(control.PeerMessage{From: 1, Data: words(i)}))
 			}
 			f.step(0.02)
 		}
@@ -75,17 +75,17 @@
 		s := settings()
 		s.Limits.Peers, s.Limits.PeerIntake, s.Gateways = true, 100, gateways
 		f := newFleet(t, s, "a", "b", "c")
-		f.counts = func() (float64, control.Status) { return 0.05, control.Timeout }
+		f.answerCount = func() (float64, control.Status) { return 0.05, control.Timeout }
 		told, spread := 0, max(2, gateways/4)
 		for i := range 1000 { // 20 s
-			f.id++
-			f.take(f.do(control.Request{
-				ID: f.id, Plan: 0, Customer: uint64(i % 5), TimeLeft: 3, Units: 1, Spread: spread, First: gateways - 1,
+			f.lastID++
+			f.perform(f.handle(control.Request{
+				ID: f.lastID, Plan: 0, Customer: uint64(i % 5), TimeLeft: 3, Units: 1, Spread: spread, First: gateways - 1,
 			}))
 			f.now += 0.02
-			acts := f.do(control.Timer{})
-			f.take(acts)
-			for _, m := range pick[control.MessagePeer](acts) {
+			acts := f.handle(control.Timer{})
+			f.perform(acts)
+			for _, m := range filter[control.MessagePeer](acts) {
 				told++
 				if m.Peer == 0 || m.Peer < 0 || m.Peer != gateways-1 && m.Peer >= spread-1 {
 					t.Fatalf("%d gateways: %d is told, which the customers never come through", gateways, m.Peer)
@@ -100,14 +100,14 @@
 }
 
 // What peers told of a customer counts when it comes here for the first time.
-func TestHearsayCountsAtFirstSight(t *testing.T) {
+func TestPeerReportsCountAtFirstSight(t *testing.T) {
 	s := settings()
 	s.Limits.Peers = true
 	first := func(told string) bool {
-		r := newRig(t, s, warm("a", "b")...)
-		r.do(control.PeerMessage{From: 1, Data: told})
-		_, acts := r.ask(0, 0, 7)
-		return len(pick[control.Send](acts)) > 0
+		r := newHarness(t, s, readyMembers("a", "b")...)
+		r.handle(control.PeerMessage{From: 1, Data: told})
+		_, acts := r.request(0, 0, 7)
+		return len(filter[control.Send](acts)) > 0
 	}
 	if !first("8:3") || first("7:20") {
 		t.Error("want a customer let in whom nobody spoke of, and one refused who has used twice its store")
--- a/control/pools_test.go
+++ b/control/pools_test.go
@@ -6,7 +6,7 @@
 )
 
 // two makes a gateway at site 0 of two, with servers n0, n1 there and f0, f1 at the other.
-func two(t *testing.T, group Group) *Gateway {
+func newTwoSiteGateway(t *testing.T, group Group) *Gateway {
 	t.Helper()
 	g, err := New(Settings{
 		Gateways: 1, Sites: 2, Limits: Limits{MaxAttempts: 3, Cancel: true},
@@ -29,7 +29,7 @@
 }
 
 // target is the first letter of where a request was sent, or what became of it.
-func target(t *testing.T, actions []Action) byte {
+func destination(t *testing.T, actions []Action) byte {
 	t.Helper()
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -49,9 +49,9 @@
 		reach Reach
 		want  byte
 	}{{Reach{}, 'n'}, {Reach{First: 0, Then: 1}, 'n'}, {Reach{First: 1, Then: 1}, 'f'}, {Reach{First: 1, Then: 0}, 'f'}} {
-		g := two(t, GroupAll)
+		g := newTwoSiteGateway(t, GroupAll)
 		for id := range uint64(5) {
-			got := target(t, g.Handle(101, Request{ID: id, TimeLeft: 4, Units: 1, Spread: 1, Reach: c.reach}, nil))
+			got := destination(t, g.Handle(101, Request{ID: id, TimeLeft: 4, Units: 1, Spread: 1, Reach: c.reach}, nil))
 			if got != c.want {
 				t.Fatalf("reach %v: sent to %c, want %c", c.reach, got, c.want)
 			}
@@ -61,12 +61,12 @@
 
 // Where the first site has nobody ready the second serves; where only the first may be used it is a refusal.
 func TestSecondSiteServesForADrainedOne(t *testing.T) {
-	g := two(t, GroupAll)
+	g := newTwoSiteGateway(t, GroupAll)
 	g.Handle(101, Members{Entries: []Member{{Server: "n0", State: Draining}, {Server: "n1", State: Draining}}}, nil)
-	if got := target(t, g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: Reach{First: 0, Then: 1}}, nil)); got != 'f' {
+	if got := destination(t, g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: Reach{First: 0, Then: 1}}, nil)); got != 'f' {
 		t.Errorf("sent to %c, want the far site", got)
 	}
-	if got := target(t, g.Handle(101, Request{ID: 2, TimeLeft: 4, Units: 1}, nil)); got != 'R' {
+	if got := destination(t, g.Handle(101, Request{ID: 2, TimeLeft: 4, Units: 1}, nil)); got != 'R' {
 		t.Errorf("%c, want a refusal", got)
 	}
 }
@@ -78,7 +78,7 @@
 		status Status
 		want   byte
 	}{{GroupAll, Reset, 'f'}, {GroupSite, Reset, 'F'}, {GroupZone, Reset, 'F'}, {GroupSite, ConnectFailed, 'f'}, {GroupSite, Full, 'f'}} {
-		g := two(t, c.group)
+		g := newTwoSiteGateway(t, c.group)
 		sent := g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: Reach{First: 0, Then: 1}}, nil)
 		server := ""
 		for _, a := range sent {
@@ -88,15 +88,15 @@
 		}
 		g.Handle(101, Members{Entries: []Member{{Server: "n0", State: Draining}, {Server: "n1", State: Draining}}}, nil)
 		out := g.Handle(101.1, Outcome{ID: 1, Server: server, Status: c.status, Reach: Reach{First: 0, Then: 1}}, nil)
-		if got := target(t, out); got != c.want {
+		if got := destination(t, out); got != c.want {
 			t.Errorf("group %d, status %d: %c, want %c", c.group, c.status, got, c.want)
 		}
 	}
 }
 
 // Late answers at one site are a crowd there and nowhere else.
-func TestCrowdIsOfOneSite(t *testing.T) {
-	g := two(t, GroupAll)
+func TestOverloadIsPerSite(t *testing.T) {
+	g := newTwoSiteGateway(t, GroupAll)
 	for id := range uint64(60) {
 		for _, a := range g.Handle(101+float64(id), Request{ID: id, TimeLeft: 4, Units: 1}, nil) {
 			if s, ok := a.(Send); ok {
@@ -110,8 +110,8 @@
 }
 
 // What failed while a link was lost is not held against the servers behind it, and was no crowd.
-func TestRestoredLinkIsForgiven(t *testing.T) {
-	g := two(t, GroupAll)
+func TestRestoredLinkClearsFailures(t *testing.T) {
+	g := newTwoSiteGateway(t, GroupAll)
 	far := Reach{First: 1, Then: 1}
 	for id := range uint64(8) {
 		for _, a := range g.Handle(101, Request{ID: id, TimeLeft: 4, Units: 1, Reach: far}, nil) {
@@ -123,7 +123,7 @@
 	g.pools[1].fleetOverload, g.pools[1].inTimeShare = 4, 0
 	g.Handle(103, LinkRestored{Site: 1}, nil)
 	for id := range uint64(2) {
-		if got := target(t, g.Handle(103, Request{ID: 100 + id, TimeLeft: 4, Units: 1, Reach: far}, nil)); got != 'f' {
+		if got := destination(t, g.Handle(103, Request{ID: 100 + id, TimeLeft: 4, Units: 1, Reach: far}, nil)); got != 'f' {
 			t.Errorf("%c, want the far site", got)
 		}
 	}
@@ -131,7 +131,7 @@
 
 // A site that starts anew as a whole is sent work at once, and not more than it can do.
 func TestColdPoolIsSentALittle(t *testing.T) {
-	g := two(t, GroupAll)
+	g := newTwoSiteGateway(t, GroupAll)
 	g.settings.Guarantees = Guarantees{ColdFrom: 0.15, Ramp: 18, FallMultiple: 3, FallAfter: 1.5}
 	list := Members{Kind: Delta}
 	for i := range 2 {
@@ -159,9 +159,9 @@
 
 // A new request beyond the room of its site is refused where nobody helps; a retry is not.
 func TestFullSiteRefusesNewOnes(t *testing.T) {
-	g := two(t, GroupAll)
+	g := newTwoSiteGateway(t, GroupAll)
 	full := Reach{Full: true}
-	if got := target(t, g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: full}, nil)); got != 'R' {
+	if got := destination(t, g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: full}, nil)); got != 'R' {
 		t.Errorf("%c, want a refusal", got)
 	}
 	server := ""
@@ -170,7 +170,7 @@
 			server = s.Server
 		}
 	}
-	if got := target(t, g.Handle(101.1, Outcome{ID: 2, Server: server, Status: Reset, Reach: full}, nil)); got != 'n' {
+	if got := destination(t, g.Handle(101.1, Outcome{ID: 2, Server: server, Status: Reset, Reach: full}, nil)); got != 'n' {
 		t.Errorf("a retry: %c, want the near site", got)
 	}
 }
--- a/control/scale_test.go
+++ b/control/scale_test.go
@@ -29,7 +29,7 @@
 	}
 	now, acts, calls := 1000.0, []control.Action(nil), 0
 	before := heapInUse()
-	g.Handle(now, control.Members{Kind: control.Cached, Entries: warm(named(servers)...)}, nil)
+	g.Handle(now, control.Members{Kind: control.Cached, Entries: readyMembers(serverNames(servers)...)}, nil)
 	due := now
 	request := func(i int) {
 		now += 1.0 / rate
--- a/control/short_aims_test.go
+++ b/control/short_aims_test.go
@@ -39,13 +39,13 @@
 					class.aim, class.lateWorth, class.deadline, steady, load)
 				t.Run(name, func(t *testing.T) {
 					w := &workload{settings: shortAims(class.aim, class.deadline, class.lateWorth),
-						shares: []float64{0.6, 0.4}, work: []float64{0.275, 0.16}, steady: steady,
+						shares: []float64{0.6, 0.4}, work: []float64{0.275, 0.16}, constantWork: steady,
 						servers: 10, cores: 3, queue: 60, load: load, seconds: 30}
-					best, got := bestSeen(w, 3).earned().share(), play(w, &gateways{seed: 5}, 3).earned()
+					best, got := bestShortestQueue(w, 3).total().earnedShare(), simulate(w, &gatewayFleet{seed: 5}, 3).total()
 					t.Logf("earned %.3f, %.2f of what a seeing dispatcher does; refused %d of %d",
-						got.share(), got.share()/best, got.refused, got.requests)
-					if got.share() < class.least*best {
-						t.Errorf("earned %.3f, want %.2f of %.3f", got.share(), class.least, best)
+						got.earnedShare(), got.earnedShare()/best, got.refused, got.requests)
+					if got.earnedShare() < class.least*best {
+						t.Errorf("earned %.3f, want %.2f of %.3f", got.earnedShare(), class.least, best)
 					}
 				})
 			}
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -11,7 +11,7 @@
 // Each test here is a danger that size brings, or a trouble met at size.
 
 // named gives n server names.
-func named(n int) []string {
+func serverNames(n int) []string {
 	names := make([]string, n)
 	for i := range names {
 		names[i] = fmt.Sprint("s", i)
@@ -22,25 +22,25 @@
 // Servers that turn one class away as full, with room for the others.
 func TestFullForOneClassIsRememberedForThatPair(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
-	away := map[int]int{}
-	f.full = func(server string, class int) bool {
+	rejected := map[int]int{}
+	f.rejects = func(server string, class int) bool {
 		if full := class == 0 && (server == "a" || server == "b"); full {
-			away[class]++
+			rejected[class]++
 			return true
 		}
 		return false
 	}
 	served := map[string]int{}
 	for i := range 1000 { // 20 s
-		before := f.sent["a"] + f.sent["b"]
+		before := f.sentTo["a"] + f.sentTo["b"]
 		f.offer(2*(i%2), 0, uint64(i))
-		if i%2 == 1 && f.sent["a"]+f.sent["b"] > before {
+		if i%2 == 1 && f.sentTo["a"]+f.sentTo["b"] > before {
 			served["other class"]++
 		}
 		f.step(0.02)
 	}
-	if away[0] > 50 {
-		t.Errorf("%d of 500 of the class went where it is turned away, want few", away[0])
+	if rejected[0] > 50 {
+		t.Errorf("%d of 500 of the class went where it is turned away, want few", rejected[0])
 	}
 	if served["other class"] < 150 {
 		t.Errorf("%d of 500 of the other class went to those servers, want about half", served["other class"])
@@ -55,7 +55,7 @@
 func TestLostAnswersAreNoRestart(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
 	n := 0
-	f.takes = func(string) (float64, control.Status) {
+	f.answer = func(string) (float64, control.Status) {
 		if n++; n%5 == 0 {
 			return 0.1, control.Reset
 		}
@@ -65,30 +65,30 @@
 		f.offer(0, 0, uint64(i))
 		f.step(0.02)
 	}
-	clear(f.sent)
+	clear(f.sentTo)
 	for i := range 500 {
 		f.offer(0, 0, uint64(1000+i))
 		f.step(0.02)
 	}
 	for _, s := range []string{"a", "b", "c", "d"} {
-		if f.sent[s] < 70 {
-			t.Errorf("%s got %d of 500, as if it were out or cold", s, f.sent[s])
+		if f.sentTo[s] < 70 {
+			t.Errorf("%s got %d of 500, as if it were out or cold", s, f.sentTo[s])
 		}
 	}
 }
 
 // Clients that leave soon say nothing of the servers; those whose time is hardly
 // enough are refused at once.
-func TestShortPatiencePutsNobodyOut(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b", "c", "d")...)
-	answer := func(customer uint64, patience, took float64) bool {
-		r.id++
-		acts := r.do(control.Request{ID: r.id, Customer: customer, TimeLeft: patience, Units: 1, Spread: 2})
-		for _, s := range pick[control.Send](acts) {
+func TestShortDeadlinesEjectNoServer(t *testing.T) {
+	r := newHarness(t, settings(), readyMembers("a", "b", "c", "d")...)
+	answer := func(customer uint64, timeLeft, took float64) bool {
+		r.lastID++
+		acts := r.handle(control.Request{ID: r.lastID, Customer: customer, TimeLeft: timeLeft, Units: 1, Spread: 2})
+		for _, s := range filter[control.Send](acts) {
 			r.now += took
-			r.end(s, 0, control.OK)
+			r.endAttempt(s, 0, control.OK)
 		}
-		return len(pick[control.Send](acts)) > 0
+		return len(filter[control.Send](acts)) > 0
 	}
 	for i := range uint64(200) {
 		answer(1000+i, 3, 0.05) // quick answers, as a rule
@@ -98,16 +98,16 @@
 	}
 	late := 0
 	for i := range 200 {
-		r.id++
-		acts := r.do(control.Request{ID: r.id, Customer: uint64(i), TimeLeft: 0.12, Units: 1, Spread: 2})
-		if len(pick[control.Send](acts)) == 0 {
+		r.lastID++
+		acts := r.handle(control.Request{ID: r.lastID, Customer: uint64(i), TimeLeft: 0.12, Units: 1, Spread: 2})
+		if len(filter[control.Send](acts)) == 0 {
 			late++
 		}
-		for _, s := range pick[control.Send](acts) {
+		for _, s := range filter[control.Send](acts) {
 			r.now += 0.1
-			r.do(control.Outcome{ID: s.ID, Server: s.Server, Status: control.Timeout, Elapsed: 0.1})
+			r.handle(control.Outcome{ID: s.ID, Server: s.Server, Status: control.Timeout, Elapsed: 0.1})
 		}
-		r.wait(0.04)
+		r.advance(0.04)
 	}
 	if late > 0 {
 		t.Errorf("%d of 200 refused after time-outs of a tenth of the aim", late)
@@ -127,20 +127,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, g: g, now: 1000}
-		r.do(control.Members{Kind: control.Cached, Entries: warm(named(80)...)}) // in two zones
+		r := &harness{t: t, g: g, now: 1000}
+		r.handle(control.Members{Kind: control.Cached, Entries: readyMembers(serverNames(80)...)}) // in two zones
 		for i := range 40 {
 			r.now += 0.15
-			_, acts := r.ask(0, 0, uint64(i))
+			_, acts := r.request(0, 0, uint64(i))
 			r.now += 0.1
-			for _, a := range pick[control.Send](acts) {
-				r.end(a, 0, control.OK)
+			for _, a := range filter[control.Send](acts) {
+				r.endAttempt(a, 0, control.OK)
 				sent[a.Server]++
 				all++
 			}
 		}
 	}
-	for i, name := range named(80) {
+	for i, name := range serverNames(80) {
 		if i%2 == 0 {
 			near += sent[name]
 		}
@@ -159,67 +159,67 @@
 	for _, gateways := range []int{80, 200} {
 		s := settings()
 		s.Gateways = gateways
-		var all []*rig
+		var all []*harness
 		for i := range gateways { // all start at once
 			s.Ordinal = i
-			all = append(all, seeded(t, s, uint64(i), warm(named(60)...)...))
+			all = append(all, newSeededHarness(t, s, uint64(i), readyMembers(serverNames(60)...)...))
 		}
-		play := func(when string, servers []string) {
-			at := map[string]int{} // gateways that use a server
+		check := func(when string, servers []string) {
+			usersOf := map[string]int{} // gateways that use a server
 			for i, r := range all {
-				met := map[string]bool{}
+				used := map[string]bool{}
 				for k := range 100 {
 					r.now += 0.1
-					_, acts := r.ask(0, 0, uint64(i*100+k))
+					_, acts := r.request(0, 0, uint64(i*100+k))
 					r.now += 0.2
-					for _, a := range pick[control.Send](acts) {
-						met[a.Server] = true
-						r.end(a, 0, control.OK)
+					for _, a := range filter[control.Send](acts) {
+						used[a.Server] = true
+						r.endAttempt(a, 0, control.OK)
 					}
 				}
-				for server := range met {
-					at[server]++
+				for server := range used {
+					usersOf[server]++
 				}
-				if len(met) < 6 || len(met) > 12 {
-					t.Errorf("%d gateways, %s: gateway %d uses %d servers", gateways, when, i, len(met))
+				if len(used) < 6 || len(used) > 12 {
+					t.Errorf("%d gateways, %s: gateway %d uses %d servers", gateways, when, i, len(used))
 				}
 			}
 			mean := 0.0
-			for _, n := range at {
+			for _, n := range usersOf {
 				mean += float64(n) / float64(len(servers))
 			}
 			for _, server := range servers {
-				if n := float64(at[server]); n < 0.7*mean || n > 1.4*mean {
+				if n := float64(usersOf[server]); n < 0.7*mean || n > 1.4*mean {
 					t.Errorf("%d gateways, %s: %s is used by %.0f gateways, the mean is %.1f", gateways, when, server, n, mean)
 				}
 			}
 		}
-		play("at the start", named(60))
+		check("at the start", serverNames(60))
 		var changes []control.Member
-		servers := named(60)
+		servers := serverNames(60)
 		for i := range 36 { // six in ten are replaced
 			changes = append(changes, control.Member{Server: servers[i], State: control.Removed})
 			servers[i] = fmt.Sprint("new", i)
 			changes = append(changes, control.Member{Server: servers[i]})
 		}
 		for _, r := range all {
-			r.do(control.Members{Kind: control.Delta, Entries: changes})
+			r.handle(control.Members{Kind: control.Delta, Entries: changes})
 		}
-		play("after the change", servers)
+		check("after the change", servers)
 	}
 }
 
 // Silence for a part of the answers, while those that come are quick, is no crowd.
-func TestLostAnswersAreNoCrowd(t *testing.T) {
+func TestLostAnswersAreNoOverload(t *testing.T) {
 	for _, gateways := range []int{2, 100} {
 		refused, played := 0, 0
 		for ordinal := 0; ordinal < gateways; ordinal += max(1, gateways/20) {
 			s := settings()
 			s.Gateways, s.Ordinal = gateways, ordinal
-			f := newFleet(t, s, named(16)...)
-			f.rig = seeded(t, s, uint64(ordinal), warm(named(16)...)...)
+			f := newFleet(t, s, serverNames(16)...)
+			f.harness = newSeededHarness(t, s, uint64(ordinal), readyMembers(serverNames(16)...)...)
 			n := ordinal % 5
-			f.takes = func(string) (float64, control.Status) {
+			f.answer = func(string) (float64, control.Status) {
 				if n++; n%5 == 0 {
 					return 3, control.Timeout
 				}
@@ -254,24 +254,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &rig{t: t, g: g, now: 1000}
-			r.do(control.Members{Kind: control.Cached, Entries: warm(named(10)...)})
+			r := &harness{t: t, g: g, now: 1000}
+			r.handle(control.Members{Kind: control.Cached, Entries: readyMembers(serverNames(10)...)})
 			every := float64(gateways) / 100 // s between requests: 100 a second of all
 			for i := 0; float64(i)*every < 24; i++ {
 				if r.now < 1020 && r.now+every >= 1020 {
-					r.do(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: "s0", Since: 1020}}})
+					r.handle(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: "s0", Since: 1020}}})
 				}
 				r.now += every / 2
-				_, acts := r.ask(0, 0, uint64(i))
+				_, acts := r.request(0, 0, uint64(i))
 				r.now += every / 2
-				for _, a := range pick[control.Send](acts) {
+				for _, a := range filter[control.Send](acts) {
 					if r.now >= 1020 {
 						all++
 						if a.Server == "s0" {
 							cold++
 						}
 					}
-					r.end(a, 0, control.OK)
+					r.endAttempt(a, 0, control.OK)
 				}
 			}
 		}
@@ -287,13 +287,13 @@
 	for _, gateways := range []int{10, 100, 2000} {
 		s := settings()
 		s.Gateways = gateways
-		f := newFleet(t, s, named(100)...)
+		f := newFleet(t, s, serverNames(100)...)
 		for i := range 2000 {
 			f.offer(0, 0, uint64(i))
 			f.step(0.1)
 		}
-		if each := gateways * len(f.sent) / 100; each > 400 || len(f.sent) < 8 {
-			t.Errorf("%d gateways: each uses %d of 100 servers, %d connections at one", gateways, len(f.sent), each)
+		if each := gateways * len(f.sentTo) / 100; each > 400 || len(f.sentTo) < 8 {
+			t.Errorf("%d gateways: each uses %d of 100 servers, %d connections at one", gateways, len(f.sentTo), each)
 		}
 	}
 }
@@ -308,10 +308,10 @@
 			t.Fatal(err)
 		}
 		now, woken := 1000.0, 0
-		acts := g.Handle(now, control.Members{Kind: control.Cached, Entries: warm("a")}, nil)
-		first[pick[control.SetTimer](acts)[0].Delay]++
+		acts := g.Handle(now, control.Members{Kind: control.Cached, Entries: readyMembers("a")}, nil)
+		first[filter[control.SetTimer](acts)[0].Delay]++
 		for now < 1020 {
-			timers := pick[control.SetTimer](acts)
+			timers := filter[control.SetTimer](acts)
 			if len(timers) != 1 {
 				t.Fatalf("%d timers asked for at once, want one", len(timers))
 			}
@@ -339,17 +339,17 @@
 				b.Fatal(err)
 			}
 			now, acts := 1000.0, []control.Action(nil)
-			g.Handle(now, control.Members{Kind: control.Cached, Entries: warm(named(size.servers)...)}, nil)
+			g.Handle(now, control.Members{Kind: control.Cached, Entries: readyMembers(serverNames(size.servers)...)}, nil)
 			b.ReportAllocs()
 			for i := range b.N {
 				now += 0.02
 				acts = g.Handle(now, control.Request{
 					ID: uint64(i), Customer: uint64(i % 1000), TimeLeft: 3, Units: 1, Spread: size.gateways,
 				}, acts[:0])
-				for _, send := range pick[control.Send](acts) {
+				for _, send := range filter[control.Send](acts) {
 					g.Handle(now, control.Outcome{ID: send.ID, Server: send.Server, Status: control.OK, Closed: true}, nil)
 				}
-				for _, c := range pick[control.Count](acts) {
+				for _, c := range filter[control.Count](acts) {
 					g.Handle(now, control.Counted{Name: c.Name, Total: c.Amount, Elapsed: 0.002}, nil)
 				}
 			}
@@ -362,9 +362,9 @@
 func TestBlackHoleIsLeftSoon(t *testing.T) {
 	s := settings()
 	s.Gateways = 100
-	f := newFleet(t, s, named(10)...)
+	f := newFleet(t, s, serverNames(10)...)
 	hole := true
-	f.takes = func(server string) (float64, control.Status) {
+	f.answer = func(server string) (float64, control.Status) {
 		if server == "s0" && hole {
 			return 3, control.Timeout
 		}
@@ -374,16 +374,16 @@
 		f.offer(2, 0, uint64(i))
 		f.step(0.1)
 	}
-	if got := f.sent["s0"]; got == 0 || got > 12 {
+	if got := f.sentTo["s0"]; got == 0 || got > 12 {
 		t.Errorf("a server that never answers got %d of 400, want a few", got)
 	}
 	hole = false
-	clear(f.sent)
+	clear(f.sentTo)
 	for i := range 3000 { // 300 s
 		f.offer(0, 0, uint64(1000+i))
 		f.step(0.1)
 	}
-	if got := f.sent["s0"]; got < 100 {
+	if got := f.sentTo["s0"]; got < 100 {
 		t.Errorf("once it answers again it got %d of 3000, want more", got)
 	}
 }
@@ -391,17 +391,17 @@
 // Servers that work only on what nobody waits for answer nothing, and clients
 // ask three times as often: what is sent on falls within seconds, although no
 // late answer tells of it, and is back within seconds once answers are quick.
-func TestCollapseIsFeltWithoutAnswers(t *testing.T) {
+func TestCollapseIsDetectedWithoutAnswers(t *testing.T) {
 	for _, gateways := range []int{3, 100, 400} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			s := settings()
 			s.Gateways = gateways
-			f := newFleet(t, s, named(40)...)
+			f := newFleet(t, s, serverNames(40)...)
 			after, status := 0.15, control.OK
-			f.takes = func(string) (float64, control.Status) { return after, status }
+			f.answer = func(string) (float64, control.Status) { return after, status }
 			rate := 240 / float64(gateways) // requests a second at this gateway
 			customer := uint64(0)
-			play := func(seconds, rate float64) (share float64) {
+			run := func(seconds, rate float64) (share float64) {
 				asked, sent := 0, 0
 				for end, next := f.now+seconds, f.now; f.now < end; f.step(min(1/rate, 0.05)) {
 					if f.now < next {
@@ -416,17 +416,17 @@
 				}
 				return float64(sent) / float64(asked)
 			}
-			if calm := play(40, rate); calm < 0.9 {
+			if calm := run(40, rate); calm < 0.9 {
 				t.Fatalf("%.2f sent on in calm times", calm)
 			}
 			after, status = 3, control.Timeout
-			play(6, 3*rate)
-			if share := play(10, 3*rate); share > 0.25 {
+			run(6, 3*rate)
+			if share := run(10, 3*rate); share > 0.25 {
 				t.Errorf("%.2f of the requests sent on while nothing is answered", share)
 			}
 			after, status = 0.15, control.OK
-			play(15, rate)
-			if share := play(20, rate); share < 0.6 {
+			run(15, rate)
+			if share := run(20, rate); share < 0.6 {
 				t.Errorf("%.2f sent on long after answers are quick again", share)
 			}
 		})
@@ -435,7 +435,7 @@
 
 // In a crowd, tries that are surely inside their quota go before those that have
 // only a chance of it: what is sent on beyond a quota earns nothing.
-func TestCrowdShedsDoubtfulTriesFirst(t *testing.T) {
+func TestOverloadShedsLikelyOverQuotaFirst(t *testing.T) {
 	s := settings()
 	s.Gateways = 50
 	s.Plans[0] = control.Plan{Rate: 2, Burst: 3, Worth: 1, OverCost: 1}
@@ -443,10 +443,10 @@
 	refused := map[int]int{}
 	for ordinal := range 10 {
 		s.Ordinal = 5 * ordinal
-		f := newFleet(t, s, named(10)...)
-		f.rig = seeded(t, s, uint64(ordinal), warm(named(10)...)...)
+		f := newFleet(t, s, serverNames(10)...)
+		f.harness = newSeededHarness(t, s, uint64(ordinal), readyMembers(serverNames(10)...)...)
 		n := 0
-		f.takes = func(string) (float64, control.Status) {
+		f.answer = func(string) (float64, control.Status) {
 			if n++; n%6 == 0 {
 				return 0.9, control.OK // late, though within the aim
 			}
@@ -460,24 +460,24 @@
 			if i == 501 { // whenever it is said: some wait for the counter first
 				clear(f.refused)
 			}
-			f.id++
-			f.class[f.id] = kind
-			acts := f.do(control.Request{ID: f.id, Class: 2, Customer: customer, TimeLeft: 3, Units: 1, Spread: 4})
+			f.lastID++
+			f.classOf[f.lastID] = kind
+			acts := f.handle(control.Request{ID: f.lastID, Class: 2, Customer: customer, TimeLeft: 3, Units: 1, Spread: 4})
 			// Others have spent most of a burst and all that came in since the window began, of which no view tells yet.
-			for _, call := range pick[control.Count](acts) {
+			for _, call := range filter[control.Count](acts) {
 				if kind == unknown && f.totals[call.Name] == 0 {
 					f.totals[call.Name] = 2 + 2*math.Mod(f.now, 3)
 				}
 			}
-			f.take(acts)
+			f.perform(acts)
 			f.step(0.1)
 		}
 		for kind, n := range f.refused {
 			refused[kind] += n
 		}
 	}
-	sure, doubtful := float64(refused[known])/20000, float64(refused[unknown])/5000
-	if sure == 0 || sure > 0.8*doubtful {
-		t.Errorf("refused %.2f of the sure and %.2f of the doubtful", sure, doubtful)
+	likelyInside, doubtful := float64(refused[known])/20000, float64(refused[unknown])/5000
+	if likelyInside == 0 || likelyInside > 0.8*doubtful {
+		t.Errorf("refused %.2f of the sure and %.2f of the doubtful", likelyInside, doubtful)
 	}
 }
--- a/control/trouble_test.go
+++ b/control/trouble_test.go
@@ -14,66 +14,66 @@
 // fleet answers attempts after a time that a test gives for each server, and
 // calls to the counter after a time of its own.
 type fleet struct {
-	*rig
-	takes   func(server string) (after float64, st control.Status)
-	full    func(server string, class int) bool // turned away at once
-	counts  func() (after float64, st control.Status)
-	totals  map[uint64]float64
-	pending []due
-	sent    map[string]int
-	calls   map[uint64]int
-	refused map[int]int // by class
-	class   map[uint64]int
-	tries   map[uint64]int
+	*harness
+	answer      func(server string) (after float64, st control.Status)
+	rejects     func(server string, class int) bool // turned away at once
+	answerCount func() (after float64, st control.Status)
+	totals      map[uint64]float64
+	pending     []pendingEvent
+	sentTo      map[string]int
+	callsTo     map[uint64]int
+	refused     map[int]int // by class
+	classOf     map[uint64]int
+	attempts    map[uint64]int
 }
 
-type due struct {
+type pendingEvent struct {
 	at float64
 	ev control.Event
 }
 
 func newFleet(t *testing.T, s control.Settings, servers ...string) *fleet {
 	return &fleet{
-		rig:     newRig(t, s, warm(servers...)...),
-		takes:   func(string) (float64, control.Status) { return 0.1, control.OK },
-		full:    func(string, int) bool { return false },
-		counts:  func() (float64, control.Status) { return 0.002, control.OK },
-		totals:  map[uint64]float64{},
-		sent:    map[string]int{},
-		calls:   map[uint64]int{},
-		refused: map[int]int{},
-		class:   map[uint64]int{},
-		tries:   map[uint64]int{},
+		harness:     newHarness(t, s, readyMembers(servers...)...),
+		answer:      func(string) (float64, control.Status) { return 0.1, control.OK },
+		rejects:     func(string, int) bool { return false },
+		answerCount: func() (float64, control.Status) { return 0.002, control.OK },
+		totals:      map[uint64]float64{},
+		sentTo:      map[string]int{},
+		callsTo:     map[uint64]int{},
+		refused:     map[int]int{},
+		classOf:     map[uint64]int{},
+		attempts:    map[uint64]int{},
 	}
 }
 
-func (f *fleet) take(acts []control.Action) {
+func (f *fleet) perform(acts []control.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case control.Send:
-			after, st := f.takes(a.Server)
-			if f.full(a.Server, f.class[a.ID]) {
+			after, st := f.answer(a.Server)
+			if f.rejects(a.Server, f.classOf[a.ID]) {
 				after, st = 0.01, control.Full
 			}
 			if a.Timeout > 0 && a.Timeout < after {
 				after, st = a.Timeout, control.Timeout
 			}
-			f.sent[a.Server]++
-			f.pending = append(f.pending, due{f.now + after, control.Outcome{
-				ID: a.ID, Server: a.Server, Attempt: f.tries[a.ID], Status: st, Closed: st == control.OK, Elapsed: after,
+			f.sentTo[a.Server]++
+			f.pending = append(f.pending, pendingEvent{f.now + after, control.Outcome{
+				ID: a.ID, Server: a.Server, Attempt: f.attempts[a.ID], Status: st, Closed: st == control.OK, Elapsed: after,
 			}})
-			f.tries[a.ID]++
+			f.attempts[a.ID]++
 		case control.Count:
-			after, st := f.counts()
-			f.calls[a.Name]++
+			after, st := f.answerCount()
+			f.callsTo[a.Name]++
 			if st == control.OK {
 				f.totals[a.Name] += a.Amount
 			}
-			f.pending = append(f.pending, due{f.now + after, control.Counted{
+			f.pending = append(f.pending, pendingEvent{f.now + after, control.Counted{
 				Name: a.Name, Status: st, Total: f.totals[a.Name], Elapsed: after,
 			}})
 		case control.Refuse:
-			f.refused[f.class[a.ID]]++
+			f.refused[f.classOf[a.ID]]++
 		}
 	}
 }
@@ -81,13 +81,13 @@
 // step lets time pass and delivers what falls due.
 func (f *fleet) step(d float64) {
 	f.now += d
-	f.take(f.do(control.Timer{}))
-	var later []due
+	f.perform(f.handle(control.Timer{}))
+	var later []pendingEvent
 	now := f.pending
 	f.pending = nil
 	for _, p := range now {
 		if p.at <= f.now {
-			f.take(f.do(p.ev))
+			f.perform(f.handle(p.ev))
 		} else {
 			later = append(later, p)
 		}
@@ -97,23 +97,23 @@
 
 // offer brings one request in and tells whether it was sent on.
 func (f *fleet) offer(class, plan int, customer uint64) bool {
-	f.class[f.id+1] = class
-	_, acts := f.ask(class, plan, customer)
-	f.take(acts)
-	return len(pick[control.Send](acts)) > 0
+	f.classOf[f.lastID+1] = class
+	_, acts := f.request(class, plan, customer)
+	f.perform(acts)
+	return len(filter[control.Send](acts)) > 0
 }
 
-func (f *fleet) allSent() int {
+func (f *fleet) totalSent() int {
 	n := 0
-	for _, k := range f.sent {
+	for _, k := range f.sentTo {
 		n += k
 	}
 	return n
 }
 
-func TestSilentCounterLeavesThePart(t *testing.T) {
+func TestSilentCounterLeavesTheSplit(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
-	f.counts = func() (float64, control.Status) { return 0.05, control.Timeout }
+	f.answerCount = func() (float64, control.Status) { return 0.05, control.Timeout }
 	sent := 0
 	for range 500 { // 10 s of far more than the quota
 		if f.offer(0, 0, 5) {
@@ -126,9 +126,9 @@
 	}
 }
 
-func TestSlowCounterIsNotCrowdedByAFlood(t *testing.T) {
+func TestSlowCounterIsNotOverloadedByAFlood(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
-	f.counts = func() (float64, control.Status) { return 0.04, control.OK } // near its time-out
+	f.answerCount = func() (float64, control.Status) { return 0.04, control.OK } // near its time-out
 	busy := 0
 	for i := range 1000 { // 20 s
 		f.offer(0, 0, uint64(100+i)) // customers seen once
@@ -138,7 +138,7 @@
 		f.step(0.02)
 	}
 	most, sum := 0, 0
-	for _, n := range f.calls {
+	for _, n := range f.callsTo {
 		most = max(most, n)
 		sum += n
 	}
@@ -158,7 +158,7 @@
 	sent := 0
 	for range 4 { // four lives of half a second each, with a silent counter
 		f := newFleet(t, s, "a", "b", "c", "d")
-		f.counts = func() (float64, control.Status) { return 0.05, control.Timeout }
+		f.answerCount = func() (float64, control.Status) { return 0.05, control.Timeout }
 		for range 50 {
 			if f.offer(0, 1, 5) {
 				sent++
@@ -186,7 +186,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, settings(), "a", "b", "c", "d")
-			f.takes = func(server string) (float64, control.Status) {
+			f.answer = func(server string) (float64, control.Status) {
 				if server == "a" {
 					return c.after, c.st
 				}
@@ -196,7 +196,7 @@
 				f.offer(2, 0, uint64(i)) // unsafe: no second attempts to hide behind
 				f.step(0.02)
 			}
-			if share := float64(f.sent["a"]) / float64(f.allSent()); share > c.most || f.sent["a"] == 0 {
+			if share := float64(f.sentTo["a"]) / float64(f.totalSent()); share > c.most || f.sentTo["a"] == 0 {
 				t.Errorf("it got %.2f of all attempts, want some, and at most %v", share, c.most)
 			}
 		})
@@ -205,13 +205,13 @@
 
 func TestRetriesStayInTheirBudget(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
-	f.takes = func(string) (float64, control.Status) { return 0.05, control.Error }
+	f.answer = func(string) (float64, control.Status) { return 0.05, control.Error }
 	for i := range 500 {
 		f.offer(0, 0, uint64(i))
 		f.step(0.02)
 	}
-	first := len(f.tries)
-	if extra := f.allSent() - first; float64(extra) > 0.1*500+10 {
+	first := len(f.attempts)
+	if extra := f.totalSent() - first; float64(extra) > 0.1*500+10 {
 		t.Errorf("%d further attempts for %d requests, want about a tenth", extra, first)
 	}
 }
@@ -219,7 +219,7 @@
 func TestOverloadRefusesTheLeastWorthFirst(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b")
 	out := map[string]float64{} // each server works one request at a time
-	f.takes = func(server string) (float64, control.Status) {
+	f.answer = func(server string) (float64, control.Status) {
 		out[server] = max(out[server], f.now) + 0.1
 		return out[server] - f.now, control.OK
 	}
@@ -241,15 +241,15 @@
 		f.offer(0, 0, uint64(i))
 		f.step(0.02)
 	}
-	f.take(f.do(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: "a", Since: f.now}}}))
-	clear(f.sent)
+	f.perform(f.handle(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: "a", Since: f.now}}}))
+	clear(f.sentTo)
 	for i := range 100 { // 2 s, the time after which too much work makes it fall
 		f.offer(0, 0, uint64(1000+i))
 		f.offer(0, 0, uint64(5000+i))
 		f.step(0.02)
 	}
 	warmest := 0.2 + 0.8*2/10 // share of its capacity it has by then at the least
-	if got, peer := float64(f.sent["a"]), float64(f.sent["b"]); got > peer*warmest+2 {
+	if got, peer := float64(f.sentTo["a"]), float64(f.sentTo["b"]); got > peer*warmest+2 {
 		t.Errorf("a cold server got %v while a warm one got %v", got, peer)
 	}
 }
@@ -271,7 +271,7 @@
 func TestSuspectedRestartIsSentLittle(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c")
 	down := true
-	f.takes = func(server string) (float64, control.Status) {
+	f.answer = func(server string) (float64, control.Status) {
 		if server == "a" && down {
 			return 0.01, control.ConnectFailed
 		}
@@ -282,12 +282,12 @@
 		f.step(0.02)
 	}
 	down = false // it is back; the list has told nothing
-	clear(f.sent)
+	clear(f.sentTo)
 	for i := range 250 { // 5 s
 		f.offer(0, 0, uint64(1000+i))
 		f.step(0.02)
 	}
-	if got, peer := f.sent["a"], f.sent["b"]; got == 0 || float64(got) > 0.6*float64(peer) {
+	if got, peer := f.sentTo["a"], f.sentTo["b"]; got == 0 || float64(got) > 0.6*float64(peer) {
 		t.Errorf("after a suspected restart it got %d, another %d", got, peer)
 	}
 }
@@ -302,12 +302,12 @@
 		names[i] = fmt.Sprint("s", i)
 	}
 	for _, late := range []bool{false, true} {
-		r := newRig(t, set, warm(names...)...)
+		r := newHarness(t, set, readyMembers(names...)...)
 		var sent [2]int
 		for i := range 200 {
 			for class, worth := range []int{0, 2} { // worth 2 and 5
-				_, acts := r.ask(worth, 0, uint64(2*i+class))
-				for _, s := range pick[control.Send](acts) {
+				_, acts := r.request(worth, 0, uint64(2*i+class))
+				for _, s := range filter[control.Send](acts) {
 					if i >= 50 {
 						sent[class]++
 					}
@@ -315,10 +315,10 @@
 					if late {
 						r.now += 0.7
 					}
-					r.end(s, 0, control.OK)
+					r.endAttempt(s, 0, control.OK)
 				}
 			}
-			r.wait(0.1)
+			r.advance(0.1)
 		}
 		switch {
 		case !late && sent[0]+sent[1] < 290:
@@ -330,11 +330,11 @@
 }
 
 func TestNoEarlyTimeoutWhilePressed(t *testing.T) {
-	r := newRig(t, settings(), warm("a", "b")...)
+	r := newHarness(t, settings(), readyMembers("a", "b")...)
 	var sends []control.Send
 	for i := range 40 { // nothing comes back
-		_, acts := r.ask(0, 0, uint64(i))
-		sends = append(sends, pick[control.Send](acts)...)
+		_, acts := r.request(0, 0, uint64(i))
+		sends = append(sends, filter[control.Send](acts)...)
 	}
 	if len(sends) < 4 || len(sends) == 40 {
 		t.Fatalf("%d of 40 sent on, want the servers filled and the rest refused", len(sends))
@@ -350,15 +350,15 @@
 	for name, load := range map[string][]float64{"none": nil, "frozen": {0, 0, 0}, "absurd": {-1e300, 1e300}} {
 		s := settings()
 		s.LoadFrom, s.LoadFields = control.LoadInAnswers, []string{"q", "rif", "busy"}
-		r := newRig(t, s, warm("a", "b", "c")...)
+		r := newHarness(t, s, readyMembers("a", "b", "c")...)
 		counts[name] = map[string]int{}
 		for i := range 300 {
-			_, acts := r.ask(0, 0, uint64(i))
+			_, acts := r.request(0, 0, uint64(i))
 			r.now += 0.02
-			for _, a := range pick[control.Send](acts) {
+			for _, a := range filter[control.Send](acts) {
 				counts[name][a.Server]++
-				r.do(control.Outcome{ID: a.ID, Server: a.Server, Closed: true, Elapsed: 0.02, Load: load})
-				r.do(control.Probed{Server: a.Server, Load: load})
+				r.handle(control.Outcome{ID: a.ID, Server: a.Server, Closed: true, Elapsed: 0.02, Load: load})
+				r.handle(control.Probed{Server: a.Server, Load: load})
 			}
 		}
 	}
@@ -419,10 +419,10 @@
 
 // Limits that a crowd has cut down are back within seconds of quick answers:
 // one in a hundred for each would take minutes.
-func TestLimitsComeBackAfterACrowd(t *testing.T) {
-	f := newFleet(t, settings(), named(4)...)
+func TestLimitsRecoverAfterOverload(t *testing.T) {
+	f := newFleet(t, settings(), serverNames(4)...)
 	after := 0.9 // late, though within the aim
-	f.takes = func(string) (float64, control.Status) { return after, control.OK }
+	f.answer = func(string) (float64, control.Status) { return after, control.OK }
 	customer := uint64(0)
 	play := func(seconds float64) (refused float64) {
 		asked, before := 0, f.refused[2]
@@ -443,14 +443,14 @@
 
 // Requests whose bodies are slow to come in are no work at a server until their last byte: others are let in beside
 // them as though they were not there. Once they are whole they count, and their time is judged from then on.
-func TestArrivingIsNoWork(t *testing.T) {
+func TestIncomingBodiesAreNoWork(t *testing.T) {
 	letIn := func(whole bool) (n int) {
-		r := newRig(t, settings(), control.Member{Server: "a"})
+		r := newHarness(t, settings(), control.Member{Server: "a"})
 		var slow []control.Send
 		for i := range 40 {
-			r.id++
-			acts := r.do(control.Request{ID: r.id, Class: 3, Plan: 0, Customer: uint64(100 + i), TimeLeft: 3, Units: 1, Spread: 2, BodyIncoming: true})
-			sent := pick[control.Send](acts)
+			r.lastID++
+			acts := r.handle(control.Request{ID: r.lastID, Class: 3, Plan: 0, Customer: uint64(100 + i), TimeLeft: 3, Units: 1, Spread: 2, BodyIncoming: true})
+			sent := filter[control.Send](acts)
 			if len(sent) == 0 && whole {
 				continue // a crowd already
 			}
@@ -458,19 +458,19 @@
 				t.Fatalf("slow request %d: %v", i, acts)
 			}
 			if slow = append(slow, sent...); whole {
-				r.do(control.BodyReceived{ID: r.id})
+				r.handle(control.BodyReceived{ID: r.lastID})
 			}
 			r.now += 0.1
 		}
 		for i := range 40 {
-			n += len(pick[control.Send](r.served(0, 0, uint64(200+i))))
+			n += len(filter[control.Send](r.requestAnswered(0, 0, uint64(200+i))))
 			r.now += 0.05
 		}
 		if !whole { // ten seconds after the first byte, a moment after the last: in time
 			r.now += 10
-			r.do(control.BodyReceived{ID: slow[0].ID})
+			r.handle(control.BodyReceived{ID: slow[0].ID})
 			r.now += 0.1
-			if acts := r.do(control.Outcome{ID: slow[0].ID, Server: "a", Status: control.ConnectFailed, Elapsed: 0.1}); len(pick[control.Refuse](acts))+len(pick[control.Send](acts)) != 1 {
+			if acts := r.handle(control.Outcome{ID: slow[0].ID, Server: "a", Status: control.ConnectFailed, Elapsed: 0.1}); len(filter[control.Refuse](acts))+len(filter[control.Send](acts)) != 1 {
 				t.Errorf("a request within its time was not sent again nor refused: %v", acts)
 			}
 		}
@@ -489,32 +489,32 @@
 func TestEndingAddsWhatIsLeft(t *testing.T) {
 	s := settings()
 
-	r := newRig(t, s, control.Member{Server: "a"})
+	r := newHarness(t, s, control.Member{Server: "a"})
 	totals, out := map[uint64]float64{}, []control.Count{}
-	take := func(acts []control.Action) { out = append(out, pick[control.Count](acts)...) }
+	take := func(acts []control.Action) { out = append(out, filter[control.Count](acts)...) }
 	for i := range 30 {
-		take(r.served(0, 0, uint64(300+i)))
+		take(r.requestAnswered(0, 0, uint64(300+i)))
 	}
 	if r.g.UnflushedCustomers() == 0 {
 		t.Fatal("all is added already: nothing to show")
 	}
-	take(r.do(control.ShuttingDown{}))
+	take(r.handle(control.ShuttingDown{}))
 	failed := false
 	for range 2000 {
 		r.now += 0.01
 		if len(out) == 0 {
-			take(r.do(control.Timer{}))
+			take(r.handle(control.Timer{}))
 			continue
 		}
 		c := out[0]
 		out = out[1:]
 		if c.Amount > 0 && !failed { // once: not added, and to be added later
 			failed = true
-			take(r.do(control.Counted{Name: c.Name, Status: control.ConnectFailed}))
+			take(r.handle(control.Counted{Name: c.Name, Status: control.ConnectFailed}))
 			continue
 		}
 		totals[c.Name] += c.Amount
-		take(r.do(control.Counted{Name: c.Name, Status: control.OK, Total: totals[c.Name], Elapsed: 0.001}))
+		take(r.handle(control.Counted{Name: c.Name, Status: control.OK, Total: totals[c.Name], Elapsed: 0.001}))
 	}
 	sum := 0.0
 	for _, n := range totals {
