--- a/control/control_test.go
+++ b/control/control_test.go
@@ -10,7 +10,7 @@
 	"junctionring/control"
 )
 
-// settings are round figures of no deployment in particular.
+// settings returns settings with round figures, which are not those of any deployment.
 func settings() control.Settings {
 	return control.Settings{
 		Gateways: 2,
@@ -31,7 +31,7 @@
 	}
 }
 
-// rig drives one gateway by hand.
+// harness drives one gateway with a clock that tests set.
 type harness struct {
 	t      *testing.T
 	g      *control.Gateway
@@ -44,7 +44,7 @@
 	return newSeededHarness(t, s, 1, servers...)
 }
 
-// seeded is newRig with a seed of its own.
+// newSeededHarness is newHarness with another seed.
 func newSeededHarness(t *testing.T, s control.Settings, seed uint64, servers ...control.Member) *harness {
 	t.Helper()
 	g, err := control.New(s, seed)
@@ -58,7 +58,7 @@
 
 func (r *harness) handle(ev control.Event) []control.Action { return r.g.Handle(r.now, ev, nil) }
 
-// ask brings a request in and returns its number and the answer.
+// request passes a new request to the gateway and returns its number and the gateway's actions.
 func (r *harness) request(class, plan int, customer uint64) (uint64, []control.Action) {
 	r.lastID++
 	return r.lastID, r.handle(control.Request{
@@ -66,7 +66,7 @@
 	})
 }
 
-// served is ask with a good answer at once to whatever was sent on.
+// requestAnswered is request with an immediate good answer to each attempt that was sent.
 func (r *harness) requestAnswered(class, plan int, customer uint64) []control.Action {
 	_, acts := r.request(class, plan, customer)
 	for _, s := range filter[control.Send](acts) {
@@ -75,7 +75,7 @@
 	return acts
 }
 
-// wait lets time pass in pulses and returns what was done meanwhile.
+// advance moves the clock forward in steps of 20 ms with a timer event each, and returns the actions.
 func (r *harness) advance(seconds float64) []control.Action {
 	var acts []control.Action
 	for end := r.now + seconds; r.now < end; {
@@ -85,6 +85,7 @@
 	return acts
 }
 
+// filter returns the actions of type A.
 func filter[A control.Action](acts []control.Action) []A {
 	var got []A
 	for _, a := range acts {
@@ -95,6 +96,7 @@
 	return got
 }
 
+// readyMembers returns list entries of ready, warm servers, alternately in zones 0 and 1.
 func readyMembers(names ...string) []control.Member {
 	var ms []control.Member
 	for i, n := range names {
@@ -103,7 +105,7 @@
 	return ms
 }
 
-// answer ends the attempt in acts with a status.
+// endAttempt ends an attempt with a status.
 func (r *harness) endAttempt(s control.Send, attempt int, st control.Status) []control.Action {
 	return r.handle(control.Outcome{ID: s.ID, Server: s.Server, Attempt: attempt, Status: st, Closed: st == control.OK})
 }
@@ -141,16 +143,16 @@
 		}
 	}
 	if sent != 4 {
-		t.Errorf("%d of 8 let in at first sight, want burst/spread = 4", sent)
+		t.Errorf("%d of 8 first requests of a customer admitted, want burst/spread = 4", sent)
 	}
 }
 
-// flushed answers the one call in acts with a total.
+// answerCount answers the only counter call in acts with a status and a total.
 func (r *harness) answerCount(acts []control.Action, st control.Status, total float64) (control.Count, []control.Action) {
 	r.t.Helper()
 	calls := filter[control.Count](acts)
 	if len(calls) != 1 {
-		r.t.Fatalf("%d calls to the counter, want 1: %v", len(calls), acts)
+		r.t.Fatalf("%d counter calls, want 1: %v", len(calls), acts)
 	}
 	return calls[0], r.handle(control.Counted{Name: calls[0].Name, Status: st, Total: total, Elapsed: 0.002})
 }
@@ -159,25 +161,25 @@
 	r := newHarness(t, settings(), readyMembers("a", "b", "c")...)
 	_, acts := r.request(0, 0, 5)
 	acts = append(acts, r.advance(1.2)...)
-	r.answerCount(acts, control.OK, 9) // others used 8: the store is empty
+	r.answerCount(acts, control.OK, 9) // other gateways used 8: the bucket is empty
 	_, acts = r.request(0, 0, 5)
 	refused := filter[control.Refuse](acts)
 	if len(refused) != 1 {
-		t.Fatalf("not refused with the quota used up: %v", acts)
+		t.Fatalf("want a refusal with the quota used up, got %v", acts)
 	}
-	// One unit comes in within half a second; the own part of one would take twice that.
+	// The bucket refills one unit in half a second; this gateway's split of it would take twice as long.
 	if hint := refused[0].RetryAfter; hint <= 0 || hint > 0.5 {
-		t.Errorf("a hint of %v s, want the time in which the bucket holds a unit", hint)
+		t.Errorf("retry-after hint of %v s, want the time in which the bucket refills one unit, up to 0.5 s", hint)
 	}
 }
 
-// An add that was surely not made is made again; one that may have been is
-// read first, and never added twice when the read shows it.
+// Units of a failed counter call must be added exactly once: again if the call certainly added nothing, and after
+// a time-out only if a read shows that they are missing.
 func TestNoDeltaIsLostOrAddedTwice(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status control.Status
-		total  float64 // what the read shows
+		total  float64 // returned by the read
 		readd  bool
 	}{
 		{"full", control.Full, 0, true},
@@ -192,13 +194,13 @@
 			acts := r.requestAnswered(0, 0, 5)
 			first, _ := r.answerCount(append(acts, r.advance(1.2)...), c.status, 0)
 			if first.Amount != 1 {
-				t.Fatalf("added %v, want 1", first.Amount)
+				t.Fatalf("first call added %v, want 1", first.Amount)
 			}
 			next := r.advance(1.4)
 			if c.status == control.Timeout {
 				read, more := r.answerCount(next, control.OK, c.total)
 				if read.Amount != 0 || read.Name != first.Name {
-					t.Fatalf("want a bare read of the same name first, got %+v", read)
+					t.Fatalf("want a read of the same name that adds nothing, got %+v", read)
 				}
 				r.requestAnswered(0, 0, 5) // one more unit, so that a call is due in any case
 				next = append(more, r.advance(1.2)...)
@@ -207,18 +209,18 @@
 					want = 2
 				}
 				if got, _ := r.answerCount(next, control.OK, 2); got.Amount != want {
-					t.Errorf("then added %v, want %v", got.Amount, want)
+					t.Errorf("call after the read added %v, want %v", got.Amount, want)
 				}
 				return
 			}
 			if again, _ := r.answerCount(next, control.OK, 1); again.Amount != 1 {
-				t.Errorf("then added %v, want 1", again.Amount)
+				t.Errorf("call after the failed one added %v, want 1", again.Amount)
 			}
 		})
 	}
 }
 
-// counterFor answers calls like a working counter for a while.
+// runCounter answers counter calls like a working counter for some seconds.
 func (r *harness) runCounter(seconds float64, totals map[uint64]float64, acts []control.Action) {
 	for end := r.now + seconds; r.now < end; acts = append(acts, r.advance(0.02)...) {
 		calls := filter[control.Count](acts)
@@ -246,12 +248,11 @@
 		sum += v
 	}
 	if sum != 4 {
-		t.Errorf("the counter holds %v, want the 3 lost and the new 1", sum)
+		t.Errorf("the counter holds %v after it lost its totals, want 4: the 3 lost units and 1 new one", sum)
 	}
 }
 
-// A counter that turns every call away is called seldom, by all gateways
-// together, however many they are.
+// While the counter rejects every call, all gateways together make few calls, at any number of gateways.
 func TestCallsSlowDownWhenTurnedAway(t *testing.T) {
 	for _, gateways := range []int{2, 10, 100, 500} {
 		set := settings()
@@ -279,7 +280,8 @@
 			}
 		}
 		if rate := float64(calls*gateways) / 80; rate < 10 || rate > 80 {
-			t.Errorf("%d gateways call %.0f times a second together, want some tens", gateways, rate)
+			t.Errorf("%d gateways together make %.0f calls a second to a counter that rejects them, want 10 to 80",
+				gateways, rate)
 		}
 	}
 }
@@ -295,10 +297,9 @@
 		}
 		r.now += 0.01
 	}
-	// This gateway's part: half of 8 a second for 5 s, and no burst that a
-	// former life may have spent.
+	// This gateway's split: half of 8 a second for 5 s, without a burst, which it may have spent before a restart.
 	if sent > 20 {
-		t.Errorf("%d sent in 5 s from the start, want at most 20", sent)
+		t.Errorf("%d attempts in the 5 s after the start, want at most 20", sent)
 	}
 }
 
@@ -310,16 +311,17 @@
 		sent += len(filter[control.Send](acts))
 	}
 	if sent != 2 {
-		t.Errorf("%d out at once, want half of 4", sent)
+		t.Errorf("%d attempts in flight, want 2: half of the plan's 4", sent)
 	}
 }
 
-// Where a cap on attempts out comes with a rate, the totals tell how many the others are likely to have out: a
-// split of the cap would leave room unused where answers are quick, and no more is taken where they are slow.
+// If a plan limits both the rate and the attempts in flight, the gateway estimates the attempts in flight at other
+// gateways from the counter's totals. An even split would waste part of the limit where answers are quick; where
+// they are slow, no more than the rest may be used.
 func TestOpenLimitGoesByWhatOthersLikelyHaveOut(t *testing.T) {
 	for _, c := range []struct {
-		aim         control.Seconds // before much is learned, answers are taken to need a fifth of it
-		least, most int             // of the asks that come at once
+		aim         control.Seconds // the initial estimate of the time to answer is a fifth of it
+		least, most int             // attempts sent for the 6 simultaneous requests
 	}{{1, 5, 6}, {10, 0, 3}} {
 		const others = 18 // units a second
 		s := settings()
@@ -353,24 +355,24 @@
 			sent += len(filter[control.Send](acts))
 		}
 		if sent < c.least || sent > c.most {
-			t.Errorf("aim %v s: %d of 6 at once are sent on, want %d to %d", c.aim, sent, c.least, c.most)
+			t.Errorf("aim %v s: %d of 6 simultaneous requests sent, want %d to %d", c.aim, sent, c.least, c.most)
 		}
 	}
 }
 
-// A server that a whole list does not name is gone: it is not kept for ever, and one that comes later under the
-// same id is new.
+// Servers missing from a full list are forgotten, so that memory does not grow with every replacement, and one that
+// is listed later under the same id is new.
 func TestServersNotOnAWholeListAreForgotten(t *testing.T) {
 	r := newHarness(t, settings(), control.Member{Server: "old"})
 	for i := range 100 {
 		r.handle(control.Members{Kind: control.Snapshot, Version: int64(i), Entries: []control.Member{{Server: fmt.Sprint("s", i)}}})
 	}
 	if n := r.g.ServerCount(); n != 1 {
-		t.Errorf("%d servers are remembered, want 1", n)
+		t.Errorf("%d servers kept, want 1", n)
 	}
 	_, acts := r.request(0, 0, 5)
 	if sent := filter[control.Send](acts); len(sent) != 1 || sent[0].Server != "s99" {
-		t.Errorf("sent %v", sent)
+		t.Errorf("sent %v, want one attempt at s99", sent)
 	}
 }
 
@@ -379,7 +381,7 @@
 	for _, c := range []struct {
 		class  int
 		status control.Status
-		again  bool // another attempt is wanted
+		again  bool // another attempt is expected
 	}{
 		{safe, control.Timeout, true}, {safe, control.Error, true}, {safe, control.Full, true},
 		{unsafe, control.Timeout, false}, {unsafe, control.Reset, false}, {unsafe, control.Error, false},
@@ -393,14 +395,14 @@
 		acts = r.endAttempt(first, 0, c.status)
 		again := filter[control.Send](acts)
 		if (len(again) == 1) != c.again {
-			t.Errorf("class %d after status %d: sent again %v, want %v", c.class, c.status, again, c.again)
+			t.Errorf("class %d, status %d: further attempts %v, want one: %v", c.class, c.status, again, c.again)
 		}
 		zone := map[string]int{"a": 0, "b": 1, "c": 0, "d": 1}
 		if c.class == keyed && len(again) == 1 && zone[again[0].Server] != zone[first.Server] {
-			t.Errorf("a keyed request left its group: %s, then %s", first.Server, again[0].Server)
+			t.Errorf("keyed request sent to %s and then outside its group, to %s", first.Server, again[0].Server)
 		}
 		if c.class == unsafe && !c.again && len(filter[control.Fail](acts)) != 1 {
-			t.Errorf("an unsafe request that may have run: want a failure, got %v", acts)
+			t.Errorf("unsafe request that may have run: want Fail, got %v", acts)
 		}
 	}
 }
@@ -411,7 +413,7 @@
 	first := filter[control.Send](acts)[0]
 	r.now += 2.1
 	if acts = r.endAttempt(first, 0, control.Reset); len(filter[control.Fail](acts)) != 1 {
-		t.Errorf("want a failure after the window, got %v", acts)
+		t.Errorf("keyed request after its window: want Fail, got %v", acts)
 	}
 }
 
@@ -424,7 +426,7 @@
 		n++
 	}
 	if n != 3 || len(filter[control.Refuse](acts)) != 1 {
-		t.Errorf("%d attempts and then %v, want 3 and a refusal", n, acts)
+		t.Errorf("%d attempts followed by %v, want 3 attempts followed by Refuse", n, acts)
 	}
 }
 
@@ -440,7 +442,7 @@
 			_, acts := r.request(0, 0, uint64(i))
 			for _, s := range filter[control.Send](acts) {
 				if s.Server == "a" {
-					t.Fatalf("sent to a server that was taken off by %+v", ev)
+					t.Fatalf("sent to server a after %+v", ev)
 				}
 			}
 		}
@@ -483,13 +485,13 @@
 	cold := members[0]
 	cold.Since = r.now
 	r.handle(control.Members{Kind: control.Delta, Entries: []control.Member{cold}})
-	run(100) // 2 s after its start it has at least 0.2 to 0.36 of its capacity
+	run(100) // in the 2 s after its start, the least share of its capacity rises from 0.2 to 0.36
 	if n := counts["a"]; n == 0 || n > 100/3/2 {
-		t.Errorf("a cold server got %d of 100, want some and well under a third", n)
+		t.Errorf("cold server got %d of 100 attempts, want 1 to 16: at most half of an even share", n)
 	}
 }
 
-// Danger: quick errors must not attract traffic; nor may a dead server.
+// A server that fails quickly looks fast and must not attract traffic for it. It is used again once it answers well.
 func TestFailingServersAreLeftAloneAndTriedAgain(t *testing.T) {
 	for _, st := range []control.Status{control.Error, control.ConnectFailed, control.Reset} {
 		r := newHarness(t, settings(), readyMembers("a", "b", "c")...)
@@ -512,10 +514,10 @@
 			r.now += 0.02
 		}
 		if bad > 30 {
-			t.Errorf("status %d: a failing server got %d attempts in 8 s", st, bad)
+			t.Errorf("status %d: failing server got %d of 400 requests' attempts, want at most 30", st, bad)
 		}
 		if last == 0 {
-			t.Errorf("status %d: a server that had come back was never tried", st)
+			t.Errorf("status %d: recovered server got no attempt", st)
 		}
 	}
 }
@@ -530,7 +532,7 @@
 		r.now += 0.01
 	}
 	if _, acts := r.request(0, 0, 99); len(filter[control.Send](acts)) != 1 {
-		t.Errorf("with all servers failing none was tried: %v", acts)
+		t.Errorf("all servers failing: want one attempt, got %v", acts)
 	}
 }
 
@@ -547,15 +549,16 @@
 			r.handle(control.Counted{Name: c.Name, Status: control.OK, Total: c.Amount, Elapsed: 0.001})
 		}
 	}
-	if held := r.g.CustomerCount(); held > 2000 {
-		t.Errorf("%d customers held after a flood", held)
+	if kept := r.g.CustomerCount(); kept > 2000 {
+		t.Errorf("%d customers kept after 5000 seen once, want at most 2000", kept)
 	}
 	if calls > 10000 {
-		t.Errorf("%d calls for 5000 customers seen once", calls)
+		t.Errorf("%d counter calls for 5000 customers seen once, want at most 10000", calls)
 	}
 }
 
-// TestRandomDays feeds legal events in random order and checks the rules.
+// TestRandomDays feeds valid events in random order and checks that the actions keep to the rules for attempts and
+// final answers.
 func TestRandomDays(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomEvents(t, seed) })
@@ -567,15 +570,17 @@
 	f.Fuzz(runRandomEvents)
 }
 
+// trackedRequest is what the test knows about one request.
 type trackedRequest struct {
 	class    int
 	deadline float64
 	sends    []control.Send
 	sentAt   []float64
-	statuses []control.Status // -1: out
+	statuses []control.Status // -1: in flight
 	final    bool
 }
 
+// runRandomEvents checks one random sequence of events, and that a second gateway with the same seed acts the same.
 func runRandomEvents(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := settings()
@@ -596,17 +601,17 @@
 	handle := func(ev control.Event) {
 		acts := g.Handle(now, ev, nil)
 		if other := twin.Handle(now, ev, nil); !reflect.DeepEqual(acts, other) {
-			t.Fatalf("the same events gave other actions:\n%v\n%v", acts, other)
+			t.Fatalf("two gateways with the same seed and events differ in their actions:\n%v\n%v", acts, other)
 		}
 		for _, a := range acts {
 			switch a := a.(type) {
 			case control.Send:
 				req := requests[a.ID]
 				if req == nil || req.final {
-					t.Fatalf("sent for a request that is closed: %+v", a)
+					t.Fatalf("attempt of a closed or unknown request: %+v", a)
 				}
 				if !up[a.Server] {
-					t.Fatalf("sent to %s, which is not up", a.Server)
+					t.Fatalf("sent to %s, which is not ready", a.Server)
 				}
 				checkRepeat(t, s, req, a, now)
 				req.sends, req.sentAt, req.statuses = append(req.sends, a), append(req.sentAt, now), append(req.statuses, -1)
@@ -616,7 +621,7 @@
 					class := s.Classes[requests[a.ID].class]
 					free := class.Repeat == control.Safe || class.Repeat == control.Keyed && class.Group == control.GroupAll
 					if !free && mayHaveRun(st) {
-						t.Fatalf("refused although attempt %d may have run", i)
+						t.Fatalf("request %d refused although attempt %d may have run", a.ID, i)
 					}
 				}
 			case control.Fail:
@@ -625,7 +630,7 @@
 				counts = append(counts, a)
 			case control.Cancel:
 				if !s.Limits.Cancel {
-					t.Fatal("cancelled where that is not allowed")
+					t.Fatal("attempt cancelled although the settings don't allow it")
 				}
 			}
 		}
@@ -680,12 +685,12 @@
 			handle(control.PeerMessage{From: 1, Data: "\x00?"})
 		}
 	}
-	for len(counts) > 0 { // each call has its one answer
+	for len(counts) > 0 { // answer the calls in flight
 		c := counts[0]
 		counts = counts[1:]
 		handle(control.Counted{Name: c.Name, Status: control.Timeout, Elapsed: 0.03})
 	}
-	for _, id := range order { // whatever is out ends at the deadline
+	for _, id := range order { // attempts in flight end at the deadline
 		for i, st := range requests[id].statuses {
 			if req := requests[id]; st < 0 {
 				req.statuses[i] = control.Timeout
@@ -698,48 +703,50 @@
 	for _, id := range order {
 		req := requests[id]
 		if out := len(req.statuses) > 0 && req.statuses[len(req.statuses)-1] < 0; !req.final && !out {
-			t.Fatalf("request %d has no final answer and nothing out", id)
+			t.Fatalf("request %d has no final answer and no attempt in flight", id)
 		}
 	}
 }
 
+// mayHaveRun reports whether an attempt with this status may have run.
 func mayHaveRun(st control.Status) bool {
 	return st != control.Full && st != control.ConnectFailed && st != control.NotSent
 }
 
+// checkFinal records a final answer, and fails the test if the request has one already.
 func checkFinal(t *testing.T, open map[uint64]*trackedRequest, id uint64) {
 	t.Helper()
 	req := open[id]
 	if req == nil || req.final {
-		t.Fatalf("a final answer for request %d, which is closed", id)
+		t.Fatalf("final answer for request %d, which is closed or unknown", id)
 	}
 	req.final = true
 }
 
-// checkRepeat holds an attempt against the rule of repeats.
+// checkRepeat fails the test if the class of a request forbids another attempt at this server.
 func checkRepeat(t *testing.T, s control.Settings, req *trackedRequest, a control.Send, now float64) {
 	t.Helper()
 	zone := map[string]int{"a": 0, "b": 1, "c": 0, "d": 1, "e": 0}
 	class := s.Classes[req.class]
 	if len(req.sends) >= s.Limits.MaxAttempts {
-		t.Fatalf("attempt %d of %d", len(req.sends)+1, s.Limits.MaxAttempts)
+		t.Fatalf("attempt %d, at most %d are allowed", len(req.sends)+1, s.Limits.MaxAttempts)
 	}
 	for i, st := range req.statuses {
 		if st < 0 && !(s.Limits.SecondCopies && class.Repeat == control.Safe) {
-			t.Fatal("two attempts out at once")
+			t.Fatal("two attempts of a request in flight at once where hedging is not allowed")
 		}
 		if !mayHaveRun(st) {
 			continue
 		}
 		switch class.Repeat {
 		case control.Unsafe:
-			t.Fatalf("an unsafe request was sent again after status %d", st)
+			t.Fatalf("unsafe request sent again after status %d, which may have run", st)
 		case control.Keyed:
 			if now >= req.sentAt[i]+class.Window {
-				t.Fatal("a keyed request was sent again after its window")
+				t.Fatal("keyed request sent again after its window")
 			}
 			if class.Group == control.GroupZone && zone[a.Server] != zone[req.sends[i].Server] {
-				t.Fatal("a keyed request left its group")
+				t.Fatal("keyed request sent again outside its group")
 			}
 		}
 	}
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -9,28 +9,28 @@
 	"junctionring/control"
 )
 
-// workload is the traffic and the servers of one simulated day. Nothing of it is told to a gateway but the settings.
+// workload is the traffic and the servers of one simulation. A gateway knows nothing of it but the settings.
 type workload struct {
 	settings     control.Settings
 	shares       []float64 // of the requests, by class
-	work         []float64 // mean seconds of a core, by class
-	plans        []float64 // shares of the requests, by plan; none: all of plan 0
-	constantWork bool      // work is exponential, unless it is steady
+	work         []float64 // mean core seconds of a request, by class
+	plans        []float64 // shares of the requests, by plan; nil: all of plan 0
+	constantWork bool      // all requests of a class take the same work; otherwise it is exponential
 	servers      int
 	cores        int
 	queue        int     // requests that may wait at a server
-	load         float64 // asked, as a share of what the servers can do
+	load         float64 // offered load, as a share of the servers' capacity
 	seconds      float64
-	burstFactor  float64 // times the load in the second third of the day; 0: no burst
+	burstFactor  float64 // multiplies the load in the second third of the time; 0: no burst
 }
 
-// dispatcher decides where a request goes: the gateways under test or a reference policy.
+// dispatcher sends requests to servers: the gateways under test or a reference policy.
 type dispatcher interface {
 	offer(s *simulation, r *queuedRequest)
 	attemptEnded(s *simulation, r *queuedRequest, at *queueServer, status control.Status)
 }
 
-// simulation plays a workload against a dispatcher in simulated time.
+// simulation runs a workload with a dispatcher in simulated time.
 type simulation struct {
 	*workload
 	rng      *rand.Rand
@@ -45,7 +45,7 @@
 	byThird  [][3]requestStats // by class
 }
 
-// earning is what was offered and what was earned of it, and what became of the requests.
+// requestStats sums up the worth of some requests and how they ended.
 type requestStats struct {
 	offeredWorth, earnedWorth       float64
 	requests, refused               int
@@ -54,6 +54,7 @@
 
 func (e requestStats) earnedShare() float64 { return e.earnedWorth / max(e.offeredWorth, 1e-9) }
 
+// queuedRequest is one request of the workload.
 type queuedRequest struct {
 	id        uint64
 	class     int
@@ -66,6 +67,7 @@
 	done      bool
 }
 
+// queueServer is a server with some cores and one queue.
 type queueServer struct {
 	name     string
 	speed    float64
@@ -74,19 +76,22 @@
 	inFlight int
 }
 
+// simAttempt is one attempt of a request at a server.
 type simAttempt struct {
 	request *queuedRequest
 	server  *queueServer
 	number  int
-	ended   bool // answered, timed out or called off
+	ended   bool // answered or timed out
 }
 
+// simEvent is a function to run at a simulated time. Events of the same time run in order of their numbers.
 type simEvent struct {
 	at  float64
 	seq int
 	run func()
 }
 
+// eventQueue is a heap of events, earliest first.
 type eventQueue []simEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -107,7 +112,7 @@
 	heap.Push(&s.queue, simEvent{s.now + max(0, delay), s.lastSeq, run})
 }
 
-// play runs a day and returns what came of it.
+// simulate runs a workload to its end, and returns the finished simulation.
 func simulate(w *workload, policy dispatcher, seed uint64) *simulation {
 	s := &simulation{workload: w, rng: rand.New(rand.NewPCG(seed, 7)), policy: policy, now: 1000,
 		requests: map[uint64]*queuedRequest{}, byClass: make([]requestStats, len(w.shares)),
@@ -142,7 +147,7 @@
 	return s
 }
 
-// crest is how many times the usual load is asked now.
+// loadFactor is the present load as a multiple of workload.load.
 func (s *simulation) loadFactor(end float64) float64 {
 	if past := 1 - (end-s.now)/s.seconds; s.burstFactor > 0 && past > 1.0/3 && past < 2.0/3 {
 		return s.burstFactor
@@ -150,6 +155,7 @@
 	return 1
 }
 
+// arrive creates a random request and offers it to the dispatcher.
 func (s *simulation) arrive() {
 	r := &queuedRequest{id: uint64(len(s.requests) + 1), arrivedAt: s.now, class: sampleIndex(s.rng, s.shares)}
 	if len(s.plans) > 0 {
@@ -167,6 +173,7 @@
 	s.policy.offer(s, r)
 }
 
+// sampleIndex draws an index with these probabilities.
 func sampleIndex(rng *rand.Rand, shares []float64) int {
 	x := rng.Float64()
 	for i, share := range shares {
@@ -177,7 +184,7 @@
 	return len(shares) - 1
 }
 
-// book enters something of a request in all accounts that it belongs to.
+// record updates the statistics of a request's class, plan and third of the time.
 func (s *simulation) record(r *queuedRequest, update func(*requestStats)) {
 	third := min(2, int(3*(r.arrivedAt-1000)/s.seconds))
 	update(&s.byClass[r.class])
@@ -185,7 +192,7 @@
 	update(&s.byThird[r.class][third])
 }
 
-// refuse ends a request without an attempt, or after its last.
+// refuse ends a request without a good answer, unless it has ended.
 func (s *simulation) refuse(r *queuedRequest) {
 	if !r.done {
 		r.done = true
@@ -193,7 +200,7 @@
 	}
 }
 
-// deadline is how long a request's client still waits.
+// deadline is the time until which the request's client waits.
 func (s *simulation) deadline(r *queuedRequest) float64 {
 	return r.arrivedAt + s.settings.Classes[r.class].Deadline
 }
@@ -218,12 +225,12 @@
 	s.schedule(left, func() { s.end(a, control.Timeout) })
 }
 
-// begin has a server's free cores take up what waits.
+// startWaiting starts waiting attempts on the free cores of a server.
 func (s *simulation) startWaiting(server *queueServer) {
 	for server.busy < s.cores && len(server.waiting) > 0 {
 		a := server.waiting[0]
 		server.waiting = server.waiting[1:]
-		if a.ended { // called off in the queue
+		if a.ended { // timed out in the queue
 			server.inFlight--
 			continue
 		}
@@ -237,6 +244,7 @@
 	}
 }
 
+// end records the end of an attempt and reports it to the dispatcher.
 func (s *simulation) end(a *simAttempt, status control.Status) {
 	if a.ended {
 		return
@@ -264,6 +272,7 @@
 	s.policy.attemptEnded(s, r, a.server, status)
 }
 
+// total returns the statistics of all requests.
 func (s *simulation) total() (sum requestStats) {
 	for _, e := range s.byClass {
 		sum.offeredWorth += e.offeredWorth
@@ -278,11 +287,11 @@
 	return sum
 }
 
-// gateways is the fleet under test.
+// gatewayFleet is the dispatcher under test: all gateways of a fleet.
 type gatewayFleet struct {
 	instances []*control.Gateway
 	seed      uint64
-	attempts  map[uint64]int // attempts so far, by request
+	attempts  map[uint64]int // attempts that have ended, by request
 	servers   map[string]*queueServer
 }
 
@@ -305,6 +314,7 @@
 	}
 }
 
+// handle passes an event to gateway i and carries out its actions.
 func (f *gatewayFleet) handle(s *simulation, i int, ev control.Event) {
 	for _, a := range f.instances[i].Handle(s.now, ev, nil) {
 		switch a := a.(type) {
@@ -334,8 +344,9 @@
 		Closed: status == control.OK || r.done})
 }
 
-// seeing is the reference: one dispatcher that sees every queue as it is, sends to the shortest and refuses where
-// all hold as many for each core as its cap.
+// shortestQueue is the reference policy: one dispatcher that knows the length of every queue and sends to the server
+// with the fewest attempts in flight relative to its speed. It refuses a request if that server has at least
+// perCoreCap attempts in flight for each core.
 type shortestQueue struct{ perCoreCap float64 }
 
 func (p *shortestQueue) offer(s *simulation, r *queuedRequest) {
@@ -359,7 +370,7 @@
 	}
 }
 
-// bestSeen is the most that a seeing dispatcher earns, over a few caps.
+// bestShortestQueue runs the workload with shortestQueue at several caps and returns the run that earns most.
 func bestShortestQueue(w *workload, seed uint64) (best *simulation) {
 	for _, perCoreCap := range []float64{1, 1.34, 2, 3, 5, 10} {
 		if s := simulate(w, &shortestQueue{perCoreCap}, seed); best == nil || s.total().earnedWorth > best.total().earnedWorth {
