--- a/control/size_test.go
+++ b/control/size_test.go
@@ -8,9 +8,9 @@
 	"junctionring/control"
 )
 
-// Each test here is a danger that size brings, or a trouble met at size.
+// These tests check that decisions hold for fleets of any size, and guard against faults that show only in large ones.
 
-// named gives n server names.
+// serverNames returns n server names.
 func serverNames(n int) []string {
 	names := make([]string, n)
 	for i := range names {
@@ -19,7 +19,8 @@
 	return names
 }
 
-// Servers that turn one class away as full, with room for the others.
+// Two of four servers reject one class as full and have room for the others. That class must avoid them, and the
+// others must not.
 func TestFullForOneClassIsRememberedForThatPair(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
 	rejected := map[int]int{}
@@ -40,18 +41,18 @@
 		f.step(0.02)
 	}
 	if rejected[0] > 50 {
-		t.Errorf("%d of 500 of the class went where it is turned away, want few", rejected[0])
+		t.Errorf("%d attempts of the rejected class at servers that reject it, want at most 50", rejected[0])
 	}
 	if served["other class"] < 150 {
-		t.Errorf("%d of 500 of the other class went to those servers, want about half", served["other class"])
+		t.Errorf("%d of 500 requests of the other class sent to those servers, want at least 150", served["other class"])
 	}
 	if f.refused[0] > 25 {
-		t.Errorf("%d of 500 refused with half of the servers open to them", f.refused[0])
+		t.Errorf("%d of 500 refused although half of the servers accept the class, want at most 25", f.refused[0])
 	}
 }
 
-// Work is done and part of its answers break off on most servers: none is out
-// for long, and none is taken for restarted.
+// Servers do their work, and a fifth of the connections break before the answer. No server may stay ejected for it, or
+// be taken as restarted and cold.
 func TestLostAnswersAreNoRestart(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
 	n := 0
@@ -72,13 +73,13 @@
 	}
 	for _, s := range []string{"a", "b", "c", "d"} {
 		if f.sentTo[s] < 70 {
-			t.Errorf("%s got %d of 500, as if it were out or cold", s, f.sentTo[s])
+			t.Errorf("%s got %d of 500 attempts, as if it were ejected or cold; want at least 70", s, f.sentTo[s])
 		}
 	}
 }
 
-// Clients that leave soon say nothing of the servers; those whose time is hardly
-// enough are refused at once.
+// Time-outs of clients that wait only briefly must not count against the servers. A request whose time left is
+// unlikely to suffice is refused at once.
 func TestShortDeadlinesEjectNoServer(t *testing.T) {
 	r := newHarness(t, settings(), readyMembers("a", "b", "c", "d")...)
 	answer := func(customer uint64, timeLeft, took float64) bool {
@@ -91,10 +92,10 @@
 		return len(filter[control.Send](acts)) > 0
 	}
 	for i := range uint64(200) {
-		answer(1000+i, 3, 0.05) // quick answers, as a rule
+		answer(1000+i, 3, 0.05) // the gateway learns that answers take 0.05 s
 	}
 	if answer(1, 0.02, 0.05) {
-		t.Error("a request was started that has less than half of the time it takes")
+		t.Error("request sent with 0.02 s left, where answers take 0.05 s")
 	}
 	late := 0
 	for i := range 200 {
@@ -110,12 +111,12 @@
 		r.advance(0.04)
 	}
 	if late > 0 {
-		t.Errorf("%d of 200 refused after time-outs of a tenth of the aim", late)
+		t.Errorf("%d of 200 refused after time-outs at a tenth of the aim, want none", late)
 	}
 }
 
-// With hundreds of gateways a small preference for near servers or a quick one
-// would send everything there; those that keep to a few servers keep to different ones.
+// With hundreds of gateways, a small preference for near or quick servers would send all traffic to them. Gateways
+// that use only a few servers must use different ones.
 func TestLargeFleetIsUsedEvenly(t *testing.T) {
 	s := settings()
 	s.Gateways = 400
@@ -145,16 +146,16 @@
 			near += sent[name]
 		}
 		if part := float64(sent[name]) / float64(all) * 80; part > 1.7 || part < 0.4 {
-			t.Errorf("%s got %.2f of its even part", name, part)
+			t.Errorf("%s got %.2f of an even share, want 0.4 to 1.7", name, part)
 		}
 	}
 	if share := float64(near) / float64(all); share > 0.6 {
-		t.Errorf("%.2f went to the near zone, want about half", share)
+		t.Errorf("%.2f of the attempts went to the near zone, want at most 0.6", share)
 	}
 }
 
-// Traffic is spread thin: a gateway that sends everywhere meets each server once in many seconds and learns nothing
-// of it. Each keeps to a few, and each server has as many gateways, also once most of the servers are replaced.
+// A gateway of a large fleet that sends to all servers reaches each once in many seconds and learns nothing about it.
+// Each gateway uses a few servers, and each server has about equally many gateways, also after most are replaced.
 func TestGatewaysMeetFewServersEvenly(t *testing.T) {
 	for _, gateways := range []int{80, 200} {
 		s := settings()
@@ -165,7 +166,7 @@
 			all = append(all, newSeededHarness(t, s, uint64(i), readyMembers(serverNames(60)...)...))
 		}
 		check := func(when string, servers []string) {
-			usersOf := map[string]int{} // gateways that use a server
+			usersOf := map[string]int{} // number of gateways that use a server
 			for i, r := range all {
 				used := map[string]bool{}
 				for k := range 100 {
@@ -181,7 +182,7 @@
 					usersOf[server]++
 				}
 				if len(used) < 6 || len(used) > 12 {
-					t.Errorf("%d gateways, %s: gateway %d uses %d servers", gateways, when, i, len(used))
+					t.Errorf("%d gateways, %s: gateway %d uses %d servers, want 6 to 12", gateways, when, i, len(used))
 				}
 			}
 			mean := 0.0
@@ -190,7 +191,8 @@
 			}
 			for _, server := range servers {
 				if n := float64(usersOf[server]); n < 0.7*mean || n > 1.4*mean {
-					t.Errorf("%d gateways, %s: %s is used by %.0f gateways, the mean is %.1f", gateways, when, server, n, mean)
+					t.Errorf("%d gateways, %s: %s is used by %.0f gateways, want 0.7 to 1.4 times the mean of %.1f",
+						gateways, when, server, n, mean)
 				}
 			}
 		}
@@ -209,7 +211,7 @@
 	}
 }
 
-// Silence for a part of the answers, while those that come are quick, is no crowd.
+// A fifth of the attempts time out while all answers are quick: lost answers must not be taken as overload.
 func TestLostAnswersAreNoOverload(t *testing.T) {
 	for _, gateways := range []int{2, 100} {
 		refused, played := 0, 0
@@ -226,7 +228,7 @@
 				return 0.1, control.OK
 			}
 			for i := range 500 {
-				f.offer(2, 0, uint64(i)) // what must not run twice cannot be saved by another attempt
+				f.offer(2, 0, uint64(i)) // unsafe: a lost answer is not made up for by a retry
 				for range 4 + gateways/10 {
 					f.step(0.025)
 				}
@@ -235,21 +237,20 @@
 			played++
 		}
 		if share := float64(refused) / float64(500*played); share > 0.06 {
-			t.Errorf("%d gateways: %.3f refused although every answer that came was quick", gateways, share)
+			t.Errorf("%d gateways: %.3f refused although all answers were quick, want at most 0.06", gateways, share)
 		}
 	}
 }
 
-// All gateways together send a server that has just started its part, no more
-// than it can do and more than nothing, however many they are.
+// All gateways together, at any number, send a cold server no more than it can handle and more than nothing.
 func TestColdServersPartAtAnySize(t *testing.T) {
 	for _, gateways := range []int{2, 10, 100, 500} {
 		s := settings()
 		s.Gateways = gateways
-		sample := uint64(60 + 2*gateways) // gateways played, each with an equal part of the traffic
+		sample := uint64(60 + 2*gateways) // gateways simulated, each with an equal part of the traffic
 		cold, all := 0, 0
 		for seed := range sample {
-			s.Ordinal = int(seed) * 37 % gateways // spread over all; 37 divides none of the sizes
+			s.Ordinal = int(seed) * 37 % gateways // spread over the fleet: 37 divides none of the sizes
 			g, err := control.New(s, seed)
 			if err != nil {
 				t.Fatal(err)
@@ -275,14 +276,15 @@
 				}
 			}
 		}
-		warmth := 0.2 + 0.8*2/10 // in the middle of the 4 s, at the least
+		warmth := 0.2 + 0.8*2/10 // least share of its capacity in the middle of the 4 s
 		if share := float64(cold) / float64(all) * 10; share > warmth*1.5 || share < warmth*0.25 {
-			t.Errorf("%d gateways give a cold server %.2f of a warm one's part, it can do %.2f", gateways, share, warmth)
+			t.Errorf("%d gateways: cold server got %.2f of an even share, want 0.25 to 1.5 times its capacity of %.2f",
+				gateways, share, warmth)
 		}
 	}
 }
 
-// Every gateway that sends to a server holds a connection there.
+// Every gateway that sends to a server holds a connection to it, so the number of servers of each is bounded.
 func TestConnectionsAtAServerAreBounded(t *testing.T) {
 	for _, gateways := range []int{10, 100, 2000} {
 		s := settings()
@@ -293,13 +295,13 @@
 			f.step(0.1)
 		}
 		if each := gateways * len(f.sentTo) / 100; each > 400 || len(f.sentTo) < 8 {
-			t.Errorf("%d gateways: each uses %d of 100 servers, %d connections at one", gateways, len(f.sentTo), each)
+			t.Errorf("%d gateways: each uses %d of 100 servers, want at least 8; %d connections a server, want at most 400",
+				gateways, len(f.sentTo), each)
 		}
 	}
 }
 
-// A gateway with nothing to do is woken about once a second, and gateways that
-// start together do not stay in step.
+// An idle gateway's timer fires about once a second, and the timers of gateways that start together don't coincide.
 func TestIdleGatewaysSleep(t *testing.T) {
 	first := map[float64]int{}
 	for seed := range uint64(20) {
@@ -313,22 +315,22 @@
 		for now < 1020 {
 			timers := filter[control.SetTimer](acts)
 			if len(timers) != 1 {
-				t.Fatalf("%d timers asked for at once, want one", len(timers))
+				t.Fatalf("%d timers requested at once, want 1", len(timers))
 			}
 			now += timers[0].Delay
 			acts = g.Handle(now, control.Timer{}, nil)
 			woken++
 		}
 		if woken > 40 {
-			t.Errorf("woken %d times in 20 s with nothing to do", woken)
+			t.Errorf("idle gateway woken %d times in 20 s, want at most 40", woken)
 		}
 	}
 	if len(first) < 15 {
-		t.Errorf("20 gateways wake at %d different times only", len(first))
+		t.Errorf("20 gateways wake at %d different times, want at least 15", len(first))
 	}
 }
 
-// The work for an event must not grow with the square of the fleet.
+// BenchmarkHandle shows how the time for an event grows with the fleet: it must not grow with the square of its size.
 func BenchmarkHandle(b *testing.B) {
 	for _, size := range []struct{ gateways, servers int }{{3, 10}, {450, 100}} {
 		b.Run(fmt.Sprintf("%dx%d", size.gateways, size.servers), func(b *testing.B) {
@@ -357,8 +359,8 @@
 	}
 }
 
-// A server that takes work and never answers is left after one loss while the
-// rest answer; a healthy one that lost an answer is not left for good.
+// A server that accepts work and never answers is ejected after one time-out while the others answer. It is used
+// again once it answers.
 func TestBlackHoleIsLeftSoon(t *testing.T) {
 	s := settings()
 	s.Gateways = 100
@@ -375,7 +377,7 @@
 		f.step(0.1)
 	}
 	if got := f.sentTo["s0"]; got == 0 || got > 12 {
-		t.Errorf("a server that never answers got %d of 400, want a few", got)
+		t.Errorf("server that never answers got %d of 400 attempts, want 1 to 12", got)
 	}
 	hole = false
 	clear(f.sentTo)
@@ -384,13 +386,13 @@
 		f.step(0.1)
 	}
 	if got := f.sentTo["s0"]; got < 100 {
-		t.Errorf("once it answers again it got %d of 3000, want more", got)
+		t.Errorf("recovered server got %d of 3000 attempts, want at least 100", got)
 	}
 }
 
-// Servers that work only on what nobody waits for answer nothing, and clients
-// ask three times as often: what is sent on falls within seconds, although no
-// late answer tells of it, and is back within seconds once answers are quick.
+// Overloaded servers that work only on abandoned requests answer nothing, and clients send three times as much. The
+// gateways must shed load within seconds although no late answer shows the overload, and stop shedding within seconds
+// once answers are quick.
 func TestCollapseIsDetectedWithoutAnswers(t *testing.T) {
 	for _, gateways := range []int{3, 100, 400} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
@@ -399,7 +401,7 @@
 			f := newFleet(t, s, serverNames(40)...)
 			after, status := 0.15, control.OK
 			f.answer = func(string) (float64, control.Status) { return after, status }
-			rate := 240 / float64(gateways) // requests a second at this gateway
+			rate := 240 / float64(gateways) // this gateway's requests a second
 			customer := uint64(0)
 			run := func(seconds, rate float64) (share float64) {
 				asked, sent := 0, 0
@@ -417,24 +419,24 @@
 				return float64(sent) / float64(asked)
 			}
 			if calm := run(40, rate); calm < 0.9 {
-				t.Fatalf("%.2f sent on in calm times", calm)
+				t.Fatalf("%.2f of the requests sent without overload, want at least 0.9", calm)
 			}
 			after, status = 3, control.Timeout
 			run(6, 3*rate)
 			if share := run(10, 3*rate); share > 0.25 {
-				t.Errorf("%.2f of the requests sent on while nothing is answered", share)
+				t.Errorf("%.2f of the requests sent while nothing is answered, want at most 0.25", share)
 			}
 			after, status = 0.15, control.OK
 			run(15, rate)
 			if share := run(20, rate); share < 0.6 {
-				t.Errorf("%.2f sent on long after answers are quick again", share)
+				t.Errorf("%.2f of the requests sent 15 s after answers became quick again, want at least 0.6", share)
 			}
 		})
 	}
 }
 
-// In a crowd, tries that are surely inside their quota go before those that have
-// only a chance of it: what is sent on beyond a quota earns nothing.
+// Under overload, requests that are certainly within their quota are preferred to those that may be beyond it, since a
+// request beyond its quota earns nothing.
 func TestOverloadShedsLikelyOverQuotaFirst(t *testing.T) {
 	s := settings()
 	s.Gateways = 50
@@ -457,13 +459,14 @@
 			if customer == 0 {
 				kind, customer = unknown, uint64(100+i)
 			}
-			if i == 501 { // whenever it is said: some wait for the counter first
+			if i == 501 { // from here on refusals count, whenever their requests came: some were held for the counter
 				clear(f.refused)
 			}
 			f.lastID++
 			f.classOf[f.lastID] = kind
 			acts := f.handle(control.Request{ID: f.lastID, Class: 2, Customer: customer, TimeLeft: 3, Units: 1, Spread: 4})
-			// Others have spent most of a burst and all that came in since the window began, of which no view tells yet.
+			// Other gateways have used most of a burst and all that was refilled since the window began. This gateway
+			// has not seen it yet.
 			for _, call := range filter[control.Count](acts) {
 				if kind == unknown && f.totals[call.Name] == 0 {
 					f.totals[call.Name] = 2 + 2*math.Mod(f.now, 3)
@@ -476,8 +479,9 @@
 			refused[kind] += n
 		}
 	}
-	likelyInside, doubtful := float64(refused[known])/20000, float64(refused[unknown])/5000
-	if likelyInside == 0 || likelyInside > 0.8*doubtful {
-		t.Errorf("refused %.2f of the sure and %.2f of the doubtful", likelyInside, doubtful)
+	within, uncertain := float64(refused[known])/20000, float64(refused[unknown])/5000
+	if within == 0 || within > 0.8*uncertain {
+		t.Errorf("refused %.2f of those within quota, want more than 0 and at most 0.8 of the uncertain ones' %.2f",
+			within, uncertain)
 	}
 }
