--- a/control/trouble_test.go
+++ b/control/trouble_test.go
@@ -9,14 +9,13 @@
 	"junctionring/control"
 )
 
-// Each test here is one kind of trouble of docs/oncall.md, as one gateway sees it.
+// Each test shows one kind of fault that docs/oncall.md describes, as one gateway meets it.
 
-// fleet answers attempts after a time that a test gives for each server, and
-// calls to the counter after a time of its own.
+// fleet is a harness that answers attempts and counter calls after times that the test sets, the former by server.
 type fleet struct {
 	*harness
 	answer      func(server string) (after float64, st control.Status)
-	rejects     func(server string, class int) bool // turned away at once
+	rejects     func(server string, class int) bool // reports whether it rejects the class as full
 	answerCount func() (after float64, st control.Status)
 	totals      map[uint64]float64
 	pending     []pendingEvent
@@ -27,6 +26,7 @@
 	attempts    map[uint64]int
 }
 
+// pendingEvent is an event to deliver at a later time.
 type pendingEvent struct {
 	at float64
 	ev control.Event
@@ -47,6 +47,7 @@
 	}
 }
 
+// perform carries out the actions of the gateway.
 func (f *fleet) perform(acts []control.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -78,7 +79,7 @@
 	}
 }
 
-// step lets time pass and delivers what falls due.
+// step moves the clock forward and delivers the pending events that are due.
 func (f *fleet) step(d float64) {
 	f.now += d
 	f.perform(f.handle(control.Timer{}))
@@ -95,7 +96,7 @@
 	f.pending = append(later, f.pending...)
 }
 
-// offer brings one request in and tells whether it was sent on.
+// offer passes a new request to the gateway and reports whether it was sent to a server.
 func (f *fleet) offer(class, plan int, customer uint64) bool {
 	f.classOf[f.lastID+1] = class
 	_, acts := f.request(class, plan, customer)
@@ -103,6 +104,7 @@
 	return len(filter[control.Send](acts)) > 0
 }
 
+// totalSent returns the number of attempts at all servers.
 func (f *fleet) totalSent() int {
 	n := 0
 	for _, k := range f.sentTo {
@@ -122,7 +124,8 @@
 		f.step(0.02)
 	}
 	if part := (8.0 + 2*10) / 2; float64(sent) > part+2 || float64(sent) < part/2 {
-		t.Errorf("%d sent on in a silence, want about the part of %v", sent, part)
+		t.Errorf("%d requests sent while the counter is silent, want at most 2 more than the split of %v, and at least half",
+			sent, part)
 	}
 }
 
@@ -143,20 +146,20 @@
 		sum += n
 	}
 	if sum > 1000 {
-		t.Errorf("%d calls in 20 s to a counter that is crowded", sum)
+		t.Errorf("%d calls in 20 s to an overloaded counter, want at most 1000", sum)
 	}
 	if busy < 40 {
-		t.Errorf("only %d of 100 of a steady customer sent on in a flood", busy)
+		t.Errorf("%d of 100 requests of a steady customer sent during a flood, want at least 40", busy)
 	}
 	if most < 2 {
-		t.Error("the steady customer was never looked up again: the flood swamped the calls")
+		t.Error("no count was called twice: the flood left no counter calls for the steady customer")
 	}
 }
 
 func TestRestartGrantsNoCeilingBurst(t *testing.T) {
 	s := settings()
 	sent := 0
-	for range 4 { // four lives of half a second each, with a silent counter
+	for range 4 { // four processes of half a second each, with a silent counter
 		f := newFleet(t, s, "a", "b", "c", "d")
 		f.answerCount = func() (float64, control.Status) { return 0.05, control.Timeout }
 		for range 50 {
@@ -167,7 +170,7 @@
 		}
 	}
 	if most := 8.0 / 2 * 2; float64(sent) > most {
-		t.Errorf("%d sent on over four lives of 2 s in all, want at most the ceiling's rate: %v", sent, most)
+		t.Errorf("%d requests sent by four processes in 2 s, want at most the split of the ceiling's rate: %v", sent, most)
 	}
 }
 
@@ -176,7 +179,7 @@
 		name  string
 		after float64
 		st    control.Status
-		most  float64 // share of all sends the server may get
+		most  float64 // highest allowed share of all attempts
 	}{
 		{"standing still", 2.5, control.Timeout, 0.08},
 		{"slow", 0.8, control.OK, 0.15},
@@ -193,11 +196,11 @@
 				return 0.1, control.OK
 			}
 			for i := range 1000 {
-				f.offer(2, 0, uint64(i)) // unsafe: no second attempts to hide behind
+				f.offer(2, 0, uint64(i)) // unsafe: no retries to other servers
 				f.step(0.02)
 			}
 			if share := float64(f.sentTo["a"]) / float64(f.totalSent()); share > c.most || f.sentTo["a"] == 0 {
-				t.Errorf("it got %.2f of all attempts, want some, and at most %v", share, c.most)
+				t.Errorf("faulty server got %.2f of all attempts, want more than 0 and at most %v", share, c.most)
 			}
 		})
 	}
@@ -212,7 +215,7 @@
 	}
 	first := len(f.attempts)
 	if extra := f.totalSent() - first; float64(extra) > 0.1*500+10 {
-		t.Errorf("%d further attempts for %d requests, want about a tenth", extra, first)
+		t.Errorf("%d retries of %d requests, want at most a tenth and 10", extra, first)
 	}
 }
 
@@ -228,10 +231,10 @@
 		f.step(0.02)
 	}
 	if f.refused[2] >= f.refused[0] {
-		t.Errorf("refused %d of the cheap and %d of the dear", f.refused[0], f.refused[2])
+		t.Errorf("refused %d of class 0 (worth 2) and %d of class 2 (worth 5), want more of class 0", f.refused[0], f.refused[2])
 	}
 	if f.refused[0] < 200 {
-		t.Errorf("only %d refused at more than twice the capacity", f.refused[0])
+		t.Errorf("%d refused at more than twice the capacity, want at least 200", f.refused[0])
 	}
 }
 
@@ -243,28 +246,28 @@
 	}
 	f.perform(f.handle(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: "a", Since: f.now}}}))
 	clear(f.sentTo)
-	for i := range 100 { // 2 s, the time after which too much work makes it fall
+	for i := range 100 { // 2 s: a cold server goes down after being overloaded for so long
 		f.offer(0, 0, uint64(1000+i))
 		f.offer(0, 0, uint64(5000+i))
 		f.step(0.02)
 	}
-	warmest := 0.2 + 0.8*2/10 // share of its capacity it has by then at the least
+	warmest := 0.2 + 0.8*2/10 // least share of its capacity by then
 	if got, peer := float64(f.sentTo["a"]), float64(f.sentTo["b"]); got > peer*warmest+2 {
-		t.Errorf("a cold server got %v while a warm one got %v", got, peer)
+		t.Errorf("cold server got %v attempts and a warm one %v, want at most %.2f of that and 2", got, peer, warmest)
 	}
 }
 
 func TestShareFollowsTheTraffic(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
 	sent := 0
-	for range 1000 { // 20 s, all of this customer's requests come here
+	for range 1000 { // 20 s, in which all of this customer's requests come to this gateway
 		if f.offer(0, 0, 5) {
 			sent++
 		}
 		f.step(0.02)
 	}
 	if quota := 8 + 2*20.0; float64(sent) < 0.8*quota || float64(sent) > quota+1 {
-		t.Errorf("%d sent on, want most of the quota of %v and not more", sent, quota)
+		t.Errorf("%d requests sent, want at least 0.8 of the quota of %v and at most 1 beyond it", sent, quota)
 	}
 }
 
@@ -281,19 +284,19 @@
 		f.offer(0, 0, uint64(i))
 		f.step(0.02)
 	}
-	down = false // it is back; the list has told nothing
+	down = false // it is back, and the list has not shown the restart
 	clear(f.sentTo)
 	for i := range 250 { // 5 s
 		f.offer(0, 0, uint64(1000+i))
 		f.step(0.02)
 	}
 	if got, peer := f.sentTo["a"], f.sentTo["b"]; got == 0 || float64(got) > 0.6*float64(peer) {
-		t.Errorf("after a suspected restart it got %d, another %d", got, peer)
+		t.Errorf("server with a suspected restart got %d attempts and another %d, want some and at most 0.6 of that", got, peer)
 	}
 }
 
-// A gateway of a large fleet has seldom more than one attempt out, so its own
-// slots never fill; late answers of servers it hardly knows must do.
+// A gateway of a large fleet seldom has more than one attempt in flight, so its concurrency limits are never reached.
+// Late answers must make it shed, even those of servers that it seldom uses.
 func TestLateAnswersOfAnyServerShed(t *testing.T) {
 	set := settings()
 	set.Gateways = 400
@@ -322,9 +325,10 @@
 		}
 		switch {
 		case !late && sent[0]+sent[1] < 290:
-			t.Errorf("only %v of 150 each sent on while answers are quick", sent)
+			t.Errorf("%v of 150 requests of each class sent while answers are quick, want at least 290 in all", sent)
 		case late && (sent[0]+sent[1] > 200 || sent[0] >= sent[1] || sent[1] == 0):
-			t.Errorf("%v of 150 each sent on while all answers are late, want few, and less of the cheap", sent)
+			t.Errorf("%v of 150 requests of each class sent while all answers are late, want at most 200, fewer of the cheaper",
+				sent)
 		}
 	}
 }
@@ -332,19 +336,19 @@
 func TestNoEarlyTimeoutWhilePressed(t *testing.T) {
 	r := newHarness(t, settings(), readyMembers("a", "b")...)
 	var sends []control.Send
-	for i := range 40 { // nothing comes back
+	for i := range 40 { // nothing is answered
 		_, acts := r.request(0, 0, uint64(i))
 		sends = append(sends, filter[control.Send](acts)...)
 	}
 	if len(sends) < 4 || len(sends) == 40 {
-		t.Fatalf("%d of 40 sent on, want the servers filled and the rest refused", len(sends))
+		t.Fatalf("%d of 40 requests sent, want 4 to 39: the limits reached and the rest refused", len(sends))
 	}
 	if first, last := sends[0].Timeout, sends[len(sends)-1].Timeout; first == 0 || last != 0 {
-		t.Errorf("time-outs of %v and then %v, want one only while there is room", first, last)
+		t.Errorf("attempt time-outs of %v and then %v, want one without overload and none under overload", first, last)
 	}
 }
 
-// Reports that are missing, frozen or absurd must not steer anything.
+// Missing, frozen or absurd load reports must not change any decision.
 func TestLoadReportsCannotMislead(t *testing.T) {
 	counts := map[string]map[string]int{}
 	for name, load := range map[string][]float64{"none": nil, "frozen": {0, 0, 0}, "absurd": {-1e300, 1e300}} {
@@ -364,7 +368,7 @@
 	}
 	for name, got := range counts {
 		if !reflect.DeepEqual(got, counts["none"]) || len(got) != 3 {
-			t.Errorf("reports %s: attempts went %v, without reports %v", name, got, counts["none"])
+			t.Errorf("reports %s: attempts %v, want the same at three servers as without reports: %v", name, got, counts["none"])
 		}
 	}
 }
@@ -372,13 +376,13 @@
 func TestAFewCustomersFloodingLeaveOthersAlone(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
 	flooding, steady, asked := 0, 0, 0
-	for i := range 1000 { // 20 s; two customers ask 50 a second each against 2
+	for i := range 1000 { // 20 s; two customers send 50 requests a second each, at a rate of 2
 		for c := range uint64(2) {
 			if f.offer(0, 0, c) {
 				flooding++
 			}
 		}
-		if i%50 == 0 { // a steady one asks once a second
+		if i%50 == 0 { // a steady one sends one a second
 			asked++
 			if f.offer(0, 0, 9) {
 				steady++
@@ -387,38 +391,38 @@
 		f.step(0.02)
 	}
 	if quota := 2 * (8 + 2*20); flooding > quota+4 {
-		t.Errorf("the flooding ones got %d, their quotas hold %d", flooding, quota)
+		t.Errorf("%d requests of the flooding customers sent, want at most 4 beyond their quotas of %d", flooding, quota)
 	}
 	if steady < asked*9/10 {
-		t.Errorf("the steady customer got %d of %d", steady, asked)
+		t.Errorf("%d of %d requests of the steady customer sent, want at least nine tenths", steady, asked)
 	}
 }
 
-// Others' adds that come late at the counter show as a jump, and are drawn once.
+// Units of other gateways that reach the counter late show as a jump of the total, and must be drawn exactly once.
 func TestLaggingCounter(t *testing.T) {
 	s := settings()
-	s.Plans[0].Rate = 0.2 // a window of 40 s, a store of 8
+	s.Plans[0].Rate = 0.2 // a window of 40 s, a burst of 8
 	f := newFleet(t, s, "a", "b", "c", "d")
 	f.offer(0, 0, 5)
 	f.step(1)
 	f.step(1)
 	for name := range f.totals {
-		f.totals[name] += 5 // two are left
+		f.totals[name] += 5 // leaves two units
 	}
 	sent := 0
-	for range 100 { // 10 s, in which two more units come in
+	for range 100 { // 10 s, in which two more units are refilled
 		if f.offer(0, 0, 5) {
 			sent++
 		}
 		f.step(0.1)
 	}
 	if sent < 2 || sent > 6 {
-		t.Errorf("%d sent on, want about the two left, the two that came in, and at most two unseen", sent)
+		t.Errorf("%d requests sent, want 2 to 6: two units left, two refilled, and at most two before the total was read", sent)
 	}
 }
 
-// Limits that a crowd has cut down are back within seconds of quick answers:
-// one in a hundred for each would take minutes.
+// Limits that an overload has cut must recover within seconds of quick answers. If each server's limit grew by only
+// one in a hundred with each of its own answers, that would take minutes.
 func TestLimitsRecoverAfterOverload(t *testing.T) {
 	f := newFleet(t, settings(), serverNames(4)...)
 	after := 0.9 // late, though within the aim
@@ -437,25 +441,27 @@
 	after = 0.1
 	play(8)
 	if refused := play(10); refused > 0.3 {
-		t.Errorf("%.2f refused eight seconds after answers are quick again", refused)
+		t.Errorf("%.2f refused eight seconds after answers became quick again, want at most 0.3", refused)
 	}
 }
 
-// Requests whose bodies are slow to come in are no work at a server until their last byte: others are let in beside
-// them as though they were not there. Once they are whole they count, and their time is judged from then on.
+// A request is no work for its server until the last byte of its body: slow uploads must not cause refusals of other
+// requests. Once its body is complete it counts as in flight, and its time starts.
 func TestIncomingBodiesAreNoWork(t *testing.T) {
 	letIn := func(whole bool) (n int) {
 		r := newHarness(t, settings(), control.Member{Server: "a"})
 		var slow []control.Send
 		for i := range 40 {
 			r.lastID++
-			acts := r.handle(control.Request{ID: r.lastID, Class: 3, Plan: 0, Customer: uint64(100 + i), TimeLeft: 3, Units: 1, Spread: 2, BodyIncoming: true})
+			acts := r.handle(control.Request{
+				ID: r.lastID, Class: 3, Plan: 0, Customer: uint64(100 + i), TimeLeft: 3, Units: 1, Spread: 2, BodyIncoming: true,
+			})
 			sent := filter[control.Send](acts)
 			if len(sent) == 0 && whole {
-				continue // a crowd already
+				continue // the limit is reached
 			}
 			if len(sent) != 1 || sent[0].Timeout != 0 {
-				t.Fatalf("slow request %d: %v", i, acts)
+				t.Fatalf("request %d with a slow body: want one attempt without a time-out, got %v", i, acts)
 			}
 			if slow = append(slow, sent...); whole {
 				r.handle(control.BodyReceived{ID: r.lastID})
@@ -466,26 +472,28 @@
 			n += len(filter[control.Send](r.requestAnswered(0, 0, uint64(200+i))))
 			r.now += 0.05
 		}
-		if !whole { // ten seconds after the first byte, a moment after the last: in time
+		if !whole { // in time: ten seconds after the first byte, but 0.1 s after the last
 			r.now += 10
 			r.handle(control.BodyReceived{ID: slow[0].ID})
 			r.now += 0.1
-			if acts := r.handle(control.Outcome{ID: slow[0].ID, Server: "a", Status: control.ConnectFailed, Elapsed: 0.1}); len(filter[control.Refuse](acts))+len(filter[control.Send](acts)) != 1 {
-				t.Errorf("a request within its time was not sent again nor refused: %v", acts)
+			if acts := r.handle(control.Outcome{
+				ID: slow[0].ID, Server: "a", Status: control.ConnectFailed, Elapsed: 0.1,
+			}); len(filter[control.Refuse](acts))+len(filter[control.Send](acts)) != 1 {
+				t.Errorf("failed attempt of a request with time left: want one retry or one refusal, got %v", acts)
 			}
 		}
 		return n
 	}
 	if n := letIn(false); n != 40 {
-		t.Errorf("beside bodies that are coming in %d of 40 were let in", n)
+		t.Errorf("%d of 40 requests admitted while 40 bodies are incoming, want all", n)
 	}
 	if n := letIn(true); n == 40 {
-		t.Error("40 attempts out for seconds at one server are no crowd: the other half proves nothing")
+		t.Error("40 attempts with complete bodies at one server caused no refusal: the check with incoming bodies proves nothing")
 	}
 }
 
-// A gateway that is about to end adds all it has used: in calls of the usual pace, also what an answer that was lost
-// gives back, and says when nothing is left.
+// A gateway that shuts down adds all its unflushed units to the counter, including those of a call that failed
+// meanwhile, and reports when none are left.
 func TestEndingAddsWhatIsLeft(t *testing.T) {
 	s := settings()
 
@@ -496,7 +504,7 @@
 		take(r.requestAnswered(0, 0, uint64(300+i)))
 	}
 	if r.g.UnflushedCustomers() == 0 {
-		t.Fatal("all is added already: nothing to show")
+		t.Fatal("no unflushed units before the shutdown: the test proves nothing")
 	}
 	take(r.handle(control.ShuttingDown{}))
 	failed := false
@@ -508,7 +516,7 @@
 		}
 		c := out[0]
 		out = out[1:]
-		if c.Amount > 0 && !failed { // once: not added, and to be added later
+		if c.Amount > 0 && !failed { // the first call fails; its units are to be added later
 			failed = true
 			take(r.handle(control.Counted{Name: c.Name, Status: control.ConnectFailed}))
 			continue
@@ -521,6 +529,7 @@
 		sum += n
 	}
 	if r.g.UnflushedCustomers() != 0 || math.Abs(sum-30) > 1e-6 || !failed {
-		t.Errorf("of 30 units %v were added, %d customers have some left", sum, r.g.UnflushedCustomers())
+		t.Errorf("%v units added and %d customers unflushed (a call failed: %v), want 30 and none after a failed call",
+			sum, r.g.UnflushedCustomers(), failed)
 	}
 }
