--- a/control/coldfleet_test.go
+++ b/control/coldfleet_test.go
@@ -10,38 +10,38 @@
 	"junctionring/control"
 )
 
-// The simulated fleet: gateways that share servers of processor-sharing cores, some of which start cold while
-// traffic doubles. Quotas are off, so that all that is refused is refused for want of servers.
+// This file simulates a fleet of gateways and servers with processor-sharing cores, some of which start cold while
+// traffic doubles. Quotas are off, so all refusals are for lack of server capacity.
 
 const (
 	simTick            = 0.004 // s
 	simCores           = 3.0
-	simMaxQueue        = 60 // requests at a server beyond which it turns away
-	simMinListDelay    = 0.3
-	simListDelayRange  = 1.4 // s that a gateway's list may lag beyond simDiscovery
-	simWarmUp          = 10.0
-	simDuration        = 34.0
-	simBurstFrom       = 12.0
-	simBurstTo         = 18.0
-	simBurstFactor     = 2.0
-	simLoad            = 0.5 // of the capacity of all servers while warm, before the burst
-	simCrashAt         = 13.0
-	simCrashDuration   = 1.5
-	simReplaceInterval = 0.8 // s between the replacements of a release
+	simMaxQueue        = 60   // requests at a server beyond which it rejects more
+	simMinListDelay    = 0.3  // s until the first gateway may learn of a list change
+	simListDelayRange  = 1.4  // s; each gateway learns of it after simMinListDelay and a random part of this
+	simWarmUp          = 10.0 // s
+	simDuration        = 34.0 // s
+	simBurstFrom       = 12.0 // s
+	simBurstTo         = 18.0 // s
+	simBurstFactor     = 2.0  // multiplies the load during the burst
+	simLoad            = 0.5  // load before the burst, as a share of the capacity of all servers when warm
+	simCrashAt         = 13.0 // s
+	simCrashDuration   = 1.5  // s
+	simReplaceInterval = 0.8  // s between the server replacements of a release
 )
 
 // simClass is a class of the simulated traffic.
 type simClass struct {
-	share float64 // of the requests
-	work  float64 // s, mean; exponential
+	share float64 // share of the requests
+	work  float64 // mean core seconds; the work of a request is log-normal around it
 }
 
-// simJob is a request at a server.
+// simJob is an attempt of a request at a server.
 type simJob struct {
 	gateway  *simGateway
 	request  *simRequest
 	attempt  int
-	workLeft float64 // s of work
+	workLeft float64 // core seconds
 	timeout  float64 // absolute; 0: none
 	ended    bool
 }
@@ -56,32 +56,33 @@
 	ended     bool
 }
 
-// simServer is one server: its cores share what is at it.
+// simServer is one server: its jobs share its cores.
 type simServer struct {
 	name         string
 	speed        float64
-	startedAt    float64 // last start; 0: long past
+	startedAt    float64 // time of its last start; 0: long ago
 	up           bool
 	jobs         []*simJob
-	coldArrivals []float64 // times of the calls that it took while cold
+	coldArrivals []float64 // times of the attempts that it accepted while cold
 }
 
-// simGateway is one control instance with its view of time and list.
+// simGateway is one gateway under test, with its requests, timer and pending server lists.
 type simGateway struct {
 	*harness
 	set          control.Settings
 	ordinal      int
 	requests     map[uint64]*simRequest
 	timerAt      float64
-	pendingLists []simList // still to be learned
+	pendingLists []simList // not delivered yet
 }
 
+// simList is a change of the server list and the time when one gateway learns of it.
 type simList struct {
 	at      float64
 	entries []control.Member
 }
 
-// simFleet is all of it.
+// simFleet is the simulated fleet and the statistics of its requests.
 type simFleet struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -92,13 +93,13 @@
 	servers      map[string]*simServer
 	order        []*simServer
 	members      map[string]control.Member
-	earnedWorth  []float64 // by class, worth in time
+	earnedWorth  []float64 // by class
 	offeredWorth []float64
 	refused      []int
 	late         []int
 	timedOut     []int
 	lastID       uint64
-	choose       func(f *simFleet, r *simRequest) *simServer // the policy that knows all; nil: the gateways
+	choose       func(f *simFleet, r *simRequest) *simServer // policy that replaces the gateways; nil: none
 }
 
 func newSimFleet(t *testing.T, set control.Settings, classes []simClass, servers int, seed uint64) *simFleet {
@@ -117,7 +118,7 @@
 	return f
 }
 
-// add starts a server.
+// addServer starts a server. Every second one is slower.
 func (f *simFleet) addServer(name string, since float64) {
 	speed := 0.97
 	if len(f.order)%2 == 1 {
@@ -129,7 +130,7 @@
 	f.members[name] = control.Member{Server: name, Since: since}
 }
 
-// start begins a gateway with the list as it is.
+// startGateway returns a new gateway that has the present server list.
 func (f *simFleet) startGateway(ordinal int, seed uint64) *simGateway {
 	set := f.set
 	set.Ordinal = ordinal
@@ -137,7 +138,9 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	gw := &simGateway{harness: &harness{t: f.t, g: g, now: f.now}, set: set, ordinal: ordinal, requests: map[uint64]*simRequest{}}
+	gw := &simGateway{
+		harness: &harness{t: f.t, g: g, now: f.now}, set: set, ordinal: ordinal, requests: map[uint64]*simRequest{},
+	}
 	var entries []control.Member
 	for _, s := range f.order {
 		if m := f.members[s.name]; m.State == control.Ready {
@@ -148,7 +151,7 @@
 	return gw
 }
 
-// tell has each gateway learn of a change, each at its own time.
+// announceChange schedules the delivery of a list change to each gateway, after a random delay for each.
 func (f *simFleet) announceChange(m control.Member) {
 	f.members[m.Server] = m
 	for _, gw := range f.gateways {
@@ -156,7 +159,7 @@
 	}
 }
 
-// warmth is the share of its capacity that a server has.
+// warmShare is the share of its full capacity that a server has now.
 func (s *simServer) warmShare(f *simFleet) float64 {
 	g := f.set.Guarantees
 	if s.startedAt == 0 || f.now-s.startedAt >= g.Ramp {
@@ -165,12 +168,12 @@
 	return g.ColdFrom + (1-g.ColdFrom)*(f.now-s.startedAt)/g.Ramp
 }
 
-// rate is how much work a server does in a second on each of its jobs.
+// ratePerJob is the work a second that a server does for each of its jobs.
 func (s *simServer) ratePerJob(f *simFleet) float64 {
 	return s.speed * s.warmShare(f) * min(1, simCores/float64(max(1, len(s.jobs))))
 }
 
-// run lets the servers work for one tick.
+// runServers advances the work of all servers by one tick.
 func (f *simFleet) runServers() {
 	for _, s := range f.order {
 		if !s.up {
@@ -193,7 +196,7 @@
 	}
 }
 
-// finish tells how an attempt ended.
+// endAttempt records the end of an attempt and reports it to the gateway.
 func (f *simFleet) endAttempt(j *simJob, s *simServer, st control.Status) {
 	if j.ended {
 		return
@@ -217,12 +220,13 @@
 	}
 }
 
+// handleAt sets the gateway's clock and passes it an event.
 func (gw *simGateway) handleAt(now float64, ev control.Event) []control.Action {
 	gw.now = now
 	return gw.handle(ev)
 }
 
-// take carries out what a gateway asks for.
+// perform carries out the actions of a gateway.
 func (f *simFleet) perform(gw *simGateway, acts []control.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -245,7 +249,7 @@
 	}
 }
 
-// call brings a request to a server.
+// deliver starts a job at a server, which may reject it.
 func (f *simFleet) deliver(j *simJob, s *simServer) {
 	switch {
 	case !s.up:
@@ -260,7 +264,7 @@
 	}
 }
 
-// expire ends what has run out of time.
+// endExpired ends the jobs whose time-out or deadline has passed.
 func (f *simFleet) endExpired() {
 	for _, s := range f.order {
 		for _, j := range slices.Clone(s.jobs) {
@@ -281,7 +285,7 @@
 	}
 }
 
-// arrive brings one request in at a gateway drawn at random.
+// arrive creates a random request and passes it to a random gateway, or to the policy.
 func (f *simFleet) arrive() {
 	class, u := 0, f.rng.Float64()
 	for u > f.classes[class].share && class < len(f.classes)-1 {
@@ -289,7 +293,8 @@
 		class++
 	}
 	f.lastID++
-	r := &simRequest{id: f.lastID, class: class, arrivedAt: f.now, work: f.classes[class].work * math.Exp(0.9*f.rng.NormFloat64()-0.405)}
+	r := &simRequest{id: f.lastID, class: class, arrivedAt: f.now,
+		work: f.classes[class].work * math.Exp(0.9*f.rng.NormFloat64()-0.405)}
 	f.offeredWorth[class] += f.set.Classes[class].Worth
 	if f.choose != nil {
 		if s := f.choose(f, r); s != nil {
@@ -301,10 +306,11 @@
 	}
 	gw := f.gateways[f.rng.IntN(len(f.gateways))]
 	gw.requests[r.id] = r
-	f.perform(gw, gw.handleAt(f.now, control.Request{ID: r.id, Class: class, Customer: f.rng.Uint64(), TimeLeft: f.set.Classes[class].Deadline, Units: 1, Spread: f.set.Gateways}))
+	f.perform(gw, gw.handleAt(f.now, control.Request{ID: r.id, Class: class, Customer: f.rng.Uint64(),
+		TimeLeft: f.set.Classes[class].Deadline, Units: 1, Spread: f.set.Gateways}))
 }
 
-// meanWork is that of a request.
+// meanWork is the mean work of a request, in core seconds.
 func (f *simFleet) meanWork() (work float64) {
 	for _, c := range f.classes {
 		work += c.share * c.work
@@ -312,8 +318,8 @@
 	return work
 }
 
-// play lets a day pass: a release of half of the servers, a crash of two others, a burst, and, where asked for,
-// gateways that are restarted meanwhile.
+// run simulates the traffic with a release that replaces half of the servers, a crash of two others, a burst and, if
+// restarts is set, the restart of half of the gateways.
 func (f *simFleet) run(restarts bool) {
 	begin := f.now
 	half := len(f.order) / 2
@@ -365,7 +371,7 @@
 	}
 }
 
-// wake gives a gateway the lists and timers that are due.
+// deliverDue passes a gateway the list changes and the timer that are due.
 func (f *simFleet) deliverDue(gw *simGateway) {
 	gw.pendingLists = slices.DeleteFunc(gw.pendingLists, func(l simList) bool {
 		if l.at > f.now {
@@ -380,7 +386,7 @@
 	}
 }
 
-// crash ends all that is at a server.
+// crash takes a server down and resets its jobs.
 func (f *simFleet) crash(s *simServer) {
 	s.up = false
 	jobs := s.jobs
@@ -390,7 +396,7 @@
 	}
 }
 
-// share is the served part of the worth asked for.
+// earnedShare is the earned worth as a share of the offered worth.
 func (f *simFleet) earnedShare() float64 {
 	served, asked := 0.0, 0.0
 	for i := range f.earnedWorth {
@@ -400,7 +406,7 @@
 	return served / asked
 }
 
-// excess is how much of what the rule on cold servers allows the worst server got.
+// worstColdLoad is the highest load of any cold server, as a multiple of what the guarantees for cold servers allow.
 func (f *simFleet) worstColdLoad() float64 {
 	g, worst := f.set.Guarantees, 0.0
 	for _, s := range f.order {
@@ -418,7 +424,8 @@
 	return worst
 }
 
-// knowsAll sends to the server that will be done first, by what is really at each, and refuses what would be late.
+// fullInformationPolicy knows the jobs of every server. It chooses the server that will be done first, and returns nil
+// if the answer would be late.
 func fullInformationPolicy(f *simFleet, r *simRequest) *simServer {
 	var best *simServer
 	bestTime := math.Inf(1)
@@ -437,7 +444,7 @@
 	return best
 }
 
-// coldSettings are round figures: a cheap class with a long aim and a dear one with a short.
+// coldSettings returns settings with a class of low worth and a long aim, and one of high worth and a short aim.
 func coldSettings(gateways int) (control.Settings, []simClass) {
 	s := settings()
 	s.Gateways = gateways
@@ -451,13 +458,13 @@
 	return s, []simClass{{0.66, 0.18}, {0.34, 0.11}}
 }
 
-// All gateways together keep to the rule on cold servers and serve nearly what a policy serves that knows the
-// state of every server, while lists come late and, in every second day, half of the gateways are restarted.
+// All gateways together must not overload cold servers, and must earn nearly as much as a policy that knows the state
+// of every server, although lists come late and, in every second run, half of the gateways are restarted.
 func TestColdServersUnderABurst(t *testing.T) {
 	const days = 6
 	for _, c := range []struct {
 		gateways int
-		least    float64 // of what the policy serves that knows all
+		least    float64 // least worth, as a share of what the full-information policy earns
 	}{{3, 0.99}, {10, 0.99}, {30, 0.97}} {
 		t.Run(fmt.Sprint(c.gateways), func(t *testing.T) {
 			served, possible, refused := 0.0, 0.0, 0
@@ -466,7 +473,7 @@
 				f := newSimFleet(t, set, classes, 12, day)
 				f.run(day%2 == 1)
 				if excess := f.worstColdLoad(); excess > 1 {
-					t.Errorf("day %d: a cold server got %.2f of the calls that the rule allows", day, excess)
+					t.Errorf("run %d: a cold server got %.2f times the attempts that the guarantees allow, want at most 1", day, excess)
 				}
 				best := newSimFleet(t, set, classes, 12, day)
 				best.choose = fullInformationPolicy
@@ -475,16 +482,15 @@
 				possible += best.earnedShare() / days
 				refused += f.refused[0]
 			}
-			t.Logf("served %.3f, knowing all %.3f; refused %d of the cheap class", served, possible, refused)
+			t.Logf("earned %.3f of the worth, with full information %.3f; refused %d of class 0", served, possible, refused)
 			if served < c.least*possible {
-				t.Errorf("served %.3f of the worth, want %.2f of %.3f", served, c.least, possible)
+				t.Errorf("earned %.3f of the worth, want %.2f of the %.3f that full information earns", served, c.least, possible)
 			}
 		})
 	}
 }
 
-// Servers that have just started answer late by nature. While the others answer quickly and have room, that is no
-// reason to refuse anything.
+// Cold servers answer late. While the warm ones answer quickly and have room, that must not be taken as overload.
 func TestLateAnswersOfColdServersAreNoOverload(t *testing.T) {
 	for _, gateways := range []int{3, 10, 30} {
 		refused, asked := 0, 0
@@ -504,7 +510,7 @@
 				for end := f.now + seconds; f.now < end; {
 					f.offer(0, 0, f.lastID)
 					f.offer(2, 0, f.lastID)
-					for range gateways { // 40 requests a second of all
+					for range gateways { // 40 requests a second at all gateways together
 						f.step(0.05)
 					}
 				}
@@ -521,14 +527,15 @@
 			asked += int(f.lastID - before)
 		}
 		if share := float64(refused) / float64(asked); share > 0.01 {
-			t.Errorf("%d gateways: %.3f of %d refused while eight warm servers of twelve had room", gateways, share, asked)
+			t.Errorf("%d gateways: %.3f of %d refused while eight warm servers of twelve had room, want at most 0.01",
+				gateways, share, asked)
 		} else {
 			t.Logf("%d gateways: %.3f of %d refused", gateways, share, asked)
 		}
 	}
 }
 
-// Where no server is warm, the cold ones have to tell of an overload: the cheap class goes first.
+// Where no server is warm, late answers of cold ones must be taken as overload: the class of lower worth is shed first.
 func TestLateAnswersShedWhereAllAreCold(t *testing.T) {
 	refused := map[int]int{}
 	for seed := range uint64(10) {
@@ -550,8 +557,9 @@
 		}
 	}
 	if float64(refused[0]) < 1.1*float64(refused[2]) {
-		t.Errorf("refused %d of the cheap and %d of the dear", refused[0], refused[2])
+		t.Errorf("refused %d of class 0 (worth 2) and %d of class 2 (worth 5), want at least 1.1 times as many of class 0",
+			refused[0], refused[2])
 	} else {
-		t.Logf("refused %d of the cheap and %d of the dear", refused[0], refused[2])
+		t.Logf("refused %d of class 0 (worth 2) and %d of class 2 (worth 5)", refused[0], refused[2])
 	}
 }
