--- a/control/coldfleet_test.go
+++ b/control/coldfleet_test.go
@@ -461,30 +461,30 @@
 // All gateways together must not overload cold servers, and must earn nearly as much as a policy that knows the state
 // of every server, although lists come late and, in every second run, half of the gateways are restarted.
 func TestColdServersUnderABurst(t *testing.T) {
-	const days = 6
+	const runs = 6
 	for _, c := range []struct {
 		gateways int
 		least    float64 // least worth, as a share of what the full-information policy earns
 	}{{3, 0.99}, {10, 0.99}, {30, 0.97}} {
 		t.Run(fmt.Sprint(c.gateways), func(t *testing.T) {
-			served, possible, refused := 0.0, 0.0, 0
-			for day := range uint64(days) {
+			earned, possible, refused := 0.0, 0.0, 0
+			for run := range uint64(runs) {
 				set, classes := coldSettings(c.gateways)
-				f := newSimFleet(t, set, classes, 12, day)
-				f.run(day%2 == 1)
-				if excess := f.worstColdLoad(); excess > 1 {
-					t.Errorf("run %d: a cold server got %.2f times the attempts that the guarantees allow, want at most 1", day, excess)
+				f := newSimFleet(t, set, classes, 12, run)
+				f.run(run%2 == 1)
+				if worst := f.worstColdLoad(); worst > 1 {
+					t.Errorf("run %d: a cold server got %.2f times the attempts that the guarantees allow, want at most 1", run, worst)
 				}
-				best := newSimFleet(t, set, classes, 12, day)
+				best := newSimFleet(t, set, classes, 12, run)
 				best.choose = fullInformationPolicy
 				best.run(false)
-				served += f.earnedShare() / days
-				possible += best.earnedShare() / days
+				earned += f.earnedShare() / runs
+				possible += best.earnedShare() / runs
 				refused += f.refused[0]
 			}
-			t.Logf("earned %.3f of the worth, with full information %.3f; refused %d of class 0", served, possible, refused)
-			if served < c.least*possible {
-				t.Errorf("earned %.3f of the worth, want %.2f of the %.3f that full information earns", served, c.least, possible)
+			t.Logf("earned %.3f of the worth, with full information %.3f; refused %d of class 0", earned, possible, refused)
+			if earned < c.least*possible {
+				t.Errorf("earned %.3f of the worth, want %.2f of the %.3f that full information earns", earned, c.least, possible)
 			}
 		})
 	}
--- a/control/thin_fleet_test.go
+++ b/control/thin_fleet_test.go
@@ -10,7 +10,7 @@
 	"junctionring/control"
 )
 
-// bucket is the exact token bucket by which a quota or a ceiling is judged.
+// bucket is an exact token bucket, which use of a quota or a ceiling is checked against.
 type bucket struct {
 	rate, burst float64
 	level, at   float64
@@ -18,12 +18,13 @@
 
 func newBucket(rate, burst float64) *bucket { return &bucket{rate: rate, burst: burst, level: burst} }
 
+// refill updates the level to the present time.
 func (b *bucket) refill(now float64) {
 	b.level = min(b.burst, b.level+b.rate*(now-b.at))
 	b.at = now
 }
 
-// take draws units where the bucket holds them, and tells whether it did.
+// tryDraw draws units if the bucket holds them, and reports whether it did.
 func (b *bucket) tryDraw(now, units float64) bool {
 	b.refill(now)
 	if b.level < units {
@@ -33,27 +34,28 @@
 	return true
 }
 
-// draw takes units whether the bucket holds them or not, and returns what it is then short of.
+// forceDraw draws units in any case, and returns by how much the level is then below empty.
 func (b *bucket) forceDraw(now, units float64) float64 {
 	b.refill(now)
 	b.level -= units
 	return max(0, -b.level)
 }
 
-// thinCustomer is a customer whose tries come through so many gateways that each sees it seldom.
+// quotaCustomer is a customer whose requests come through so many gateways that each seldom sees one.
 type quotaCustomer struct {
 	id                       uint64
 	plan                     int
-	demandShare              float64 // of its rate that it asks for
-	spikeFactor              float64 // times as much in a spike
-	spikeOffset              float64 // when its spikes begin, modulo spikeEvery
+	demandShare              float64 // requested units a second, as a share of its plan's rate
+	spikeFactor              float64 // multiplies its demand during a spike; 0: no spikes
+	spikeOffset              float64 // shifts the start of its spikes, in s
 	spikeDuration            float64
 	spikeInterval            float64
 	first, spread            int
-	exactBucket, idealBucket *bucket
+	exactBucket, idealBucket *bucket // for the units that the gateways admit, and for all that it requests
 	ceilingBucket            *bucket // nil: none
 }
 
+// demandRate is the units a second that the customer requests at a time.
 func (c *quotaCustomer) demandRate(now, rate float64) float64 {
 	if c.spikeFactor > 0 && math.Mod(now+c.spikeOffset, c.spikeInterval) < c.spikeDuration {
 		return rate * c.demandShare * c.spikeFactor
@@ -61,15 +63,17 @@
 	return rate * c.demandShare
 }
 
+// quotaEvent is an event for one gateway, or a step of the simulation.
 type quotaEvent struct {
 	at       float64
 	seq      int
 	gateway  int
 	event    control.Event
 	step     func(now float64)
-	issuedBy *control.Gateway // answers of the counter do not reach the gateway that takes its place
+	issuedBy *control.Gateway // answers of the counter to a restarted gateway are dropped
 }
 
+// quotaEventQueue is a heap of events, earliest first.
 type quotaEventQueue []*quotaEvent
 
 func (q quotaEventQueue) Len() int { return len(q) }
@@ -85,16 +89,18 @@
 	return e
 }
 
+// counterEntry is the total of one name at the counter.
 type counterEntry struct{ total, expiresAt float64 }
 
-// thinFigures is what a run of a thinFleet comes to, in units.
+// quotaStats sums up a quotaSimulation, in units.
 type quotaStats struct {
 	requested, admitted, overQuota, ideal float64
 	attempts, calls                       int
-	byKind                                map[string]*[3]float64 // admitted, beyond, oracle
-	ceilingExcess                         float64                // most units that a ceiling was short of
+	byKind                                map[string]*[3]float64 // admitted, overQuota and ideal of each kind
+	ceilingExcess                         float64                // most units by which a ceiling's bucket was below empty
 }
 
+// quotaSimulation is a fleet of gateways and a counter, where only quotas matter: there are no servers.
 type quotaSimulation struct {
 	queue        quotaEventQueue
 	seq          int
@@ -106,23 +112,26 @@
 	lastID       uint64
 	stats        quotaStats
 	statsFrom    float64
-	counterDown  func(now float64) bool // the counter gives no answer
-	counterDelay float64                // one way to the counter
-	skew         float64                // how unevenly a customer comes through its gateways
+	counterDown  func(now float64) bool // reports whether the counter gives no answer
+	counterDelay float64                // least transmission time to the counter, one way, in s
+	skew         float64                // how unevenly a customer's requests are distributed over its gateways; 1: evenly
 	seed         uint64
 }
 
+// quotaRequest is a request of a customer, which may repeat it after a refusal.
 type quotaRequest struct {
 	customer    *quotaCustomer
 	units       float64
 	retriesLeft int
 }
 
+// schedule adds an event for a gateway, or a step if that is not nil.
 func (f *quotaSimulation) schedule(at float64, gateway int, event control.Event, step func(float64)) {
 	f.seq++
 	heap.Push(&f.queue, &quotaEvent{at, f.seq, gateway, event, step, f.gateways[gateway]})
 }
 
+// kind is the customer's kind in quotaStats.byKind, by its demand.
 func (c *quotaCustomer) kind() string {
 	switch {
 	case c.spikeFactor > 0:
@@ -135,19 +144,21 @@
 	return "normal"
 }
 
-func (f *quotaSimulation) submit(now float64, t *quotaRequest) {
+// submit passes a request to one of its customer's gateways.
+func (f *quotaSimulation) submit(now float64, req *quotaRequest) {
 	f.lastID++
-	f.pending[f.lastID] = t
-	c := t.customer
-	g := (c.first + int(math.Pow(f.rng.Float64(), f.skew)*float64(c.spread))) % len(f.gateways)
+	f.pending[f.lastID] = req
+	c := req.customer
+	gateway := (c.first + int(math.Pow(f.rng.Float64(), f.skew)*float64(c.spread))) % len(f.gateways)
 	if now > f.statsFrom {
 		f.stats.attempts++
-		f.stats.requested += t.units
+		f.stats.requested += req.units
 	}
-	f.handle(now, g, control.Request{ID: f.lastID, Plan: c.plan, Customer: c.id, TimeLeft: 1.2,
-		Units: t.units, Spread: c.spread, First: c.first, VerdictOnly: true})
+	f.handle(now, gateway, control.Request{ID: f.lastID, Plan: c.plan, Customer: c.id, TimeLeft: 1.2,
+		Units: req.units, Spread: c.spread, First: c.first, VerdictOnly: true})
 }
 
+// handle passes an event to a gateway and carries out its actions.
 func (f *quotaSimulation) handle(now float64, gateway int, ev control.Event) {
 	for _, a := range f.gateways[gateway].Handle(now, ev, nil) {
 		switch a := a.(type) {
@@ -158,7 +169,9 @@
 				f.stats.calls++
 			}
 			if f.counterDown(now) {
-				f.schedule(now+f.set.Counter.Timeout, gateway, control.Counted{Name: a.Name, Status: control.Timeout, Elapsed: f.set.Counter.Timeout}, nil)
+				f.schedule(now+f.set.Counter.Timeout, gateway, control.Counted{
+					Name: a.Name, Status: control.Timeout, Elapsed: f.set.Counter.Timeout,
+				}, nil)
 				continue
 			}
 			way := f.counterDelay * (1 + f.rng.Float64())
@@ -198,7 +211,7 @@
 	}
 }
 
-// run plays customers for some seconds; figures are those of the time from warm on.
+// run simulates customers for some seconds, and returns statistics of all but the first warm seconds.
 func (f *quotaSimulation) run(customers []*quotaCustomer, from, seconds, warm float64) quotaStats {
 	f.statsFrom = from + warm
 	for _, c := range customers {
@@ -226,8 +239,10 @@
 	return f.stats
 }
 
+// newQuotaSimulation returns a simulation with newly started gateways.
 func newQuotaSimulation(t testing.TB, set control.Settings, gateways int, seed uint64) *quotaSimulation {
-	f := &quotaSimulation{rng: rand.New(rand.NewPCG(seed, 1)), set: set, totals: map[uint64]*counterEntry{}, pending: map[uint64]*quotaRequest{},
+	f := &quotaSimulation{rng: rand.New(rand.NewPCG(seed, 1)), set: set, totals: map[uint64]*counterEntry{},
+		pending:     map[uint64]*quotaRequest{},
 		counterDown: func(float64) bool { return false }, counterDelay: 0.001, skew: 1.3, seed: seed}
 	f.stats.byKind = map[string]*[3]float64{"spiky": {}, "heavy": {}, "full": {}, "normal": {}}
 	f.set.Gateways = gateways
@@ -238,7 +253,7 @@
 	return f
 }
 
-// start has a gateway begin anew, knowing nothing.
+// startGateway replaces a gateway by a new one without any state.
 func (f *quotaSimulation) startGateway(t testing.TB, gateway int) {
 	set := f.set
 	set.Ordinal = gateway
@@ -250,6 +265,7 @@
 	f.gateways[gateway] = g
 }
 
+// newQuotaCustomers returns n random customers.
 func newQuotaCustomers(rng *rand.Rand, plans []control.Plan, gateways, n int, start float64) (all []*quotaCustomer) {
 	for i := range n {
 		c := &quotaCustomer{id: uint64(i) + 1, plan: rng.IntN(len(plans)), demandShare: 0.16 + 0.27*rng.Float64(),
@@ -272,8 +288,8 @@
 	return all
 }
 
-// Hundreds of gateways that each see a customer once in many seconds hold its quota together: little passes beyond it,
-// and most of what lies inside is let in. Figures are those of an exact bucket beside the fleet.
+// Gateways of a large fleet that each see a customer only once in many seconds must keep its quota together: few units
+// beyond it are admitted, and most of those that one exact bucket for the whole fleet would admit.
 func TestThinFleetHoldsQuotas(t *testing.T) {
 	const gateways, customers = 150, 225
 	for name, plans := range map[string][]control.Plan{
@@ -283,37 +299,40 @@
 		set := settings()
 		set.Plans, set.Counter.Price, set.Counter.Timeout = plans, 0.005, 0.05
 		f := newQuotaSimulation(t, set, gateways, 1)
-		fig := f.run(newQuotaCustomers(f.rng, plans, gateways, customers, 1000), 1000, 20, 5)
-		beyond, inside := fig.overQuota/fig.admitted, (fig.admitted-fig.overQuota)/fig.ideal
-		line := fmt.Sprintf("%s: beyond %.3f of admitted; inside/oracle %.3f; calls a try %.2f;", name, beyond, inside, float64(fig.calls)/float64(fig.attempts))
+		stats := f.run(newQuotaCustomers(f.rng, plans, gateways, customers, 1000), 1000, 20, 5)
+		beyond, inside := stats.overQuota/stats.admitted, (stats.admitted-stats.overQuota)/stats.ideal
+		line := fmt.Sprintf("%s: %.3f of the admitted units beyond quotas; within quotas %.3f of an exact bucket's; %.2f calls a request;",
+			name, beyond, inside, float64(stats.calls)/float64(stats.attempts))
 		for _, k := range []string{"normal", "full", "spiky", "heavy"} {
-			v := fig.byKind[k]
+			v := stats.byKind[k]
 			line += fmt.Sprintf(" %s %.2f/%.3f", k, (v[0]-v[1])/v[2], v[1]/v[0])
 		}
 		t.Log(line)
 		if beyond > 0.07 {
-			t.Errorf("%s: %.3f of the units let in are beyond quotas, want at most 0.07", name, beyond)
+			t.Errorf("%s: %.3f of the admitted units are beyond quotas, want at most 0.07", name, beyond)
 		}
 		if inside < 0.9 {
-			t.Errorf("%s: %.3f of what an exact bucket lets in, want at least 0.9", name, inside)
+			t.Errorf("%s: admitted %.3f of the units that an exact bucket admits, want at least 0.9", name, inside)
 		}
 	}
 }
 
-// Guards against first sights of customers that are let in without a look, since reads that nobody waits for took the calls.
+// First requests of customers must not be admitted without a lookup because calls that only read, and that no request
+// waits for, have used up the allowed counter calls.
 func TestReadsLeaveCallsForFirstSights(t *testing.T) {
 	const gateways, customers = 150, 1000
 	plans := []control.Plan{{Rate: 5.5, Burst: 16, Worth: 1, OverCost: 0.9}, {Rate: 12, Burst: 27, Worth: 2, OverCost: 0.4}}
 	set := settings()
 	set.Plans, set.Counter.Price, set.Counter.Timeout = plans, 0.005, 0.05
 	f := newQuotaSimulation(t, set, gateways, 1)
-	fig := f.run(newQuotaCustomers(f.rng, plans, gateways, customers, 1000), 1000, 20, 5)
-	beyond, inside := fig.overQuota/fig.admitted, (fig.admitted-fig.overQuota)/fig.ideal
-	t.Logf("beyond %.3f of admitted; inside/oracle %.3f; calls a try %.2f", beyond, inside, float64(fig.calls)/float64(fig.attempts))
+	stats := f.run(newQuotaCustomers(f.rng, plans, gateways, customers, 1000), 1000, 20, 5)
+	beyond, inside := stats.overQuota/stats.admitted, (stats.admitted-stats.overQuota)/stats.ideal
+	t.Logf("%.3f of the admitted units beyond quotas; within quotas %.3f of an exact bucket's; %.2f calls a request",
+		beyond, inside, float64(stats.calls)/float64(stats.attempts))
 	if beyond > 0.07 {
-		t.Errorf("%.3f of the units let in are beyond quotas, want at most 0.07", beyond)
+		t.Errorf("%.3f of the admitted units are beyond quotas, want at most 0.07", beyond)
 	}
 	if inside < 0.9 {
-		t.Errorf("%.3f of what an exact bucket lets in, want at least 0.9", inside)
+		t.Errorf("admitted %.3f of the units that an exact bucket admits, want at least 0.9", inside)
 	}
 }
