--- a/control/answers_test.go
+++ b/control/answers_test.go
@@ -6,8 +6,8 @@
 	"junctionring/control"
 )
 
-// A request that is given up on gets its final answer in the same step, with a
-// time to come back where clients heed one; none is held until near its deadline.
+// A request that gets no further attempt must be answered in the same step, with a retry-after hint if it is refused,
+// and not held until near its deadline.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	none := func(*fleet) {}
 	for _, c := range []struct {
@@ -15,9 +15,9 @@
 		class   int
 		plan    int
 		prepare func(f *fleet)
-		left    float64        // of the client's patience
+		left    float64        // time that the client still waits
 		end     control.Status // of each attempt
-		fail    bool           // or refused, with a hint
+		fail    bool           // it gets Fail; otherwise Refuse with a hint
 	}{
 		{"no server", 0, 0, func(f *fleet) {
 			f.handle(control.Members{Kind: control.Cached, Entries: nil})
@@ -28,8 +28,8 @@
 			}
 		}, 3, 0, false},
 		{"no time left", 0, 0, none, 0.001, 0, false},
-		{"shed in a crowd", 0, 0, func(f *fleet) {
-			for i := range 400 { // nothing is answered any more
+		{"shed under overload", 0, 0, func(f *fleet) {
+			for i := range 400 { // no attempt is answered
 				f.request(0, 0, uint64(100+i))
 				f.now += 0.05
 				f.handle(control.Timer{})
@@ -38,7 +38,7 @@
 		{"attempts spent", 0, 0, none, 3, control.Reset, false},
 		{"unsafe and may have run", 2, 0, none, 3, control.Reset, true},
 		{"unsafe and never ran", 2, 0, none, 3, control.ConnectFailed, false},
-		{"purse empty", 0, 0, func(f *fleet) {
+		{"retry budget empty", 0, 0, func(f *fleet) {
 			for i := range 60 {
 				f.classOf[f.lastID+1] = 0
 				_, acts := f.request(0, 0, uint64(100+i))
@@ -70,7 +70,7 @@
 				if a.ID == f.lastID {
 					refused++
 					if a.RetryAfter <= 0 {
-						t.Error("refused without a time to come back")
+						t.Error("refused without a retry-after hint")
 					}
 				}
 			}
@@ -80,17 +80,17 @@
 				}
 			}
 			if refused+failed != 1 || (failed == 1) != c.fail {
-				t.Errorf("refused %d and failed %d in the step that gave up, want one answer at once", refused, failed)
+				t.Errorf("%d Refuse and %d Fail in the step that gave up, want one in all; want Fail: %v", refused, failed, c.fail)
 			}
-			for _, a := range f.advance(4) { // and none later
+			for _, a := range f.advance(4) { // no further action for this request
 				switch a := a.(type) {
 				case control.Refuse:
 					if a.ID == f.lastID {
-						t.Error("answered again")
+						t.Error("refused after its final answer")
 					}
 				case control.Send:
 					if a.ID == f.lastID {
-						t.Error("sent on after its answer")
+						t.Error("sent to a server after its final answer")
 					}
 				}
 			}
--- a/control/ask_test.go
+++ b/control/ask_test.go
@@ -6,7 +6,8 @@
 	"junctionring/control"
 )
 
-// One that only asks draws on the same quota as one that is sent on, gets its verdict at once, and is not sent.
+// A request with VerdictOnly draws on the same quota as any other, is admitted or refused at once, and is not sent to
+// a server.
 func TestAskDrawsOnTheQuota(t *testing.T) {
 	g, err := control.New(control.Settings{
 		Gateways: 1,
@@ -35,15 +36,16 @@
 		return sent, admitted, over
 	}
 	if sent, admitted, _ := decide(1, true); sent || !admitted {
-		t.Errorf("the first that asks: sent %t, admitted %t", sent, admitted)
+		t.Errorf("first request, verdict only: sent %t, admitted %t, want only admitted", sent, admitted)
 	}
 	if sent, admitted, _ := decide(2, false); !sent || admitted {
-		t.Errorf("one that is to be sent on: sent %t, admitted %t", sent, admitted)
+		t.Errorf("second request, to be sent: sent %t, admitted %t, want only sent", sent, admitted)
 	}
 	if _, admitted, over := decide(3, true); admitted || !over { // 8 of 10 units are spent
-		t.Errorf("beyond the quota: admitted %t, refused for want of quota %t", admitted, over)
+		t.Errorf("verdict only, beyond the quota: admitted %t, refused as over quota with a hint %t, want only refused",
+			admitted, over)
 	}
 	if sent, _, over := decide(4, false); sent || !over {
-		t.Errorf("beyond the quota: sent %t, refused for want of quota %t", sent, over)
+		t.Errorf("to be sent, beyond the quota: sent %t, refused as over quota with a hint %t, want only refused", sent, over)
 	}
 }
--- a/control/ceiling_test.go
+++ b/control/ceiling_test.go
@@ -6,9 +6,10 @@
 	"junctionring/control"
 )
 
-// The hard ceiling holds over all gateways together, whatever the counter does and whenever gateways start anew knowing
-// nothing: the exact bucket is never short by more than the slack, for customers that ask for up to ten times their
-// quota, however unevenly they come. What the split of the ceiling costs is measured beside it.
+// All gateways together must keep to the hard ceiling, also while the counter is slow or silent and when gateways
+// restart without any state: an exact bucket never falls below empty by more than the slack. Customers request up to
+// ten times their quota, evenly or unevenly over the gateways. The share of the quota that the ceiling's split costs is
+// logged.
 func TestCeilingHoldsOverAllGateways(t *testing.T) {
 	plan := control.Plan{Rate: 18, Burst: 36, Worth: 1, OverCost: 0.6, CeilingRate: 36, CeilingBurst: 72, CeilingSlack: 7.2}
 	open := plan
@@ -34,13 +35,15 @@
 			for gateways := 2; gateways <= 4; gateways++ {
 				for _, skew := range []float64{1, 4} {
 					with := runWithCeiling(t, plan, gateways, skew, change)
-					t.Logf("%d gateways, skew %v: excess %.2f units, %.2f allowed; in quota let in, of what an exact bucket does: %.3f",
+					t.Logf("%d gateways, skew %v: %.2f units beyond the ceiling, %.2f allowed; %.3f of an exact bucket's units",
 						gateways, skew, with.ceilingExcess, plan.CeilingSlack, with.servedShare())
 					if name == "counter quick" {
-						t.Logf("%.3f without a ceiling", runWithCeiling(t, open, gateways, skew, change).servedShare())
+						t.Logf("without a ceiling: %.3f of an exact bucket's units",
+							runWithCeiling(t, open, gateways, skew, change).servedShare())
 					}
 					if with.ceilingExcess > plan.CeilingSlack {
-						t.Errorf("%d gateways, skew %v: %.2f units beyond the ceiling, %.2f allowed", gateways, skew, with.ceilingExcess, plan.CeilingSlack)
+						t.Errorf("%d gateways, skew %v: %.2f units beyond the ceiling, want at most %.2f",
+							gateways, skew, with.ceilingExcess, plan.CeilingSlack)
 					}
 				}
 			}
@@ -48,14 +51,18 @@
 	}
 }
 
-// served is what customers that ask for no more than about their quota got inside it, of what an exact bucket gives.
+// servedShare is the units admitted within quota for customers that request about their quota or less, as a share of
+// what an exact bucket admits.
 func (f quotaStats) servedShare() float64 {
 	normal, full := f.byKind["normal"], f.byKind["full"]
 	return (normal[0] - normal[1] + full[0] - full[1]) / (normal[2] + full[2])
 }
 
-// ceilingRun plays customers against a plan, judged by the ceiling of the first of them.
-func runWithCeiling(t *testing.T, plan control.Plan, gateways int, skew float64, change func(*quotaSimulation)) quotaStats {
+// runWithCeiling simulates customers of a plan. The ceiling that they are checked against is twice the plan's quota,
+// also if the plan has no ceiling.
+func runWithCeiling(
+	t *testing.T, plan control.Plan, gateways int, skew float64, change func(*quotaSimulation),
+) quotaStats {
 	set := settings()
 	set.Plans, set.Counter.Timeout = []control.Plan{plan}, 0.05
 	f := newQuotaSimulation(t, set, gateways, 1)
@@ -73,12 +80,13 @@
 	return f.run(customers, 1000, 18, 0)
 }
 
-// A gateway that holds as many customers as it may keeps no ceiling for a further one: it lets in nothing of it.
+// A gateway that has state for MaxCustomers can't enforce the hard ceiling of a further customer, and admits none of
+// its requests.
 func TestCeilingOfACustomerBeyondMemory(t *testing.T) {
 	s := settings()
 	s.Plans = []control.Plan{{Rate: 2, Burst: 4, Worth: 1, CeilingRate: 4, CeilingBurst: 8}}
 	r := newHarness(t, s, readyMembers("a")...)
-	r.advance(100) // no longer a restart
+	r.advance(100) // long enough that the gateway no longer counts as restarted
 	sent := 0
 	ask := func(customer uint64) {
 		r.lastID++
@@ -93,6 +101,6 @@
 		ask(1 << 40)
 	}
 	if sent > 4 {
-		t.Errorf("%d units let in at once, of a customer whose part of the ceiling holds 4", sent)
+		t.Errorf("%d units of a customer admitted at once, want at most 4: its split of the ceiling's burst", sent)
 	}
 }
--- a/control/coldfleet_test.go
+++ b/control/coldfleet_test.go
@@ -155,7 +155,9 @@
 func (f *simFleet) announceChange(m control.Member) {
 	f.members[m.Server] = m
 	for _, gw := range f.gateways {
-		gw.pendingLists = append(gw.pendingLists, simList{f.now + simMinListDelay + simListDelayRange*f.rng.Float64(), []control.Member{m}})
+		gw.pendingLists = append(gw.pendingLists, simList{
+			f.now + simMinListDelay + simListDelayRange*f.rng.Float64(), []control.Member{m},
+		})
 	}
 }
 
@@ -500,7 +502,7 @@
 			f := newFleet(t, s, serverNames(12)...)
 			f.harness = newSeededHarness(t, s, seed, readyMembers(serverNames(12)...)...)
 			restarted := map[string]bool{}
-			f.answer = func(server string) (float64, control.Status) {
+			f.answerOf = func(server string) (float64, control.Status) {
 				if restarted[server] {
 					return 0.7, control.OK // within its aim, though later than a warm server answers
 				}
@@ -546,7 +548,7 @@
 		for _, name := range serverNames(12) {
 			f.perform(f.handle(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: name, Since: f.now}}}))
 		}
-		f.answer = func(string) (float64, control.Status) { return 0.7, control.OK }
+		f.answerOf = func(string) (float64, control.Status) { return 0.7, control.OK }
 		for range 150 {
 			f.offer(0, 0, f.lastID)
 			f.offer(2, 0, f.lastID)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -365,7 +365,9 @@
 func TestServersNotOnAWholeListAreForgotten(t *testing.T) {
 	r := newHarness(t, settings(), control.Member{Server: "old"})
 	for i := range 100 {
-		r.handle(control.Members{Kind: control.Snapshot, Version: int64(i), Entries: []control.Member{{Server: fmt.Sprint("s", i)}}})
+		r.handle(control.Members{
+			Kind: control.Snapshot, Version: int64(i), Entries: []control.Member{{Server: fmt.Sprint("s", i)}},
+		})
 	}
 	if n := r.g.ServerCount(); n != 1 {
 		t.Errorf("%d servers kept, want 1", n)
--- a/control/copies_test.go
+++ b/control/copies_test.go
@@ -7,17 +7,17 @@
 	"junctionring/control"
 )
 
-// The classes of settings() by what a repeat does.
+// The classes of settings(), by whether a request may run more than once.
 const (
 	safeClass   = 0
 	keyedClass  = 1
 	unsafeClass = 2
 )
 
-// usualAnswer is how long answers take in these tests, unless a server hangs.
+// usualAnswerTime is the time to answer in these tests, in seconds, unless a request gets no answer.
 const usualAnswerTime = 0.1
 
-// copying are settings that allow second copies.
+// hedgingSettings returns settings that allow second copies (hedging).
 func hedgingSettings() control.Settings {
 	s := settings()
 	s.Limits.SecondCopies = true
@@ -25,7 +25,7 @@
 	return s
 }
 
-// learnedRig is a rig whose gateway has seen a hundred usual answers of each class.
+// newTrainedHarness returns a harness whose gateway has had a hundred usual answers of each class.
 func newTrainedHarness(t *testing.T, s control.Settings, servers ...string) *harness {
 	r := newHarness(t, s, readyMembers(servers...)...)
 	for i := range 300 {
@@ -39,7 +39,7 @@
 	return r
 }
 
-// hang brings a request in and returns its first attempt, which nobody answers.
+// requestUnanswered passes a new request to the gateway and returns its first attempt, which gets no answer.
 func (r *harness) requestUnanswered(class int, customer uint64) control.Send {
 	r.t.Helper()
 	_, acts := r.request(class, 0, customer)
@@ -50,12 +50,12 @@
 	return sends[0]
 }
 
-// copyOf waits for the second copy of a request.
+// awaitHedge waits for the second copy of a request.
 func (r *harness) awaitHedge(first control.Send) control.Send {
 	r.t.Helper()
 	sends := filter[control.Send](r.advance(0.5))
 	if len(sends) != 1 || sends[0].ID != first.ID {
-		r.t.Fatalf("sent %+v, want one copy of %+v", sends, first)
+		r.t.Fatalf("sent %+v, want one second copy of %+v", sends, first)
 	}
 	return sends[0]
 }
@@ -64,14 +64,14 @@
 	r := newTrainedHarness(t, hedgingSettings(), "a", "b", "c")
 	first := r.requestUnanswered(safeClass, 1)
 	if early := filter[control.Send](r.advance(usualAnswerTime / 2)); len(early) > 0 {
-		t.Fatalf("a copy before the usual time has passed: %+v", early)
+		t.Fatalf("second copy before the usual answer time has passed: %+v", early)
 	}
 	second := r.awaitHedge(first)
 	if second.Server == first.Server {
-		t.Errorf("the copy went to the server of the first attempt, %s", first.Server)
+		t.Errorf("second copy sent to the server of the first attempt, %s", first.Server)
 	}
 	if more := filter[control.Send](r.advance(0.1)); len(more) > 0 {
-		t.Errorf("a third attempt beside two: %+v", more)
+		t.Errorf("third attempt with two in flight: %+v", more)
 	}
 }
 
@@ -83,27 +83,33 @@
 		acts := r.endAttempt(copies[winner], winner, control.OK)
 		cancels := filter[control.Cancel](acts)
 		if want := (control.Cancel{ID: first.ID, Attempt: 1 - winner}); len(cancels) != 1 || cancels[0] != want {
-			t.Errorf("answer of attempt %d: cancelled %+v, want %+v", winner, cancels, want)
+			t.Errorf("good answer of attempt %d: cancelled %+v, want %+v", winner, cancels, want)
 		}
 		loser := copies[1-winner]
-		after := r.handle(control.Outcome{ID: loser.ID, Server: loser.Server, Attempt: 1 - winner, Status: control.Cancelled, Closed: true})
+		after := r.handle(control.Outcome{
+			ID: loser.ID, Server: loser.Server, Attempt: 1 - winner, Status: control.Cancelled, Closed: true,
+		})
 		if refused, failed := filter[control.Refuse](after), filter[control.Fail](after); len(refused)+len(failed) > 0 {
-			t.Errorf("a second final answer: %+v", after)
+			t.Errorf("second final answer: %+v", after)
 		}
 	}
 }
 
 func TestFailureOfOneCopyWaitsForTheOther(t *testing.T) {
-	for _, status := range []control.Status{control.Error, control.Reset, control.Full, control.ConnectFailed, control.Timeout} {
+	for _, status := range []control.Status{
+		control.Error, control.Reset, control.Full, control.ConnectFailed, control.Timeout,
+	} {
 		r := newTrainedHarness(t, hedgingSettings(), "a", "b", "c")
 		first := r.requestUnanswered(safeClass, 1)
 		second := r.awaitHedge(first)
 		acts := r.endAttempt(first, 0, status)
-		if final := len(filter[control.Refuse](acts)) + len(filter[control.Fail](acts)); final > 0 || len(filter[control.Send](acts)) > 0 {
-			t.Errorf("status %v of the first with the copy still out: %+v", status, acts)
+		if final := len(filter[control.Refuse](acts)) + len(filter[control.Fail](acts)); final > 0 ||
+			len(filter[control.Send](acts)) > 0 {
+			t.Errorf("status %v of the first attempt with the second in flight: want neither an answer nor an attempt, got %+v",
+				status, acts)
 		}
 		if acts = r.endAttempt(second, 1, control.Error); len(filter[control.Send](acts))+len(filter[control.Refuse](acts)) != 1 {
-			t.Errorf("status %v, then an error: %+v, want one more attempt or one refusal", status, acts)
+			t.Errorf("status %v, then an error: want one attempt or one refusal, got %+v", status, acts)
 		}
 	}
 }
@@ -128,7 +134,7 @@
 		r := newTrainedHarness(t, c.settings, "a", "b", "c")
 		r.requestUnanswered(c.class, 1)
 		if sends := filter[control.Send](r.advance(0.7)); len(sends) > 0 {
-			t.Errorf("%s: a second attempt while the first was out: %+v", name, sends)
+			t.Errorf("%s: second attempt while the first was in flight: %+v", name, sends)
 		}
 	}
 }
@@ -136,11 +142,13 @@
 func TestNoCopyOfABodyThatCameInPieceByPiece(t *testing.T) {
 	r := newTrainedHarness(t, hedgingSettings(), "a", "b", "c")
 	r.lastID++
-	r.handle(control.Request{ID: r.lastID, Class: safeClass, Customer: 1, TimeLeft: 3, Units: 1, Spread: 2, BodyIncoming: true})
+	r.handle(control.Request{
+		ID: r.lastID, Class: safeClass, Customer: 1, TimeLeft: 3, Units: 1, Spread: 2, BodyIncoming: true,
+	})
 	r.advance(0.3)
 	r.handle(control.BodyReceived{ID: r.lastID})
 	if sends := filter[control.Send](r.advance(0.7)); len(sends) > 0 {
-		t.Errorf("a second attempt of what can't be sent twice: %+v", sends)
+		t.Errorf("second attempt of a request whose body came in parts and can't be sent twice: %+v", sends)
 	}
 }
 
@@ -150,7 +158,7 @@
 	other := map[string]string{"a": "b", "b": "a"}[first.Server]
 	r.handle(control.Members{Kind: control.Delta, Entries: []control.Member{{Server: other, State: control.Draining}}})
 	if sends := filter[control.Send](r.advance(0.7)); len(sends) > 0 {
-		t.Errorf("a copy to a server that drains, or to the one that has the first: %+v", sends)
+		t.Errorf("second copy at a draining server, or at the server of the first attempt: %+v", sends)
 	}
 }
 
@@ -161,7 +169,7 @@
 	r.handle(control.ClientGone{ID: waiting.ID})
 	r.awaitHedge(first) // and none for the client that has left
 	if cancels := filter[control.Cancel](r.handle(control.ClientGone{ID: first.ID})); len(cancels) != 2 {
-		t.Errorf("called off %+v, want both copies", cancels)
+		t.Errorf("cancelled %+v, want both copies", cancels)
 	}
 }
 
@@ -172,7 +180,7 @@
 	r := newTrainedHarness(t, s, "a", "b", "c")
 	r.requestUnanswered(safeClass, 1)
 	if sends := filter[control.Send](r.advance(0.7)); len(sends) > 0 {
-		t.Errorf("a copy beyond the one attempt that the plan allows: %+v", sends)
+		t.Errorf("second copy although the plan allows one attempt in flight: %+v", sends)
 	}
 }
 
@@ -193,14 +201,14 @@
 	}
 	const savedUp, earned = 4, 0.05
 	if most := savedUp + earned*float64(first); copies == 0 || float64(copies) > most {
-		t.Errorf("%d copies of %d requests, want some, and %.1f at the most", copies, first, most)
+		t.Errorf("%d second copies of %d requests, want more than 0 and at most %.1f", copies, first, most)
 	}
 }
 
-// Where second copies are not allowed the module does what it does where no class could have one: the same events give
-// the same actions, to the last random draw.
+// If no class may have second copies, the setting that allows them must change nothing: the same events give exactly
+// the same actions, including those that depend on random numbers.
 func TestSettingsThatForbidCopiesChangeNothing(t *testing.T) {
-	play := func(s control.Settings) (all [][]control.Action) {
+	run := func(s control.Settings) (all [][]control.Action) {
 		r := newHarness(t, s, readyMembers("a", "b", "c", "d")...)
 		for i := range 400 {
 			class := i % 3
@@ -209,7 +217,7 @@
 			sends := filter[control.Send](acts)
 			all = append(all, r.advance(0.06))
 			if i%7 == 0 {
-				continue // it hangs
+				continue // no answer
 			}
 			for _, send := range sends {
 				st := []control.Status{control.OK, control.OK, control.Error, control.OK, control.Full}[i%5]
@@ -223,7 +231,7 @@
 	forbidden.Classes = append(forbidden.Classes, forbidden.Classes[0])
 	allowed := forbidden
 	allowed.Limits.SecondCopies = true
-	if !reflect.DeepEqual(play(forbidden), play(allowed)) {
-		t.Error("the setting alone changes what is done, although no class may have a second copy")
+	if !reflect.DeepEqual(run(forbidden), run(allowed)) {
+		t.Error("SecondCopies changes the actions although no class may have a second copy")
 	}
 }
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -6,7 +6,7 @@
 	"junctionring/control"
 )
 
-// A gateway is fed events and carries out the actions that come back.
+// The caller passes events to a gateway and carries out the actions that it returns.
 func Example() {
 	g, err := control.New(control.Settings{
 		Gateways: 1,
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -1,10 +1,10 @@
 package control
 
-// CustomerCount is how many customers a gateway remembers.
+// CustomerCount returns the number of customers that the gateway keeps state for.
 func (g *Gateway) CustomerCount() int { return len(g.customers) }
 
-// ServerCount is how many servers a gateway remembers.
+// ServerCount returns the number of servers that the gateway keeps state for.
 func (g *Gateway) ServerCount() int { return len(g.servers) }
 
-// MaxCustomers is how many customers a gateway holds.
+// MaxCustomers is the highest number of customers that a gateway keeps state for.
 const MaxCustomers = maxCustomers
--- a/control/floors_test.go
+++ b/control/floors_test.go
@@ -7,8 +7,8 @@
 	"junctionring/control"
 )
 
-// An unsafe class, one with a twentieth of the requests and a plan with a twentieth of the worth are not starved in
-// overload: each earns, in each third of the day, a fair part of what a dispatcher earns that sees all queues.
+// An unsafe class, a class with a twentieth of the requests and a plan with a twentieth of them must not starve under
+// overload: each earns, and each class in each third of the time, at least half of what the reference policy earns.
 func TestNoClassPlanOrPartOfTheDayStarves(t *testing.T) {
 	set := settings()
 	set.Gateways = 6
@@ -25,9 +25,10 @@
 			best, got := bestShortestQueue(w, 3), simulate(w, &gatewayFleet{seed: 5}, 3)
 			check := func(name string, got, best requestStats, part float64) {
 				t.Helper()
-				t.Logf("load %v, %s: %.2f, a seeing dispatcher %.2f", load, name, got.earnedShare(), best.earnedShare())
+				t.Logf("load %v, %s: earned %.2f, reference policy %.2f", load, name, got.earnedShare(), best.earnedShare())
 				if got.earnedShare() < part*best.earnedShare() {
-					t.Errorf("%s: %.2f is under %.2f of %.2f", name, got.earnedShare(), part, best.earnedShare())
+					t.Errorf("%s: earned %.2f of the worth, want %.2f of the reference policy's %.2f",
+						name, got.earnedShare(), part, best.earnedShare())
 				}
 			}
 			for class, name := range []string{"the usual class", "unsafe class", "class of a twentieth"} {
--- a/control/idle_seeds_test.go
+++ b/control/idle_seeds_test.go
@@ -7,15 +7,15 @@
 	"junctionring/control"
 )
 
-// outage is a time in which all attempts of a gateway come to nothing.
+// outage is a time in which all attempts of a gateway fail or are late.
 type outage struct {
 	startsAt, endsAt control.Seconds
-	requestInterval  control.Seconds // between requests
+	requestInterval  control.Seconds // from one request to the next
 	startFault       func(*fleet)
 }
 
-// longestWithoutAttempt offers a steady load over an outage, and returns the longest time in which the gateway turned
-// away 15 requests or more on end with no attempt in between.
+// longestWithoutAttempt offers a steady load during an outage and 20 s after it. It returns the longest time in which
+// the gateway refused 15 or more consecutive requests, without any attempt.
 func (o outage) longestWithoutAttempt(t *testing.T, seed uint64) (longest control.Seconds) {
 	s := settings()
 	s.Gateways = 30
@@ -28,7 +28,7 @@
 			o.startFault(f)
 			started = true
 		} else if !ended && at >= o.endsAt {
-			f.answer = func(string) (float64, control.Status) { return 0.1, control.OK }
+			f.answerOf = func(string) (float64, control.Status) { return 0.1, control.OK }
 			f.rejects = func(string, int) bool { return false }
 			ended = true
 		}
@@ -44,11 +44,12 @@
 	return longest
 }
 
-// Guards against a gateway that refuses all for seconds while its servers are out, and after.
+// A gateway must not refuse all requests for seconds during an outage of its servers or after it: it would not notice
+// that they have recovered.
 func TestNoGatewayTurnsAllAwayAfterAnyOutage(t *testing.T) {
 	const allowed = 4.0 // s
 	answers := func(after control.Seconds, status control.Status) func(*fleet) {
-		return func(f *fleet) { f.answer = func(string) (float64, control.Status) { return after, status } }
+		return func(f *fleet) { f.answerOf = func(string) (float64, control.Status) { return after, status } }
 	}
 	for name, begin := range map[string]func(*fleet){
 		"full":              func(f *fleet) { f.rejects = func(string, int) bool { return true } },
@@ -62,10 +63,11 @@
 			for seed := range uint64(30) {
 				draw := rand.New(rand.NewPCG(seed, 37))
 				begins := 5 + 5*draw.Float64()
-				o := outage{startsAt: begins, endsAt: begins + 0.5 + 11.5*draw.Float64(), requestInterval: 0.02 + 0.2*draw.Float64(), startFault: begin}
+				o := outage{startsAt: begins, endsAt: begins + 0.5 + 11.5*draw.Float64(),
+					requestInterval: 0.02 + 0.2*draw.Float64(), startFault: begin}
 				if longest := o.longestWithoutAttempt(t, seed); longest >= allowed {
-					t.Errorf("seed %d: out for %.1f s, a request each %.2f s: all was turned away for %.1f s, with no attempt in between",
-						seed, o.endsAt-o.startsAt, o.requestInterval, longest)
+					t.Errorf("seed %d: outage of %.1f s, a request each %.2f s: %.1f s without an attempt, want less than %v s",
+						seed, o.endsAt-o.startsAt, o.requestInterval, longest, allowed)
 				}
 			}
 		})
--- a/control/idle_test.go
+++ b/control/idle_test.go
@@ -6,13 +6,13 @@
 	"junctionring/control"
 )
 
-// One of 30 gateways whose attempts all come to nothing for a while, on a quiet day: whatever it thinks of its servers
-// then, it doesn't turn away all it gets for 4 s on end without one attempt.
+// One of 30 gateways, with little traffic, meets a time in which all its attempts fail or are late. Whatever its
+// estimates are then, it must not refuse all requests for 4 s without one attempt.
 func TestNoGatewayTurnsAllAwayForLong(t *testing.T) {
 	const begins, ends, over = 10.0, 18.0, 40.0 // s
 	answers := func(after float64, status control.Status) func(*fleet) {
 		return func(f *fleet) {
-			f.answer = func(string) (float64, control.Status) { return after, status }
+			f.answerOf = func(string) (float64, control.Status) { return after, status }
 		}
 	}
 	list := func(member control.Member) func(*fleet) {
@@ -48,7 +48,7 @@
 				case at >= begins && at < begins+0.05:
 					begin(f)
 				case at >= ends && at < ends+0.05:
-					f.answer = func(string) (float64, control.Status) { return 0.1, control.OK }
+					f.answerOf = func(string) (float64, control.Status) { return 0.1, control.OK }
 					f.rejects = func(string, int) bool { return false }
 				}
 				asked++
@@ -63,7 +63,7 @@
 			}
 			t.Logf("the longest time without an attempt was %.1f s", longest)
 			if longest >= 4 {
-				t.Errorf("all was turned away for %.1f s, with no attempt in between", longest)
+				t.Errorf("all requests refused for %.1f s without an attempt, want less than 4 s", longest)
 			}
 		})
 	}
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// New engineers read the package from top to bottom, so lines and functions stay short in every file that is no test.
+// Lines and functions stay short in every file that is not a test, since new engineers read the package from top to
+// bottom.
 func TestModuleSize(t *testing.T) {
 	const maxLineLength, maxBodyLines = 110, 60
 	files, err := filepath.Glob("*.go")
@@ -29,7 +30,7 @@
 		}
 		for i, line := range strings.Split(string(text), "\n") {
 			if n := len([]rune(line)); n > maxLineLength {
-				t.Errorf("%s:%d: %d characters, %d are allowed", file, i+1, n, maxLineLength)
+				t.Errorf("%s:%d: line of %d characters, want at most %d", file, i+1, n, maxLineLength)
 			}
 		}
 		fset := token.NewFileSet()
@@ -51,12 +52,12 @@
 			}
 			functions++
 			if n := fset.Position(body.Rbrace).Line - fset.Position(body.Lbrace).Line - 1; n > maxBodyLines {
-				t.Errorf("%s: %s: body of %d lines, %d are allowed", fset.Position(body.Pos()), name, n, maxBodyLines)
+				t.Errorf("%s: %s: body of %d lines, want at most %d", fset.Position(body.Pos()), name, n, maxBodyLines)
 			}
 			return true
 		})
 	}
 	if checked < 5 || functions < 100 {
-		t.Errorf("%d files with %d functions checked, want the whole package", checked, functions)
+		t.Errorf("%d files with %d functions checked, want at least 5 files with 100", checked, functions)
 	}
 }
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -13,7 +13,7 @@
 	for _, silent := range []bool{false, true} {
 		f := newFleet(t, s, "a", "b", "c")
 		if silent {
-			f.answerCount = func() (float64, control.Status) { return 0.05, control.Timeout }
+			f.counterAnswer = func() (float64, control.Status) { return 0.05, control.Timeout }
 		}
 		told := 0
 		for i := range 200 {
@@ -22,27 +22,27 @@
 			for _, m := range filter[control.MessagePeer](f.handle(control.Timer{})) {
 				told++
 				if len(m.Data) > 256 {
-					t.Errorf("a message of %d bytes", len(m.Data))
+					t.Errorf("message of %d bytes, want at most 256", len(m.Data))
 				}
 			}
 			f.step(0)
 		}
 		if silent != (told > 0) {
-			t.Errorf("silent %v: %d messages", silent, told)
+			t.Errorf("counter silent: %v: %d messages to peers, want some only if it is silent", silent, told)
 		}
 	}
 }
 
-// In a silence a customer that others leave alone may use its whole quota
-// here, and one that others use up may not.
+// While the counter is silent, a customer that uses no other gateway may use its whole quota here, and one whose quota
+// is used up at others may not.
 func TestPeerReportsDecideAdmission(t *testing.T) {
 	s := settings()
 	s.Limits.Peers = true
-	sentOn := func(words func(step int) string) int {
+	run := func(message func(step int) string) int {
 		f := newFleet(t, s, "a", "b", "c", "d")
-		f.answerCount = func() (float64, control.Status) {
+		f.counterAnswer = func() (float64, control.Status) {
 			if f.now < 1002 {
-				return 0.002, control.OK // looked up before the silence
+				return 0.002, control.OK // looked up before the counter fell silent
 			}
 			return 0.05, control.Timeout
 		}
@@ -52,30 +52,31 @@
 				sent++
 			}
 			if i%8 == 0 {
-				f.perform(f.handle(control.PeerMessage{From: 1, Data: words(i)}))
+				f.perform(f.handle(control.PeerMessage{From: 1, Data: message(i)}))
 			}
 			f.step(0.02)
 		}
 		return sent
 	}
-	alone := sentOn(func(int) string { return "" })
-	crowded := sentOn(func(int) string { return "5:1" }) // others send 6 a second
-	if alone < 20 || crowded > alone/2 {
-		t.Errorf("%d sent on with quiet peers and %d with busy ones", alone, crowded)
+	quiet := run(func(int) string { return "" })
+	busy := run(func(int) string { return "5:1" }) // peers report 6 units a second
+	if quiet < 20 || busy > quiet/2 {
+		t.Errorf("%d requests sent without use at peers and %d with it, want at least 20, and at most half as many",
+			quiet, busy)
 	}
-	if garbled := sentOn(func(int) string { return strings.Repeat("5:", 3) + "-1 x" }); garbled == 0 {
-		t.Error("a garbled message stopped all admission")
+	if garbled := run(func(int) string { return strings.Repeat("5:", 3) + "-1 x" }); garbled == 0 {
+		t.Error("no request admitted after a garbled message")
 	}
 }
 
-// Only the gateways of a customer are told, and no gateway more often than it
-// can take in, however many there are.
+// Messages go only to gateways that the customers' requests may come through, and no more of them than a gateway can
+// take in, at any number of gateways.
 func TestPeersAreToldSparingly(t *testing.T) {
 	for _, gateways := range []int{2, 10, 100, 500} {
 		s := settings()
 		s.Limits.Peers, s.Limits.PeerIntake, s.Gateways = true, 100, gateways
 		f := newFleet(t, s, "a", "b", "c")
-		f.answerCount = func() (float64, control.Status) { return 0.05, control.Timeout }
+		f.counterAnswer = func() (float64, control.Status) { return 0.05, control.Timeout }
 		told, spread := 0, max(2, gateways/4)
 		for i := range 1000 { // 20 s
 			f.lastID++
@@ -88,28 +89,28 @@
 			for _, m := range filter[control.MessagePeer](acts) {
 				told++
 				if m.Peer == 0 || m.Peer < 0 || m.Peer != gateways-1 && m.Peer >= spread-1 {
-					t.Fatalf("%d gateways: %d is told, which the customers never come through", gateways, m.Peer)
+					t.Fatalf("%d gateways: message to gateway %d, which no customer's requests come through", gateways, m.Peer)
 				}
 			}
 			f.step(0)
 		}
 		if told == 0 || told > 20*60 {
-			t.Errorf("%d gateways: %d messages in 20 s, want some, and fewer than can be taken in", gateways, told)
+			t.Errorf("%d gateways: %d messages in 20 s, want 1 to 1200", gateways, told)
 		}
 	}
 }
 
-// What peers told of a customer counts when it comes here for the first time.
+// Units that peers reported for a customer count when its first request comes to this gateway.
 func TestPeerReportsCountAtFirstSight(t *testing.T) {
 	s := settings()
 	s.Limits.Peers = true
-	first := func(told string) bool {
+	admitted := func(told string) bool {
 		r := newHarness(t, s, readyMembers("a", "b")...)
 		r.handle(control.PeerMessage{From: 1, Data: told})
 		_, acts := r.request(0, 0, 7)
 		return len(filter[control.Send](acts)) > 0
 	}
-	if !first("8:3") || first("7:20") {
-		t.Error("want a customer let in whom nobody spoke of, and one refused who has used twice its store")
+	if !admitted("8:3") || admitted("7:20") {
+		t.Error("want a customer admitted that peers did not report, and one refused that used over twice its burst there")
 	}
 }
--- a/control/pools_test.go
+++ b/control/pools_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// two makes a gateway at site 0 of two, with servers n0, n1 there and f0, f1 at the other.
+// newTwoSiteGateway returns a gateway at site 0 of two, with servers n0 and n1 there, and f0 and f1 at site 1.
 func newTwoSiteGateway(t *testing.T, group Group) *Gateway {
 	t.Helper()
 	g, err := New(Settings{
@@ -28,7 +28,7 @@
 	return g
 }
 
-// target is the first letter of where a request was sent, or what became of it.
+// destination is the first letter of the server that a request was sent to, R if it was refused, F if it failed, or 0.
 func destination(t *testing.T, actions []Action) byte {
 	t.Helper()
 	for _, a := range actions {
@@ -59,25 +59,30 @@
 	}
 }
 
-// Where the first site has nobody ready the second serves; where only the first may be used it is a refusal.
+// If no server of the first site is ready, requests go to the second site, or are refused if only the first may be used.
 func TestSecondSiteServesForADrainedOne(t *testing.T) {
 	g := newTwoSiteGateway(t, GroupAll)
 	g.Handle(101, Members{Entries: []Member{{Server: "n0", State: Draining}, {Server: "n1", State: Draining}}}, nil)
-	if got := destination(t, g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: Reach{First: 0, Then: 1}}, nil)); got != 'f' {
-		t.Errorf("sent to %c, want the far site", got)
+	if got := destination(t, g.Handle(101, Request{
+		ID: 1, TimeLeft: 4, Units: 1, Reach: Reach{First: 0, Then: 1},
+	}, nil)); got != 'f' {
+		t.Errorf("both sites allowed: got %c, want f: a server of the second site", got)
 	}
 	if got := destination(t, g.Handle(101, Request{ID: 2, TimeLeft: 4, Units: 1}, nil)); got != 'R' {
-		t.Errorf("%c, want a refusal", got)
+		t.Errorf("only the first site allowed: got %c, want R: a refusal", got)
 	}
 }
 
-// A keyed request that may have run goes to another site only where servers there drop its repeats, too.
+// A keyed request that may have run is retried at another site only if servers there drop its repeats, too.
 func TestKeyedRetryStaysWithItsGroup(t *testing.T) {
 	for _, c := range []struct {
 		group  Group
 		status Status
 		want   byte
-	}{{GroupAll, Reset, 'f'}, {GroupSite, Reset, 'F'}, {GroupZone, Reset, 'F'}, {GroupSite, ConnectFailed, 'f'}, {GroupSite, Full, 'f'}} {
+	}{
+		{GroupAll, Reset, 'f'}, {GroupSite, Reset, 'F'}, {GroupZone, Reset, 'F'},
+		{GroupSite, ConnectFailed, 'f'}, {GroupSite, Full, 'f'},
+	} {
 		g := newTwoSiteGateway(t, c.group)
 		sent := g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: Reach{First: 0, Then: 1}}, nil)
 		server := ""
@@ -94,7 +99,7 @@
 	}
 }
 
-// Late answers at one site are a crowd there and nowhere else.
+// Late answers at one site raise the overload of that site only.
 func TestOverloadIsPerSite(t *testing.T) {
 	g := newTwoSiteGateway(t, GroupAll)
 	for id := range uint64(60) {
@@ -105,11 +110,11 @@
 		}
 	}
 	if near, far := g.pools[0].fleetOverload, g.pools[1].fleetOverload; near < 0.5 || far != 0 {
-		t.Errorf("crowd %g near and %g far, want much and none", near, far)
+		t.Errorf("overload of %g at site 0 and %g at site 1, want at least 0.5 and 0", near, far)
 	}
 }
 
-// What failed while a link was lost is not held against the servers behind it, and was no crowd.
+// Failures while the link to a site is down must not eject its servers or count as overload once the link is restored.
 func TestRestoredLinkClearsFailures(t *testing.T) {
 	g := newTwoSiteGateway(t, GroupAll)
 	far := Reach{First: 1, Then: 1}
@@ -124,12 +129,12 @@
 	g.Handle(103, LinkRestored{Site: 1}, nil)
 	for id := range uint64(2) {
 		if got := destination(t, g.Handle(103, Request{ID: 100 + id, TimeLeft: 4, Units: 1, Reach: far}, nil)); got != 'f' {
-			t.Errorf("%c, want the far site", got)
+			t.Errorf("after the link was restored: got %c, want f: a server of site 1", got)
 		}
 	}
 }
 
-// A site that starts anew as a whole is sent work at once, and not more than it can do.
+// A site whose servers have all just started gets work at once, and no more than it can handle.
 func TestColdPoolIsSentALittle(t *testing.T) {
 	g := newTwoSiteGateway(t, GroupAll)
 	g.settings.Guarantees = Guarantees{ColdFrom: 0.15, Ramp: 18, FallMultiple: 3, FallAfter: 1.5}
@@ -152,17 +157,17 @@
 			}
 		}
 	}
-	if sent < 20 || sent > 320 { // of four cores' work at 0.15 to 0.6 of their speed, at 0.125 s each: 240 or so
-		t.Errorf("%d of 400 were sent to two cold servers", sent)
+	if sent < 20 || sent > 320 { // four cores at 0.15 to 0.6 of their speed, with 0.125 s of work each: about 240
+		t.Errorf("%d of 400 requests sent to two cold servers, want 20 to 320", sent)
 	}
 }
 
-// A new request beyond the room of its site is refused where nobody helps; a retry is not.
+// A new request is refused if its site has no room and no other helps; a retry is not.
 func TestFullSiteRefusesNewOnes(t *testing.T) {
 	g := newTwoSiteGateway(t, GroupAll)
 	full := Reach{Full: true}
 	if got := destination(t, g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: full}, nil)); got != 'R' {
-		t.Errorf("%c, want a refusal", got)
+		t.Errorf("new request: got %c, want R: a refusal", got)
 	}
 	server := ""
 	for _, a := range g.Handle(101, Request{ID: 2, TimeLeft: 4, Units: 1}, nil) {
@@ -171,6 +176,6 @@
 		}
 	}
 	if got := destination(t, g.Handle(101.1, Outcome{ID: 2, Server: server, Status: Reset, Reach: full}, nil)); got != 'n' {
-		t.Errorf("a retry: %c, want the near site", got)
+		t.Errorf("retry: got %c, want n: a server of site 0", got)
 	}
 }
--- a/control/scale_test.go
+++ b/control/scale_test.go
@@ -8,8 +8,8 @@
 	"junctionring/control"
 )
 
-// BenchmarkHandleAtSize is what a request costs the module at the planned rate of a gateway, with all its answers: by
-// how many customers are active, and by how many servers there are.
+// BenchmarkHandleAtSize shows the cost of a request with all its answers at the planned rate of a gateway, by the
+// number of active customers and by the number of servers.
 func BenchmarkHandleAtSize(b *testing.B) {
 	for _, customers := range []int{100, 800, 3200, 12_000, 98_000} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) { benchmarkAt(b, customers, 100) })
@@ -20,7 +20,7 @@
 }
 
 func benchmarkAt(b *testing.B, customers, servers int) {
-	const rate = 267 // requests a second, as the plan has it for a gateway
+	const rate = 267 // requests a second that are planned for a gateway
 	s := settings()
 	s.Gateways = 1200
 	g, err := control.New(s, 1)
@@ -33,11 +33,13 @@
 	due := now
 	request := func(i int) {
 		now += 1.0 / rate
-		acts = g.Handle(now, control.Request{ID: uint64(i), Customer: uint64(i % customers), TimeLeft: 3, Units: 1, Spread: 1200}, acts[:0])
+		acts = g.Handle(now, control.Request{
+			ID: uint64(i), Customer: uint64(i % customers), TimeLeft: 3, Units: 1, Spread: 1200,
+		}, acts[:0])
 		if due <= now {
 			acts = g.Handle(now, control.Timer{}, acts)
 		}
-		for i := 0; i < len(acts); i++ { // what an answer calls for is answered in turn
+		for i := 0; i < len(acts); i++ { // actions that follow from these answers are answered as well
 			switch a := acts[i].(type) {
 			case control.Send:
 				acts = g.Handle(now, control.Outcome{ID: a.ID, Server: a.Server, Status: control.OK, Closed: true}, acts)
@@ -49,7 +51,7 @@
 			}
 		}
 	}
-	for i := range max(customers, 2000) { // all are known, and times are learned
+	for i := range max(customers, 2000) { // all customers are known, and answer times are learned
 		request(i)
 	}
 	after := heapInUse()
@@ -65,6 +67,7 @@
 	runtime.KeepAlive(g)
 }
 
+// heapInUse returns the allocated heap after a garbage collection, in bytes.
 func heapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/control/short_aims_test.go
+++ b/control/short_aims_test.go
@@ -7,7 +7,7 @@
 	"junctionring/control"
 )
 
-// shortAims are settings of two classes whose aim may be near the time that their work takes.
+// shortAims returns settings of two classes whose aim may be close to the time that their work takes.
 func shortAims(aim, deadline, lateWorth float64) control.Settings {
 	s := settings()
 	s.Gateways = 4
@@ -20,8 +20,8 @@
 	return s
 }
 
-// Where the aim is near the work, or below it, most answers are late on idle servers too. They are no overload, and
-// earn what the settings say. Aims of several times the work stay as they were.
+// Where the aim is close to the time that the work takes, or below it, most answers are late even on idle servers. They
+// must not be taken as overload, and earn what the settings say. Aims of several times the work are checked as well.
 func TestServesWhereTheAimIsNearTheWork(t *testing.T) {
 	for _, class := range []struct{ aim, deadline, lateWorth, least float64 }{
 		{0.15, 3, 0.5, 0.8},
@@ -30,7 +30,7 @@
 		{0.65, 0.7, 0.5, 0.8},
 		{1, 4, 0.2, 0.85},
 		{2, 8, 0.2, 0.9},
-		{0.15, 3, 0, 0.4}, // nothing to earn after the aim: no load at which all can be served well
+		{0.15, 3, 0, 0.4}, // late answers earn nothing, so at no load can all requests earn well
 		{0.3, 3, 0, 0.7},
 	} {
 		for _, steady := range []bool{false, true} {
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -56,7 +56,7 @@
 func TestLostAnswersAreNoRestart(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
 	n := 0
-	f.answer = func(string) (float64, control.Status) {
+	f.answerOf = func(string) (float64, control.Status) {
 		if n++; n%5 == 0 {
 			return 0.1, control.Reset
 		}
@@ -214,14 +214,14 @@
 // A fifth of the attempts time out while all answers are quick: lost answers must not be taken as overload.
 func TestLostAnswersAreNoOverload(t *testing.T) {
 	for _, gateways := range []int{2, 100} {
-		refused, played := 0, 0
+		refused, sampled := 0, 0
 		for ordinal := 0; ordinal < gateways; ordinal += max(1, gateways/20) {
 			s := settings()
 			s.Gateways, s.Ordinal = gateways, ordinal
 			f := newFleet(t, s, serverNames(16)...)
 			f.harness = newSeededHarness(t, s, uint64(ordinal), readyMembers(serverNames(16)...)...)
 			n := ordinal % 5
-			f.answer = func(string) (float64, control.Status) {
+			f.answerOf = func(string) (float64, control.Status) {
 				if n++; n%5 == 0 {
 					return 3, control.Timeout
 				}
@@ -234,9 +234,9 @@
 				}
 			}
 			refused += f.refused[2]
-			played++
+			sampled++
 		}
-		if share := float64(refused) / float64(500*played); share > 0.06 {
+		if share := float64(refused) / float64(500*sampled); share > 0.06 {
 			t.Errorf("%d gateways: %.3f refused although all answers were quick, want at most 0.06", gateways, share)
 		}
 	}
@@ -276,10 +276,10 @@
 				}
 			}
 		}
-		warmth := 0.2 + 0.8*2/10 // least share of its capacity in the middle of the 4 s
-		if share := float64(cold) / float64(all) * 10; share > warmth*1.5 || share < warmth*0.25 {
+		warmShare := 0.2 + 0.8*2/10 // least share of its capacity in the middle of the 4 s
+		if share := float64(cold) / float64(all) * 10; share > warmShare*1.5 || share < warmShare*0.25 {
 			t.Errorf("%d gateways: cold server got %.2f of an even share, want 0.25 to 1.5 times its capacity of %.2f",
-				gateways, share, warmth)
+				gateways, share, warmShare)
 		}
 	}
 }
@@ -365,9 +365,9 @@
 	s := settings()
 	s.Gateways = 100
 	f := newFleet(t, s, serverNames(10)...)
-	hole := true
-	f.answer = func(server string) (float64, control.Status) {
-		if server == "s0" && hole {
+	hanging := true
+	f.answerOf = func(server string) (float64, control.Status) {
+		if server == "s0" && hanging {
 			return 3, control.Timeout
 		}
 		return 0.1, control.OK
@@ -379,7 +379,7 @@
 	if got := f.sentTo["s0"]; got == 0 || got > 12 {
 		t.Errorf("server that never answers got %d of 400 attempts, want 1 to 12", got)
 	}
-	hole = false
+	hanging = false
 	clear(f.sentTo)
 	for i := range 3000 { // 300 s
 		f.offer(0, 0, uint64(1000+i))
@@ -400,7 +400,7 @@
 			s.Gateways = gateways
 			f := newFleet(t, s, serverNames(40)...)
 			after, status := 0.15, control.OK
-			f.answer = func(string) (float64, control.Status) { return after, status }
+			f.answerOf = func(string) (float64, control.Status) { return after, status }
 			rate := 240 / float64(gateways) // this gateway's requests a second
 			customer := uint64(0)
 			run := func(seconds, rate float64) (share float64) {
@@ -448,7 +448,7 @@
 		f := newFleet(t, s, serverNames(10)...)
 		f.harness = newSeededHarness(t, s, uint64(ordinal), readyMembers(serverNames(10)...)...)
 		n := 0
-		f.answer = func(string) (float64, control.Status) {
+		f.answerOf = func(string) (float64, control.Status) {
 			if n++; n%6 == 0 {
 				return 0.9, control.OK // late, though within the aim
 			}
--- a/control/trouble_test.go
+++ b/control/trouble_test.go
@@ -14,16 +14,16 @@
 // fleet is a harness that answers attempts and counter calls after times that the test sets, the former by server.
 type fleet struct {
 	*harness
-	answer      func(server string) (after float64, st control.Status)
-	rejects     func(server string, class int) bool // reports whether it rejects the class as full
-	answerCount func() (after float64, st control.Status)
-	totals      map[uint64]float64
-	pending     []pendingEvent
-	sentTo      map[string]int
-	callsTo     map[uint64]int
-	refused     map[int]int // by class
-	classOf     map[uint64]int
-	attempts    map[uint64]int
+	answerOf      func(server string) (after float64, st control.Status)
+	rejects       func(server string, class int) bool // reports whether it rejects the class as full
+	counterAnswer func() (after float64, st control.Status)
+	totals        map[uint64]float64
+	pending       []pendingEvent
+	sentTo        map[string]int
+	callsTo       map[uint64]int
+	refused       map[int]int // by class
+	classOf       map[uint64]int
+	attempts      map[uint64]int
 }
 
 // pendingEvent is an event to deliver at a later time.
@@ -34,16 +34,16 @@
 
 func newFleet(t *testing.T, s control.Settings, servers ...string) *fleet {
 	return &fleet{
-		harness:     newHarness(t, s, readyMembers(servers...)...),
-		answer:      func(string) (float64, control.Status) { return 0.1, control.OK },
-		rejects:     func(string, int) bool { return false },
-		answerCount: func() (float64, control.Status) { return 0.002, control.OK },
-		totals:      map[uint64]float64{},
-		sentTo:      map[string]int{},
-		callsTo:     map[uint64]int{},
-		refused:     map[int]int{},
-		classOf:     map[uint64]int{},
-		attempts:    map[uint64]int{},
+		harness:       newHarness(t, s, readyMembers(servers...)...),
+		answerOf:      func(string) (float64, control.Status) { return 0.1, control.OK },
+		rejects:       func(string, int) bool { return false },
+		counterAnswer: func() (float64, control.Status) { return 0.002, control.OK },
+		totals:        map[uint64]float64{},
+		sentTo:        map[string]int{},
+		callsTo:       map[uint64]int{},
+		refused:       map[int]int{},
+		classOf:       map[uint64]int{},
+		attempts:      map[uint64]int{},
 	}
 }
 
@@ -52,7 +52,7 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case control.Send:
-			after, st := f.answer(a.Server)
+			after, st := f.answerOf(a.Server)
 			if f.rejects(a.Server, f.classOf[a.ID]) {
 				after, st = 0.01, control.Full
 			}
@@ -65,7 +65,7 @@
 			}})
 			f.attempts[a.ID]++
 		case control.Count:
-			after, st := f.answerCount()
+			after, st := f.counterAnswer()
 			f.callsTo[a.Name]++
 			if st == control.OK {
 				f.totals[a.Name] += a.Amount
@@ -115,7 +115,7 @@
 
 func TestSilentCounterLeavesTheSplit(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
-	f.answerCount = func() (float64, control.Status) { return 0.05, control.Timeout }
+	f.counterAnswer = func() (float64, control.Status) { return 0.05, control.Timeout }
 	sent := 0
 	for range 500 { // 10 s of far more than the quota
 		if f.offer(0, 0, 5) {
@@ -131,12 +131,12 @@
 
 func TestSlowCounterIsNotOverloadedByAFlood(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
-	f.answerCount = func() (float64, control.Status) { return 0.04, control.OK } // near its time-out
-	busy := 0
+	f.counterAnswer = func() (float64, control.Status) { return 0.04, control.OK } // near its time-out
+	sent := 0
 	for i := range 1000 { // 20 s
 		f.offer(0, 0, uint64(100+i)) // customers seen once
 		if i%10 == 0 && f.offer(0, 1, 5) {
-			busy++
+			sent++
 		}
 		f.step(0.02)
 	}
@@ -148,8 +148,8 @@
 	if sum > 1000 {
 		t.Errorf("%d calls in 20 s to an overloaded counter, want at most 1000", sum)
 	}
-	if busy < 40 {
-		t.Errorf("%d of 100 requests of a steady customer sent during a flood, want at least 40", busy)
+	if sent < 40 {
+		t.Errorf("%d of 100 requests of a steady customer sent during a flood, want at least 40", sent)
 	}
 	if most < 2 {
 		t.Error("no count was called twice: the flood left no counter calls for the steady customer")
@@ -161,7 +161,7 @@
 	sent := 0
 	for range 4 { // four processes of half a second each, with a silent counter
 		f := newFleet(t, s, "a", "b", "c", "d")
-		f.answerCount = func() (float64, control.Status) { return 0.05, control.Timeout }
+		f.counterAnswer = func() (float64, control.Status) { return 0.05, control.Timeout }
 		for range 50 {
 			if f.offer(0, 1, 5) {
 				sent++
@@ -189,7 +189,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, settings(), "a", "b", "c", "d")
-			f.answer = func(server string) (float64, control.Status) {
+			f.answerOf = func(server string) (float64, control.Status) {
 				if server == "a" {
 					return c.after, c.st
 				}
@@ -208,7 +208,7 @@
 
 func TestRetriesStayInTheirBudget(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c", "d")
-	f.answer = func(string) (float64, control.Status) { return 0.05, control.Error }
+	f.answerOf = func(string) (float64, control.Status) { return 0.05, control.Error }
 	for i := range 500 {
 		f.offer(0, 0, uint64(i))
 		f.step(0.02)
@@ -221,17 +221,18 @@
 
 func TestOverloadRefusesTheLeastWorthFirst(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b")
-	out := map[string]float64{} // each server works one request at a time
-	f.answer = func(server string) (float64, control.Status) {
-		out[server] = max(out[server], f.now) + 0.1
-		return out[server] - f.now, control.OK
+	busyUntil := map[string]float64{} // each server works one request at a time
+	f.answerOf = func(server string) (float64, control.Status) {
+		busyUntil[server] = max(busyUntil[server], f.now) + 0.1
+		return busyUntil[server] - f.now, control.OK
 	}
 	for i := range 2000 { // 50 a second against 20
 		f.offer([]int{0, 2}[i%2], 0, uint64(i))
 		f.step(0.02)
 	}
 	if f.refused[2] >= f.refused[0] {
-		t.Errorf("refused %d of class 0 (worth 2) and %d of class 2 (worth 5), want more of class 0", f.refused[0], f.refused[2])
+		t.Errorf("refused %d of class 0 (worth 2) and %d of class 2 (worth 5), want more of class 0",
+			f.refused[0], f.refused[2])
 	}
 	if f.refused[0] < 200 {
 		t.Errorf("%d refused at more than twice the capacity, want at least 200", f.refused[0])
@@ -274,7 +275,7 @@
 func TestSuspectedRestartIsSentLittle(t *testing.T) {
 	f := newFleet(t, settings(), "a", "b", "c")
 	down := true
-	f.answer = func(server string) (float64, control.Status) {
+	f.answerOf = func(server string) (float64, control.Status) {
 		if server == "a" && down {
 			return 0.01, control.ConnectFailed
 		}
@@ -426,7 +427,7 @@
 func TestLimitsRecoverAfterOverload(t *testing.T) {
 	f := newFleet(t, settings(), serverNames(4)...)
 	after := 0.9 // late, though within the aim
-	f.answer = func(string) (float64, control.Status) { return after, control.OK }
+	f.answerOf = func(string) (float64, control.Status) { return after, control.OK }
 	customer := uint64(0)
 	play := func(seconds float64) (refused float64) {
 		asked, before := 0, f.refused[2]
@@ -448,7 +449,7 @@
 // A request is no work for its server until the last byte of its body: slow uploads must not cause refusals of other
 // requests. Once its body is complete it counts as in flight, and its time starts.
 func TestIncomingBodiesAreNoWork(t *testing.T) {
-	letIn := func(whole bool) (n int) {
+	admitted := func(whole bool) (n int) {
 		r := newHarness(t, settings(), control.Member{Server: "a"})
 		var slow []control.Send
 		for i := range 40 {
@@ -484,11 +485,11 @@
 		}
 		return n
 	}
-	if n := letIn(false); n != 40 {
+	if n := admitted(false); n != 40 {
 		t.Errorf("%d of 40 requests admitted while 40 bodies are incoming, want all", n)
 	}
-	if n := letIn(true); n == 40 {
-		t.Error("40 attempts with complete bodies at one server caused no refusal: the check with incoming bodies proves nothing")
+	if n := admitted(true); n == 40 {
+		t.Error("no refusal with 40 complete requests at one server: the check with incoming bodies proves nothing")
 	}
 }
 
@@ -498,31 +499,31 @@
 	s := settings()
 
 	r := newHarness(t, s, control.Member{Server: "a"})
-	totals, out := map[uint64]float64{}, []control.Count{}
-	take := func(acts []control.Action) { out = append(out, filter[control.Count](acts)...) }
+	totals, calls := map[uint64]float64{}, []control.Count{}
+	collect := func(acts []control.Action) { calls = append(calls, filter[control.Count](acts)...) }
 	for i := range 30 {
-		take(r.requestAnswered(0, 0, uint64(300+i)))
+		collect(r.requestAnswered(0, 0, uint64(300+i)))
 	}
 	if r.g.UnflushedCustomers() == 0 {
 		t.Fatal("no unflushed units before the shutdown: the test proves nothing")
 	}
-	take(r.handle(control.ShuttingDown{}))
+	collect(r.handle(control.ShuttingDown{}))
 	failed := false
 	for range 2000 {
 		r.now += 0.01
-		if len(out) == 0 {
-			take(r.handle(control.Timer{}))
+		if len(calls) == 0 {
+			collect(r.handle(control.Timer{}))
 			continue
 		}
-		c := out[0]
-		out = out[1:]
+		c := calls[0]
+		calls = calls[1:]
 		if c.Amount > 0 && !failed { // the first call fails; its units are to be added later
 			failed = true
-			take(r.handle(control.Counted{Name: c.Name, Status: control.ConnectFailed}))
+			collect(r.handle(control.Counted{Name: c.Name, Status: control.ConnectFailed}))
 			continue
 		}
 		totals[c.Name] += c.Amount
-		take(r.handle(control.Counted{Name: c.Name, Status: control.OK, Total: totals[c.Name], Elapsed: 0.001}))
+		collect(r.handle(control.Counted{Name: c.Name, Status: control.OK, Total: totals[c.Name], Elapsed: 0.001}))
 	}
 	sum := 0.0
 	for _, n := range totals {
