--- a/control/export_test.go
+++ b/control/export_test.go
@@ -1,10 +1,10 @@
 package control
 
-// Held is how many customers a gateway remembers.
-func (g *Gateway) Held() int { return len(g.customers) }
+// CustomerCount returns the number of customers that the gateway keeps state for.
+func (g *Gateway) CustomerCount() int { return len(g.customers) }
 
-// Servers is how many servers a gateway remembers.
-func (g *Gateway) Servers() int { return len(g.servers) }
+// ServerCount returns the number of servers that the gateway keeps state for.
+func (g *Gateway) ServerCount() int { return len(g.servers) }
 
-// MaxCustomers is how many customers a gateway holds.
+// MaxCustomers is the highest number of customers that a gateway keeps state for.
 const MaxCustomers = maxCustomers
--- a/control/pools_test.go
+++ b/control/pools_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// two makes a gateway at site 0 of two, with servers n0, n1 there and f0, f1 at the other.
-func two(t *testing.T, group Group) *Gateway {
+// newTwoSiteGateway returns a gateway at site 0 of two, with servers n0 and n1 there, and f0 and f1 at site 1.
+func newTwoSiteGateway(t *testing.T, group Group) *Gateway {
 	t.Helper()
 	g, err := New(Settings{
 		Gateways: 1, Sites: 2, Limits: Limits{MaxAttempts: 3, Cancel: true},
@@ -28,8 +28,8 @@
 	return g
 }
 
-// target is the first letter of where a request was sent, or what became of it.
-func target(t *testing.T, actions []Action) byte {
+// destination is the first letter of the server that a request was sent to, R if it was refused, F if it failed, or 0.
+func destination(t *testing.T, actions []Action) byte {
 	t.Helper()
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -49,9 +49,9 @@
 		reach Reach
 		want  byte
 	}{{Reach{}, 'n'}, {Reach{First: 0, Then: 1}, 'n'}, {Reach{First: 1, Then: 1}, 'f'}, {Reach{First: 1, Then: 0}, 'f'}} {
-		g := two(t, GroupAll)
+		g := newTwoSiteGateway(t, GroupAll)
 		for id := range uint64(5) {
-			got := target(t, g.Handle(101, Request{ID: id, TimeLeft: 4, Units: 1, Spread: 1, Reach: c.reach}, nil))
+			got := destination(t, g.Handle(101, Request{ID: id, TimeLeft: 4, Units: 1, Spread: 1, Reach: c.reach}, nil))
 			if got != c.want {
 				t.Fatalf("reach %v: sent to %c, want %c", c.reach, got, c.want)
 			}
@@ -59,26 +59,31 @@
 	}
 }
 
-// Where the first site has nobody ready the second serves; where only the first may be used it is a refusal.
+// If no server of the first site is ready, requests go to the second site, or are refused if only the first may be used.
 func TestSecondSiteServesForADrainedOne(t *testing.T) {
-	g := two(t, GroupAll)
+	g := newTwoSiteGateway(t, GroupAll)
 	g.Handle(101, Members{Entries: []Member{{Server: "n0", State: Draining}, {Server: "n1", State: Draining}}}, nil)
-	if got := target(t, g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: Reach{First: 0, Then: 1}}, nil)); got != 'f' {
-		t.Errorf("sent to %c, want the far site", got)
+	if got := destination(t, g.Handle(101, Request{
+		ID: 1, TimeLeft: 4, Units: 1, Reach: Reach{First: 0, Then: 1},
+	}, nil)); got != 'f' {
+		t.Errorf("both sites allowed: got %c, want f: a server of the second site", got)
 	}
-	if got := target(t, g.Handle(101, Request{ID: 2, TimeLeft: 4, Units: 1}, nil)); got != 'R' {
-		t.Errorf("%c, want a refusal", got)
+	if got := destination(t, g.Handle(101, Request{ID: 2, TimeLeft: 4, Units: 1}, nil)); got != 'R' {
+		t.Errorf("only the first site allowed: got %c, want R: a refusal", got)
 	}
 }
 
-// A keyed request that may have run goes to another site only where servers there drop its repeats, too.
+// A keyed request that may have run is retried at another site only if servers there drop its repeats, too.
 func TestKeyedRetryStaysWithItsGroup(t *testing.T) {
 	for _, c := range []struct {
 		group  Group
 		status Status
 		want   byte
-	}{{GroupAll, Reset, 'f'}, {GroupSite, Reset, 'F'}, {GroupZone, Reset, 'F'}, {GroupSite, ConnectFailed, 'f'}, {GroupSite, Full, 'f'}} {
-		g := two(t, c.group)
+	}{
+		{GroupAll, Reset, 'f'}, {GroupSite, Reset, 'F'}, {GroupZone, Reset, 'F'},
+		{GroupSite, ConnectFailed, 'f'}, {GroupSite, Full, 'f'},
+	} {
+		g := newTwoSiteGateway(t, c.group)
 		sent := g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: Reach{First: 0, Then: 1}}, nil)
 		server := ""
 		for _, a := range sent {
@@ -88,15 +93,15 @@
 		}
 		g.Handle(101, Members{Entries: []Member{{Server: "n0", State: Draining}, {Server: "n1", State: Draining}}}, nil)
 		out := g.Handle(101.1, Outcome{ID: 1, Server: server, Status: c.status, Reach: Reach{First: 0, Then: 1}}, nil)
-		if got := target(t, out); got != c.want {
+		if got := destination(t, out); got != c.want {
 			t.Errorf("group %d, status %d: %c, want %c", c.group, c.status, got, c.want)
 		}
 	}
 }
 
-// Late answers at one site are a crowd there and nowhere else.
-func TestCrowdIsOfOneSite(t *testing.T) {
-	g := two(t, GroupAll)
+// Late answers at one site raise the overload of that site only.
+func TestOverloadIsPerSite(t *testing.T) {
+	g := newTwoSiteGateway(t, GroupAll)
 	for id := range uint64(60) {
 		for _, a := range g.Handle(101+float64(id), Request{ID: id, TimeLeft: 4, Units: 1}, nil) {
 			if s, ok := a.(Send); ok {
@@ -105,13 +110,13 @@
 		}
 	}
 	if near, far := g.pools[0].fleetOverload, g.pools[1].fleetOverload; near < 0.5 || far != 0 {
-		t.Errorf("crowd %g near and %g far, want much and none", near, far)
+		t.Errorf("overload of %g at site 0 and %g at site 1, want at least 0.5 and 0", near, far)
 	}
 }
 
-// What failed while a link was lost is not held against the servers behind it, and was no crowd.
-func TestRestoredLinkIsForgiven(t *testing.T) {
-	g := two(t, GroupAll)
+// Failures while the link to a site is down must not eject its servers or count as overload once the link is restored.
+func TestRestoredLinkClearsFailures(t *testing.T) {
+	g := newTwoSiteGateway(t, GroupAll)
 	far := Reach{First: 1, Then: 1}
 	for id := range uint64(8) {
 		for _, a := range g.Handle(101, Request{ID: id, TimeLeft: 4, Units: 1, Reach: far}, nil) {
@@ -123,15 +128,15 @@
 	g.pools[1].fleetOverload, g.pools[1].inTimeShare = 4, 0
 	g.Handle(103, LinkRestored{Site: 1}, nil)
 	for id := range uint64(2) {
-		if got := target(t, g.Handle(103, Request{ID: 100 + id, TimeLeft: 4, Units: 1, Reach: far}, nil)); got != 'f' {
-			t.Errorf("%c, want the far site", got)
+		if got := destination(t, g.Handle(103, Request{ID: 100 + id, TimeLeft: 4, Units: 1, Reach: far}, nil)); got != 'f' {
+			t.Errorf("after the link was restored: got %c, want f: a server of site 1", got)
 		}
 	}
 }
 
-// A site that starts anew as a whole is sent work at once, and not more than it can do.
+// A site whose servers have all just started gets work at once, and no more than it can handle.
 func TestColdPoolIsSentALittle(t *testing.T) {
-	g := two(t, GroupAll)
+	g := newTwoSiteGateway(t, GroupAll)
 	g.settings.Guarantees = Guarantees{ColdFrom: 0.15, Ramp: 18, FallMultiple: 3, FallAfter: 1.5}
 	list := Members{Kind: Delta}
 	for i := range 2 {
@@ -152,17 +157,17 @@
 			}
 		}
 	}
-	if sent < 20 || sent > 320 { // of four cores' work at 0.15 to 0.6 of their speed, at 0.125 s each: 240 or so
-		t.Errorf("%d of 400 were sent to two cold servers", sent)
+	if sent < 20 || sent > 320 { // four cores at 0.15 to 0.6 of their speed, with 0.125 s of work each: about 240
+		t.Errorf("%d of 400 requests sent to two cold servers, want 20 to 320", sent)
 	}
 }
 
-// A new request beyond the room of its site is refused where nobody helps; a retry is not.
+// A new request is refused if its site has no room and no other helps; a retry is not.
 func TestFullSiteRefusesNewOnes(t *testing.T) {
-	g := two(t, GroupAll)
+	g := newTwoSiteGateway(t, GroupAll)
 	full := Reach{Full: true}
-	if got := target(t, g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: full}, nil)); got != 'R' {
-		t.Errorf("%c, want a refusal", got)
+	if got := destination(t, g.Handle(101, Request{ID: 1, TimeLeft: 4, Units: 1, Reach: full}, nil)); got != 'R' {
+		t.Errorf("new request: got %c, want R: a refusal", got)
 	}
 	server := ""
 	for _, a := range g.Handle(101, Request{ID: 2, TimeLeft: 4, Units: 1}, nil) {
@@ -170,7 +175,7 @@
 			server = s.Server
 		}
 	}
-	if got := target(t, g.Handle(101.1, Outcome{ID: 2, Server: server, Status: Reset, Reach: full}, nil)); got != 'n' {
-		t.Errorf("a retry: %c, want the near site", got)
+	if got := destination(t, g.Handle(101.1, Outcome{ID: 2, Server: server, Status: Reset, Reach: full}, nil)); got != 'n' {
+		t.Errorf("retry: got %c, want n: a server of site 0", got)
 	}
 }
