--- a/cmd/junctionring/platform.go
+++ b/cmd/junctionring/platform.go
@@ -156,8 +156,8 @@
 func (g *platformGateway) discovery(known core.Table, tell func(core.Table)) *routetable.Discovery {
 	set := g.config.Settings
 	d := &routetable.Discovery{
-		Address: g.config.Discovery, From: known.Version, Known: len(known.Targets) > 0,
-		Zones: set.Zones, Moves: g.moves, Log: g.log, Tell: tell,
+		Address: g.config.Discovery, From: known.Version, HasList: len(known.Targets) > 0,
+		Zones: set.Zones, AddressChanges: g.moves, Log: g.log, Publish: tell,
 	}
 	if set.Module.Subscribe { // elsewhere changes come to the agent by themselves, and it has them already
 		d.Gateways, d.AskEvery = set.Module.Gateways, seconds(set.Module.Guarantees.AskEvery)
--- a/internal/configuration/steps.go
+++ b/internal/configuration/steps.go
@@ -36,7 +36,7 @@
 				faults = append(faults, err.Error())
 			}
 			faults = append(faults, m.plansTaken(now, next, names)...)
-			faults = append(faults, m.front.InDoubt(next)...)
+			faults = append(faults, m.front.WindowFaults(next)...)
 		}
 		sound := len(faults) == 0
 		if m.base.Discovery.Address != "" {
@@ -112,7 +112,7 @@
 		Classes: append([]control.Class(nil), m.slots.Classes...),
 		Plans:   append([]control.Plan(nil), m.slots.Plans...), From: from,
 	})
-	next.view.Number(c, p)
+	next.view.SetNumbers(c, p)
 	m.core.Name(slices.Clone(m.slots.ClassNames))
 	m.front.Install(next.view)
 	m.targets(next.o)
--- a/internal/forwardauth/view.go
+++ b/internal/forwardauth/view.go
@@ -48,8 +48,8 @@
 	return v, nil
 }
 
-// Number gives a view's classes and plans their numbers in the core, before it is installed.
-func (v *View) Number(classes, plans []int) { v.classes, v.plans = classes, plans }
+// SetNumbers gives a view's classes and plans their numbers in the core, before it is installed.
+func (v *View) SetNumbers(classes, plans []int) { v.classes, v.plans = classes, plans }
 
 // Install has new requests decided under a view. Those that are held end under the one they came in with.
 func (f *Front) Install(v *View) {
@@ -99,9 +99,9 @@
 	f.past = slices.DeleteFunc(f.past, func(v *View) bool { return v.users == 0 })
 }
 
-// InDoubt names the keyed classes of a new version whose window is shorter than the present one while keys of it
+// WindowFaults names the keyed classes of a new version whose window is shorter than the present one while keys of it
 // are in doubt: by the new window they would count as forgotten by table servers that still know them, or not.
-func (f *Front) InDoubt(o *config.Operator) (faults []string) {
+func (f *Front) WindowFaults(o *config.Operator) (faults []string) {
 	f.mu.Lock()
 	now := f.view
 	f.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -81,9 +81,9 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{Core: c, Figures: figures, fence: gate, front: front, o: o, tally: tally, log: log, roster: &routetable.Roster{Tell: c.Routes}}
+	g := &Gateway{Core: c, Figures: figures, fence: gate, front: front, o: o, tally: tally, log: log, roster: &routetable.Roster{Publish: c.Routes}}
 	g.Configuration = configuration.New(base, o, number, content, c, front, g.targets, log)
-	g.roster.Known = g.Configuration.Roster
+	g.roster.OnChange = g.Configuration.Roster
 	return g, nil
 }
 
@@ -146,8 +146,8 @@
 	}
 	known := make(chan struct{})
 	var once sync.Once
-	list := &routetable.Discovery{Address: g.o.Discovery.Address, Gateways: g.o.Gateways, Log: g.log, Tell: func(t core.Table) {
-		g.roster.Take(t)
+	list := &routetable.Discovery{Address: g.o.Discovery.Address, Gateways: g.o.Gateways, Log: g.log, Publish: func(t core.Table) {
+		g.roster.Update(t)
 		once.Do(func() { close(known) })
 	}}
 	if len(g.o.Sites) > 0 {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -189,7 +189,7 @@
 // discover watches the list of servers.
 func (h *hollow) discover(ctx context.Context) {
 	d := routetable.Discovery{Address: h.role.Discovery, Gateways: h.Size.Gateways, Log: h.log, Dial: h.dial,
-		Tell: func(core.Table) { h.hear(Discovery, true) }}
+		Publish: func(core.Table) { h.hear(Discovery, true) }}
 	d.Run(ctx)
 }
 
--- a/internal/routetable/discovery.go
+++ b/internal/routetable/discovery.go
@@ -82,13 +82,13 @@
 type Discovery struct {
 	Address  string
 	From     int64         // version of the list that is known
-	Known    bool          // a list is at hand: the first watch can wait for its turn
+	HasList    bool          // a list is at hand: the first watch can wait for its turn
 	Gateways int           // that ask the same discovery; 0: it asks an agent of its own, which costs nothing
 	AskEvery time.Duration // a gateway that has no watch and has not asked for so long counts as told; 0: no such rule
 	Zones    []string
 	Sites    map[string]int // the site of each zone, where there are sites
-	Moves    <-chan string  // addresses that the agent moves to; may be nil
-	Tell     func(core.Table)
+	AddressChanges    <-chan string  // addresses that the agent moves to; may be nil
+	Publish     func(core.Table)
 	Log      *slog.Logger
 	Dial     func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
 
@@ -134,7 +134,7 @@
 	case <-ctx.Done():
 		return false
 	case <-wait.C:
-	case d.Address = <-d.Moves:
+	case d.Address = <-d.AddressChanges:
 	}
 	return true
 }
@@ -144,7 +144,7 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: d.connect}}
 	pauses := d.pauses()
 	pauses.Reset()
-	if d.Known && d.Gateways > 1 && !d.rest(ctx, time.Duration(rand.Float64()*float64(d.firstCallSpread()))) {
+	if d.HasList && d.Gateways > 1 && !d.rest(ctx, time.Duration(rand.Float64()*float64(d.firstCallSpread()))) {
 		return
 	}
 	crowded := false // its calls wait in turn, and fail
@@ -175,7 +175,7 @@
 				pause = boundPause(pause, lasted)
 			}
 			d.rest(ctx, pause)
-		case address := <-d.Moves: // at once: the old agent may stay silent and open
+		case address := <-d.AddressChanges: // at once: the old agent may stay silent and open
 			cancel()
 			<-ended
 			d.Address = address
@@ -281,7 +281,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.history.take(&t, time.Now())
-	d.Tell(t)
+	d.Publish(t)
 	if d.restart != nil {
 		d.restart.Stop()
 		d.restart = nil
@@ -297,7 +297,7 @@
 	defer d.mu.Unlock()
 	if t, ok := d.history.restarted(time.Now()); ok {
 		d.Log.Warn("discovery numbers its lists anew", "generation", t.Version, "endpoints kept back so far", len(t.Targets))
-		d.Tell(t)
+		d.Publish(t)
 	}
 }
 
--- a/internal/routetable/discovery_test.go
+++ b/internal/routetable/discovery_test.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	d := &routetable.Discovery{Address: strings.TrimPrefix(agent.URL, "http://"), From: 41,
-		Zones: []string{"hall-a", "hall-b"}, Tell: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler)}
+		Zones: []string{"hall-a", "hall-b"}, Publish: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler)}
 	go func() { d.Run(ctx); close(ended) }()
 	first := <-told // while the watch is still open
 	if m := first.Targets[0]; first.Kind != control.Snapshot || m.Server != "s-1" || m.Zone != 1 || m.Cell != 3 ||
@@ -99,8 +99,8 @@
 	told, moves := make(chan core.Table, 4), make(chan string, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	d := &routetable.Discovery{Address: address, From: 41, Moves: moves,
-		Tell: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler)}
+	d := &routetable.Discovery{Address: address, From: 41, AddressChanges: moves,
+		Publish: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler)}
 	go func() { d.Run(ctx); close(ended) }()
 	<-told
 	moves <- next
@@ -120,7 +120,7 @@
 func watching(t *testing.T, d *routetable.Discovery, agent http.HandlerFunc) <-chan core.Table {
 	s := httptest.NewServer(agent)
 	told := make(chan core.Table, 16)
-	d.Address, d.Tell, d.Log = strings.TrimPrefix(s.URL, "http://"), func(t core.Table) { told <- t }, slog.New(slog.DiscardHandler)
+	d.Address, d.Publish, d.Log = strings.TrimPrefix(s.URL, "http://"), func(t core.Table) { told <- t }, slog.New(slog.DiscardHandler)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
@@ -213,7 +213,7 @@
 		return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", version, reset, strings.Join(entries, ","))
 	}
 	moves := make(chan string, 1)
-	told := watching(t, &routetable.Discovery{From: 40, Moves: moves}, func(w http.ResponseWriter, r *http.Request) {
+	told := watching(t, &routetable.Discovery{From: 40, AddressChanges: moves}, func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, list(41, true, entry("a", "SERVING", 1), entry("b", "SERVING", 1), entry("c", "SERVING", 1), entry("d", "SERVING", 1))+
 			list(43, false, entry("a", "DRAINING", 1), entry("b", "DELETED", 0), entry("c", "DELETED", 0)))
 		w.(http.Flusher).Flush()
--- a/internal/routetable/fleet_test.go
+++ b/internal/routetable/fleet_test.go
@@ -122,8 +122,8 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				var ended sync.WaitGroup
 				for range size.gateways {
-					d := &routetable.Discovery{Address: "registry:80", Known: size.knowsAList, Gateways: size.gateways, AskEvery: size.askEvery,
-						Tell: func(core.Table) {}, Log: slog.New(slog.DiscardHandler), Dial: listener.dial}
+					d := &routetable.Discovery{Address: "registry:80", HasList: size.knowsAList, Gateways: size.gateways, AskEvery: size.askEvery,
+						Publish: func(core.Table) {}, Log: slog.New(slog.DiscardHandler), Dial: listener.dial}
 					ended.Go(func() { d.Run(ctx) })
 				}
 				time.Sleep(size.within) // of the bubble's time
@@ -194,7 +194,7 @@
 				told := make(chan core.Table, 2*size.gateways)
 				for range size.gateways {
 					d := &routetable.Discovery{Address: "registry:80", Gateways: size.asksWith, AskEvery: size.askEvery,
-						Tell: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler), Dial: listener.dial}
+						Publish: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler), Dial: listener.dial}
 					ended.Go(func() { d.Run(ctx) })
 				}
 				for range size.gateways { // they fall silent as they have spoken
--- a/internal/routetable/reachable_test.go
+++ b/internal/routetable/reachable_test.go
@@ -145,8 +145,8 @@
 	var l lateness
 	for range gateways {
 		learned := false
-		d := &routetable.Discovery{Address: "registry:80", Gateways: askingTogether, Known: true, From: 41,
-			Log: slog.New(slog.DiscardHandler), Dial: o.dial, Tell: func(table core.Table) {
+		d := &routetable.Discovery{Address: "registry:80", Gateways: askingTogether, HasList: true, From: 41,
+			Log: slog.New(slog.DiscardHandler), Dial: o.dial, Publish: func(table core.Table) {
 				if learned || table.Targets[0].State != control.Draining {
 					return
 				}
@@ -203,8 +203,8 @@
 					defer server.Close()
 				}
 				moves, learned := make(chan string, 1), make(chan core.Table, 8)
-				d := &routetable.Discovery{Address: "old:80", Moves: moves, From: 41, Log: slog.New(slog.DiscardHandler),
-					Tell: func(table core.Table) { learned <- table },
+				d := &routetable.Discovery{Address: "old:80", AddressChanges: moves, From: 41, Log: slog.New(slog.DiscardHandler),
+					Publish: func(table core.Table) { learned <- table },
 					Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 						return listeners[address].dial(ctx, network, address)
 					}}
--- a/internal/routetable/restart_test.go
+++ b/internal/routetable/restart_test.go
@@ -125,7 +125,7 @@
 	names := map[control.MemberState]string{control.Ready: "ready", control.Draining: "draining", control.Removed: "removed"}
 	states := map[string][]string{}
 	d := &routetable.Discovery{Address: "agent:80", From: 40, Log: slog.New(slog.DiscardHandler), Dial: listener.dial,
-		Tell: func(table core.Table) {
+		Publish: func(table core.Table) {
 			if second.IsZero() {
 				return
 			}
--- a/internal/routetable/roster.go
+++ b/internal/routetable/roster.go
@@ -11,8 +11,8 @@
 // Roster stands between a list that is watched and the core: it keeps the list whole, tells which targets there
 // are, and lets a configuration name those that may be used.
 type Roster struct {
-	Tell  func(core.Table)      // the core
-	Known func(map[string]bool) // told of the targets on the roster, after each change; may be nil
+	Publish  func(core.Table)      // the core
+	OnChange func(map[string]bool) // told of the targets on the roster, after each change; may be nil
 
 	mu      sync.Mutex
 	list    map[string]core.Target
@@ -21,8 +21,8 @@
 	version int64
 }
 
-// Take takes a list in, or changes to it, and passes it on.
-func (r *Roster) Take(t core.Table) {
+// Update takes a list in, or changes to it, and passes it on.
+func (r *Roster) Update(t core.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.list == nil || t.Kind != control.Delta {
@@ -43,7 +43,7 @@
 	for i, e := range t.Targets {
 		out.Targets[i] = r.judged(e)
 	}
-	r.Tell(out)
+	r.Publish(out)
 	r.known()
 }
 
@@ -62,7 +62,7 @@
 	for _, id := range r.order {
 		t.Targets = append(t.Targets, r.judged(r.list[id]))
 	}
-	r.Tell(t)
+	r.Publish(t)
 }
 
 // judged is a target as the core is to see it: one that may not be used completes what it has.
@@ -74,12 +74,12 @@
 }
 
 func (r *Roster) known() {
-	if r.Known == nil {
+	if r.OnChange == nil {
 		return
 	}
 	ids := map[string]bool{}
 	for id := range r.list {
 		ids[id] = true
 	}
-	r.Known(ids)
+	r.OnChange(ids)
 }
