--- a/internal/forwardauth/check.go
+++ b/internal/forwardauth/check.go
@@ -41,14 +41,14 @@
 }
 
 // closed is what a client gets when no verdict is to be had: nothing has run, it may come again.
-func (f visit) closed() *refusal {
+func (f requestHandler) checkFailed() *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, retryAfter: f.o.Checker.RetryAfter.Duration,
 		text: "the request could not be checked"}
 }
 
 // identify finds out who a client is: one check, with its own deadline inside the client's, or what a trusted
 // proxy says where there is no checker. It returns the headers to copy onward, or why not.
-func (f visit) identify(ctx context.Context, h http.Header, origin map[string]string, trusted bool) (http.Header, *refusal) {
+func (f requestHandler) identify(ctx context.Context, h http.Header, origin map[string]string, trusted bool) (http.Header, *refusal) {
 	if f.checker == nil {
 		identity := http.Header{}
 		if trusted {
@@ -62,10 +62,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.o.Checker.Timeout.Duration)
 	defer cancel()
-	reply, err := f.checker.ask(ctx, f.question(h, origin))
+	reply, err := f.checker.query(ctx, f.checkRequestHeader(h, origin))
 	if err = cmp.Or(err, ctx.Err()); err != nil { // none, or one that came too late to count
 		f.log.Warn("no verdict", "err", err)
-		return nil, f.closed()
+		return nil, f.checkFailed()
 	}
 	switch {
 	case reply.Status >= 200 && reply.Status < 300:
@@ -80,11 +80,11 @@
 		return nil, &refusal{reply: reply}
 	}
 	f.log.Warn("the checker failed", "status", reply.Status)
-	return nil, f.closed()
+	return nil, f.checkFailed()
 }
 
 // question is the head of the message to the checker: the client's headers, and what it asked for.
-func (f visit) question(h http.Header, origin map[string]string) http.Header {
+func (f requestHandler) checkRequestHeader(h http.Header, origin map[string]string) http.Header {
 	q := http.Header{}
 	for name, values := range h {
 		if len(f.o.Checker.RequestHeaders) == 0 || slices.ContainsFunc(f.o.Checker.RequestHeaders, func(n string) bool {
@@ -93,7 +93,7 @@
 			q[name] = values
 		}
 	}
-	f.strip(q)
+	f.stripTrustedHeaders(q)
 	for _, name := range hopByHop {
 		q.Del(name)
 	}
--- a/internal/forwardauth/crossed_verdict_test.go
+++ b/internal/forwardauth/crossed_verdict_test.go
@@ -9,7 +9,7 @@
 
 // newTwiceChecker is a checker that answers every check twice, the second time when the next check on the connection has
 // come.
-func newTwiceChecker(t *testing.T, answer func(token string) string) (url string) {
+func newDoubleAnswerChecker(t *testing.T, answer func(token string) string) (url string) {
 	t.Helper()
 	address, stop, err := standin.NewTwice("127.0.0.1:0", func(r *http.Request) string { return answer(r.Header.Get("Authorization")) })
 	if err != nil {
@@ -23,18 +23,18 @@
 func TestSecondVerdictIsNotGivenToTheNextClient(t *testing.T) {
 	for _, status := range []string{"200 OK", "204 No Content"} {
 		t.Run(status, func(t *testing.T) {
-			check := newTwiceChecker(t, func(token string) string {
+			check := newDoubleAnswerChecker(t, func(token string) string {
 				length := "Content-Length: 0\r\n"
 				if status != "200 OK" {
 					length = "" // it has no body, and may not say so
 				}
 				return "HTTP/1.1 " + status + "\r\n" + length + "X-Auth-Account: " + token + "\r\nX-Auth-Plan: club\r\n\r\n"
 			})
-			table, store := newTables(t), newStore(t)
-			url := gateway(t, check, store.Addr(), table, `timeout = "300ms"`, `timeout = "1500ms"`)
+			table, store := newTableServer(t), newStore(t)
+			url := startGateway(t, check, store.Addr(), table, `timeout = "300ms"`, `timeout = "1500ms"`)
 			for i, client := range []string{"one", "two", "three"} {
-				resp, _ := ask(t, "GET", url+"/table-view/1", "", "Authorization", client)
-				expect(t, resp, http.StatusOK)
+				resp, _ := sendRequest(t, "GET", url+"/table-view/1", "", "Authorization", client)
+				expectStatus(t, resp, http.StatusOK)
 				if table.total() != i+1 {
 					t.Fatalf("%d requests reached a table, want %d", table.total(), i+1)
 				}
@@ -48,18 +48,18 @@
 
 // Guards against a client being let in on the verdict on another, where the checker answers a check twice.
 func TestSecondVerdictDoesNotLetAStrangerIn(t *testing.T) {
-	check := newTwiceChecker(t, func(token string) string {
+	check := newDoubleAnswerChecker(t, func(token string) string {
 		if token == "stranger" {
 			return "HTTP/1.1 401 Unauthorized\r\nContent-Length: 0\r\n\r\n"
 		}
 		return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Auth-Account: " + token + "\r\nX-Auth-Plan: club\r\n\r\n"
 	})
-	table, store := newTables(t), newStore(t)
-	url := gateway(t, check, store.Addr(), table, `timeout = "300ms"`, `timeout = "1500ms"`)
-	resp, _ := ask(t, "GET", url+"/table-view/1", "", "Authorization", "one")
-	expect(t, resp, http.StatusOK)
-	resp, _ = ask(t, "GET", url+"/table-view/1", "", "Authorization", "stranger")
-	expect(t, resp, http.StatusUnauthorized)
+	table, store := newTableServer(t), newStore(t)
+	url := startGateway(t, check, store.Addr(), table, `timeout = "300ms"`, `timeout = "1500ms"`)
+	resp, _ := sendRequest(t, "GET", url+"/table-view/1", "", "Authorization", "one")
+	expectStatus(t, resp, http.StatusOK)
+	resp, _ = sendRequest(t, "GET", url+"/table-view/1", "", "Authorization", "stranger")
+	expectStatus(t, resp, http.StatusUnauthorized)
 	if n := table.total(); n != 1 {
 		t.Errorf("%d requests reached a table, want that of client one alone", n)
 	}
@@ -67,13 +67,13 @@
 
 // Guards against a check without end, where the checker's answer leaves HTTP.
 func TestCheckerThatSwitchesProtocolsIsNoVerdict(t *testing.T) {
-	check := newTwiceChecker(t, func(string) string {
+	check := newDoubleAnswerChecker(t, func(string) string {
 		return "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: other\r\nX-Auth-Account: one\r\nX-Auth-Plan: club\r\n\r\n"
 	})
-	table, store := newTables(t), newStore(t)
-	url := gateway(t, check, store.Addr(), table)
-	resp, _ := ask(t, "GET", url+"/table-view/1", "")
-	expect(t, resp, http.StatusServiceUnavailable)
+	table, store := newTableServer(t), newStore(t)
+	url := startGateway(t, check, store.Addr(), table)
+	resp, _ := sendRequest(t, "GET", url+"/table-view/1", "")
+	expectStatus(t, resp, http.StatusServiceUnavailable)
 	if n := table.total(); n != 0 {
 		t.Errorf("%d requests reached a table", n)
 	}
--- a/internal/forwardauth/forwardauth.go
+++ b/internal/forwardauth/forwardauth.go
@@ -27,7 +27,7 @@
 )
 
 // forwarded are the headers that only trusted proxies are believed.
-var forwarded = []string{"X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "X-Forwarded-Method",
+var trustedHeaders = []string{"X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "X-Forwarded-Method",
 	"X-Forwarded-Uri", "X-Original-Uri", "X-Original-Method", "Forwarded", "X-Real-Ip"}
 
 // hopByHop are the headers that end at this gateway.
@@ -38,26 +38,26 @@
 type Front struct {
 	core  *core.Core
 	proxy *httputil.ReverseProxy
-	keys  keys
+	keys  keyGuard
 	log   *slog.Logger
 
-	mu   sync.Mutex
-	view *View
-	past []*View // replaced, and still used by requests
+	mu       sync.Mutex
+	view     *View
+	replaced []*View // replaced, and still used by requests
 }
 
 // New makes the front of an operator's file.
 func New(o *config.Operator, c *core.Core, log *slog.Logger) (*Front, error) {
 	f := &Front{
-		core: c, log: log, keys: keys{known: map[string]*keyState{}},
+		core: c, log: log, keys: keyGuard{states: map[string]*keyState{}},
 		proxy: front.Proxy(&egress.RoundTripper{Core: c, RetryAfter: egress.WholeSeconds}, log),
 	}
 	var err error
-	f.view, err = f.NewView(o, places(len(o.Classes)), places(len(o.Plans)))
+	f.view, err = f.NewView(o, sequence(len(o.Classes)), sequence(len(o.Plans)))
 	return f, err
 }
 
-func places(n int) (all []int) {
+func sequence(n int) (all []int) {
 	for i := range n {
 		all = append(all, i)
 	}
@@ -65,25 +65,25 @@
 }
 
 // visit is one request's stay, with the view that it is decided under.
-type visit struct {
+type requestHandler struct {
 	*Front
 	*View
 }
 
 // ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	v := f.enterView()
-	defer f.leaveView(v)
-	visit{f, v}.serve(w, r)
+	v := f.acquireView()
+	defer f.releaseView(v)
+	requestHandler{f, v}.serve(w, r)
 }
 
-func (f visit) serve(w http.ResponseWriter, r *http.Request) {
+func (f requestHandler) serve(w http.ResponseWriter, r *http.Request) {
 	received := time.Now()
 	if front.Chunked(r) {
 		w.Header().Set("Connection", "close")
 	}
 	if f.o.Asked.Path != "" && r.URL.Path == f.o.Asked.Path {
-		f.asked(w, r, received)
+		f.serveVerdict(w, r, received)
 		return
 	}
 	x, err := f.decode(r, received)
@@ -98,14 +98,14 @@
 	}
 	front.Arrived(&x, received, rest)
 	trusted := f.trusted(r)
-	origin := f.origin(r, trusted)
+	origin := f.forwardedValues(r, trusted)
 	// What is checked is what is sent on: no header may say that it is something else.
 	origin["X-Forwarded-Method"], origin["X-Forwarded-Uri"] = r.Method, r.RequestURI
 	ctx, cancel := context.WithDeadline(r.Context(), x.Deadline)
 	identity, refusal := f.identify(ctx, r.Header, origin, trusted)
 	cancel()
 	if refusal == nil {
-		refusal = f.enter(&x, identity)
+		refusal = f.assignSender(&x, identity)
 	}
 	if r.Context().Err() != nil {
 		panic(http.ErrAbortHandler) // the client left while it was checked: nothing is sent for it
@@ -114,7 +114,7 @@
 		refusal.write(w)
 		return
 	}
-	f.strip(r.Header)
+	f.stripTrustedHeaders(r.Header)
 	for name, values := range identity {
 		r.Header[name] = values
 	}
@@ -122,13 +122,13 @@
 		r.Header.Set(name, value)
 	}
 	if r.Header.Get("X-Request-ID") == "" {
-		r.Header.Set("X-Request-ID", freshID())
+		r.Header.Set("X-Request-ID", newRequestID())
 	}
-	f.carry(w, r, x, body, rest)
+	f.forward(w, r, x, body, rest)
 }
 
 // carry has an exchange carried out, a keyed one under the guard of its key.
-func (f visit) carry(w http.ResponseWriter, r *http.Request, x core.Exchange, body []byte, rest *front.Body) {
+func (f requestHandler) forward(w http.ResponseWriter, r *http.Request, x core.Exchange, body []byte, rest *front.Body) {
 	class, name := f.o.Module.Classes[x.Class], f.names.Classes[x.Class]
 	x.Class = f.classes[x.Class]
 	if class.Repeat != control.Keyed {
@@ -138,14 +138,14 @@
 	id := name + "\x00" + r.Header.Get(f.o.Identity.Account) + "\x00" + r.Header.Get("Idempotency-Key")
 	v, by, reply, ranAt := f.keys.begin(id, time.Now(), time.Duration(class.Window*float64(time.Second)))
 	switch v {
-	case running, spent:
+	case keyInFlight, keyExpired:
 		(&refusal{status: http.StatusConflict, retryAfter: time.Second,
 			text: "this Idempotency-Key is in use, or how it ended is in doubt"}).write(w)
 		return
-	case crowded:
+	case keyGuardFull:
 		(&refusal{status: http.StatusServiceUnavailable, retryAfter: time.Second}).write(w)
 		return
-	case served:
+	case keyReplay:
 		for name, values := range reply.Header {
 			if !slices.Contains(hopByHop, name) {
 				w.Header()[name] = values
@@ -158,21 +158,21 @@
 	if by.Before(x.Deadline) {
 		x.Deadline = by // later targets no longer drop a repeat
 	}
-	if v == repeat && class.Group != control.GroupAll { // at another site it would run a second time
+	if v == keyRepeat && class.Group != control.GroupAll { // at another site it would run a second time
 		x.Bound, x.At = true, ranAt
 	}
 	end := core.Answer{Kind: core.Left} // unless the core is reached: nothing can have run
-	defer func() { f.keys.end(id, time.Now(), end, v == repeat) }()
+	defer func() { f.keys.end(id, time.Now(), end, v == keyRepeat) }()
 	front.Carry(f.proxy, w, r, &x, body, rest, func(a core.Answer) { end = a })
 }
 
 // asked answers a proxy that asks whether a request may pass. It is the proxy that sends the request on.
-func (f visit) asked(w http.ResponseWriter, r *http.Request, received time.Time) {
+func (f requestHandler) serveVerdict(w http.ResponseWriter, r *http.Request, received time.Time) {
 	if !f.trusted(r) {
 		(&refusal{status: http.StatusForbidden, text: "only configured proxies may ask"}).write(w)
 		return
 	}
-	origin := f.origin(r, true)
+	origin := f.forwardedValues(r, true)
 	u, err := url.ParseRequestURI(origin["X-Forwarded-Uri"])
 	if err != nil {
 		front.Reject(w, r, &front.Malformed{Status: http.StatusBadRequest, Text: "X-Forwarded-Uri is missing or no path"})
@@ -188,7 +188,7 @@
 	defer cancel()
 	identity, no := f.identify(ctx, r.Header, origin, true)
 	if no == nil {
-		no = f.enter(&x, identity)
+		no = f.assignSender(&x, identity)
 	}
 	if no != nil {
 		no.write(w)
@@ -209,7 +209,7 @@
 }
 
 // decode reads a message but for who sent it: that is for the checker to say.
-func (f visit) decode(r *http.Request, received time.Time) (x core.Exchange, err error) {
+func (f requestHandler) decode(r *http.Request, received time.Time) (x core.Exchange, err error) {
 	if x.Class, err = f.names.Class(r); err != nil {
 		return x, err
 	}
@@ -231,7 +231,7 @@
 }
 
 // enter fills in who sent an exchange.
-func (f visit) enter(x *core.Exchange, identity http.Header) *refusal {
+func (f requestHandler) assignSender(x *core.Exchange, identity http.Header) *refusal {
 	account, plan := identity.Get(f.o.Identity.Account), identity.Get(f.o.Identity.Plan)
 	place := slices.Index(f.names.Plans, plan)
 	switch {
@@ -243,7 +243,7 @@
 		return nil
 	case f.checker != nil: // it let the client in, but does not say as whom
 		f.log.Error("the checker named no account, or no known plan", "plan", plan)
-		return f.closed()
+		return f.checkFailed()
 	case account == "":
 		return &refusal{status: http.StatusUnauthorized, text: "nobody vouches for this client"}
 	}
@@ -251,7 +251,7 @@
 }
 
 // trusted tells whether the peer is a configured proxy.
-func (f visit) trusted(r *http.Request) bool {
+func (f requestHandler) trusted(r *http.Request) bool {
 	peer, err := netip.ParseAddrPort(r.RemoteAddr)
 	return err == nil && slices.ContainsFunc(f.o.TrustedProxies, func(p netip.Prefix) bool {
 		return p.Contains(peer.Addr().Unmap())
@@ -259,7 +259,7 @@
 }
 
 // origin is what the forwarded headers are to say: what a trusted proxy says, else what is seen here.
-func (f visit) origin(r *http.Request, trusted bool) map[string]string {
+func (f requestHandler) forwardedValues(r *http.Request, trusted bool) map[string]string {
 	peer, _, _ := net.SplitHostPort(r.RemoteAddr)
 	o := map[string]string{
 		"X-Forwarded-Method": r.Method, "X-Forwarded-Proto": "http", "X-Forwarded-Host": r.Host,
@@ -284,15 +284,15 @@
 }
 
 // strip removes what a client may not say of itself.
-func (f visit) strip(h http.Header) {
-	for _, list := range [][]string{forwarded, f.o.Checker.ResponseHeaders, {f.o.Identity.Account, f.o.Identity.Plan}} {
+func (f requestHandler) stripTrustedHeaders(h http.Header) {
+	for _, list := range [][]string{trustedHeaders, f.o.Checker.ResponseHeaders, {f.o.Identity.Account, f.o.Identity.Plan}} {
 		for _, name := range list {
 			h.Del(name)
 		}
 	}
 }
 
-func freshID() string {
+func newRequestID() string {
 	var b [8]byte
 	rand.Read(b[:]) // does not fail
 	return hex.EncodeToString(b[:])
--- a/internal/forwardauth/forwardauth_test.go
+++ b/internal/forwardauth/forwardauth_test.go
@@ -26,7 +26,7 @@
 )
 
 // tables is a stand-in table server that counts how often each move key ran. It drops no repeats itself.
-type tables struct {
+type tableServer struct {
 	*httptest.Server
 	mu   sync.Mutex
 	runs map[string]int
@@ -34,8 +34,8 @@
 	hold chan struct{} // not nil: an answer waits for it
 }
 
-func newTables(t *testing.T) *tables {
-	s := &tables{runs: map[string]int{}}
+func newTableServer(t *testing.T) *tableServer {
+	s := &tableServer{runs: map[string]int{}}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body) // a request begins once its last byte has arrived
 		if err != nil {
@@ -55,13 +55,13 @@
 	return s
 }
 
-func (s *tables) total() (n int) {
+func (s *tableServer) total() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.seen)
 }
 
-func (s *tables) ran(key string) int {
+func (s *tableServer) runCount(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
@@ -70,17 +70,17 @@
 // checker is a stand-in checker whose answers a test scripts.
 type checker struct {
 	*httptest.Server
-	asked chan http.Header
-	gone  chan struct{} // one for each question that the gateway gave up
+	requests  chan http.Header
+	abandoned chan struct{} // one for each question that the gateway gave up
 }
 
 func newChecker(t *testing.T, answer func(w http.ResponseWriter, r *http.Request)) *checker {
-	c := &checker{asked: make(chan http.Header, 256), gone: make(chan struct{}, 256)}
+	c := &checker{requests: make(chan http.Header, 256), abandoned: make(chan struct{}, 256)}
 	c.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c.asked <- r.Header.Clone()
+		c.requests <- r.Header.Clone()
 		answer(w, r)
 		if r.Context().Err() != nil {
-			c.gone <- struct{}{}
+			c.abandoned <- struct{}{}
 		}
 	}))
 	t.Cleanup(c.Close)
@@ -94,7 +94,7 @@
 }
 
 // gateway starts the front of an operator's file that knows the given peers.
-func gateway(t *testing.T, checkURL, redis string, table *tables, more ...string) string {
+func startGateway(t *testing.T, checkURL, redis string, table *tableServer, more ...string) string {
 	t.Helper()
 	text := `listen = "127.0.0.1:0"
 gateways = 2
@@ -149,7 +149,7 @@
 }
 
 // ask sends one request and returns its answer with the body read.
-func ask(t *testing.T, method, url, key string, more ...string) (*http.Response, string) {
+func sendRequest(t *testing.T, method, url, key string, more ...string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, url, bytes.NewReader([]byte("e2e4")))
 	if err != nil {
@@ -179,7 +179,7 @@
 	return resp, string(body)
 }
 
-func expect(t *testing.T, resp *http.Response, status int) {
+func expectStatus(t *testing.T, resp *http.Response, status int) {
 	t.Helper()
 	if resp.StatusCode != status {
 		t.Errorf("answered %d, want %d", resp.StatusCode, status)
@@ -191,19 +191,19 @@
 
 // A checked move reaches a table with the checker's word on who plays, and not with the client's own.
 func TestCheckedMoveIsServed(t *testing.T) {
-	table, store := newTables(t), newStore(t)
+	table, store := newTableServer(t), newStore(t)
 	check := newChecker(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Seat", "north")
 		allow(w, r)
 	})
-	url := gateway(t, check.URL+"/v?x=1", store.Addr(), table)
-	resp, body := ask(t, "POST", url+"/move-submit/7?turn=3", "k1",
+	url := startGateway(t, check.URL+"/v?x=1", store.Addr(), table)
+	resp, body := sendRequest(t, "POST", url+"/move-submit/7?turn=3", "k1",
 		"X-Auth-Account", "mallory", "X-Seat", "south", "X-Forwarded-Host", "club.example", "X-Forwarded-Uri", "/table-view/1", "Authorization", "Bearer b")
-	expect(t, resp, http.StatusOK)
+	expectStatus(t, resp, http.StatusOK)
 	if body != "e2e4" {
 		t.Errorf("body %q", body)
 	}
-	q := <-check.asked
+	q := <-check.requests
 	for name, want := range map[string]string{
 		"X-Forwarded-Method": "POST", "X-Forwarded-Uri": "/move-submit/7?turn=3", "X-Forwarded-Host": "club.example",
 		"X-Forwarded-Proto": "http", "X-Forwarded-For": "127.0.0.1", "Authorization": "Bearer b", "X-Auth-Account": "",
@@ -251,8 +251,8 @@
 		}, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			table, store, check := newTables(t), newStore(t), newChecker(t, c.answer)
-			url := gateway(t, check.URL, store.Addr(), table)
+			table, store, check := newTableServer(t), newStore(t), newChecker(t, c.answer)
+			url := startGateway(t, check.URL, store.Addr(), table)
 			noFollow := http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 			r, _ := http.NewRequest("POST", url+"/move-submit/7", strings.NewReader("e2e4"))
 			r.Header.Set("Idempotency-Key", "k")
@@ -261,32 +261,32 @@
 				t.Fatal(err)
 			}
 			resp.Body.Close()
-			expect(t, resp, c.status)
+			expectStatus(t, resp, c.status)
 			if c.name == "401 goes back" && resp.Header.Get("WWW-Authenticate") != "Bearer" {
 				t.Error("the checker's headers are lost")
 			}
 			if c.name == "stall of 3 s" {
-				<-check.gone // the question was given up, not left running
+				<-check.abandoned // the question was given up, not left running
 			}
 			if n := table.total(); n != 0 {
 				t.Errorf("%d requests reached a table", n)
 			}
-			if n := len(check.asked); n != 1 {
+			if n := len(check.requests); n != 1 {
 				t.Errorf("the checker was asked %d times", n)
 			}
 		})
 	}
 	t.Run("unreachable", func(t *testing.T) {
-		table, check := newTables(t), newChecker(t, allow)
+		table, check := newTableServer(t), newChecker(t, allow)
 		check.Close()
-		resp, _ := ask(t, "GET", gateway(t, check.URL, newStore(t).Addr(), table)+"/table-view/1", "")
-		expect(t, resp, http.StatusServiceUnavailable)
+		resp, _ := sendRequest(t, "GET", startGateway(t, check.URL, newStore(t).Addr(), table)+"/table-view/1", "")
+		expectStatus(t, resp, http.StatusServiceUnavailable)
 	})
 }
 
 // A verdict that comes after the client has left sends nothing to a table.
 func TestClientLeavesDuringCheck(t *testing.T) {
-	table, store, verdict := newTables(t), newStore(t), make(chan struct{})
+	table, store, verdict := newTableServer(t), newStore(t), make(chan struct{})
 	check := newChecker(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-verdict:
@@ -294,7 +294,7 @@
 		}
 		allow(w, r)
 	})
-	url := gateway(t, check.URL, store.Addr(), table, `timeout = "300ms"`, `timeout = "1900ms"`)
+	url := startGateway(t, check.URL, store.Addr(), table, `timeout = "300ms"`, `timeout = "1900ms"`)
 	ctx, leave := context.WithCancel(context.Background())
 	r, _ := http.NewRequestWithContext(ctx, "POST", url+"/move-submit/7", strings.NewReader("e2e4"))
 	r.Header.Set("Idempotency-Key", "k")
@@ -303,31 +303,31 @@
 		_, err := http.DefaultClient.Do(r)
 		done <- err
 	}()
-	<-check.asked
+	<-check.requests
 	leave()
 	if err := <-done; err == nil {
 		t.Fatal("the client did not leave")
 	}
-	<-check.gone // the gateway noticed and gave the check up
+	<-check.abandoned // the gateway noticed and gave the check up
 	close(verdict)
 	// The same key is free: nothing ran under it. This one's check passes, and it is the only one to run.
-	resp, _ := ask(t, "POST", url+"/move-submit/7", "k")
-	expect(t, resp, http.StatusOK)
-	if n := table.ran("k"); n != 1 {
+	resp, _ := sendRequest(t, "POST", url+"/move-submit/7", "k")
+	expectStatus(t, resp, http.StatusOK)
+	if n := table.runCount("k"); n != 1 {
 		t.Errorf("the move ran %d times", n)
 	}
 }
 
 // Concurrent repeats of a key: one runs, each gets one answer, and a later repeat gets the first one's.
 func TestKeyRunsOnce(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	table.hold = make(chan struct{})
-	url := gateway(t, check.URL, store.Addr(), table)
+	url := startGateway(t, check.URL, store.Addr(), table)
 	const repeats = 8
 	statuses := make(chan int, repeats)
 	for range repeats {
 		go func() {
-			resp, _ := ask(t, "POST", url+"/move-submit/7", "k")
+			resp, _ := sendRequest(t, "POST", url+"/move-submit/7", "k")
 			statuses <- resp.StatusCode
 		}()
 	}
@@ -340,19 +340,19 @@
 	if s := <-statuses; s != http.StatusOK {
 		t.Errorf("the first was answered %d", s)
 	}
-	resp, body := ask(t, "POST", url+"/move-submit/7", "k")
-	expect(t, resp, http.StatusOK)
+	resp, body := sendRequest(t, "POST", url+"/move-submit/7", "k")
+	expectStatus(t, resp, http.StatusOK)
 	if body != "e2e4" || resp.Header.Get("Idempotent-Replayed") != "true" {
 		t.Errorf("a later repeat got %q", body)
 	}
-	if n := table.ran("k"); n != 1 {
+	if n := table.runCount("k"); n != 1 {
 		t.Errorf("the move ran %d times", n)
 	}
 }
 
 // A proxy asks for verdicts: the same quota as for what is sent on, 429 with Retry-After beyond it.
 func TestAskedForVerdicts(t *testing.T) {
-	table, store := newTables(t), newStore(t)
+	table, store := newTableServer(t), newStore(t)
 	check := newChecker(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Authorization") == "" {
 			w.WriteHeader(http.StatusForbidden)
@@ -360,51 +360,51 @@
 		}
 		allow(w, r)
 	})
-	url := gateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 1")
+	url := startGateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 1")
 	verdict := func(more ...string) *http.Response {
-		resp, _ := ask(t, "GET", url+"/verify", "", append(more, "X-Forwarded-Method", "GET",
+		resp, _ := sendRequest(t, "GET", url+"/verify", "", append(more, "X-Forwarded-Method", "GET",
 			"X-Forwarded-Uri", "/table-view/9", "X-Quota", "units=6,spread=1,first=0")...)
 		return resp
 	}
-	expect(t, verdict(), http.StatusForbidden)
+	expectStatus(t, verdict(), http.StatusForbidden)
 	for range 3 {
 		resp := verdict("Authorization", "b")
-		expect(t, resp, http.StatusOK)
+		expectStatus(t, resp, http.StatusOK)
 		if resp.Header.Get("X-Auth-Account") != "ayumi" {
 			t.Error("no identity to copy onward")
 		}
 	}
 	resp := verdict("Authorization", "b") // 18 of 20 units are spent
-	expect(t, resp, http.StatusTooManyRequests)
+	expectStatus(t, resp, http.StatusTooManyRequests)
 	if resp.Header.Get("Retry-After") == "" {
 		t.Error("no Retry-After")
 	}
-	resp, _ = ask(t, "GET", url+"/table-view/9", "", "Authorization", "b", "X-Quota", "units=6,spread=1,first=0")
-	expect(t, resp, http.StatusTooManyRequests)
+	resp, _ = sendRequest(t, "GET", url+"/table-view/9", "", "Authorization", "b", "X-Quota", "units=6,spread=1,first=0")
+	expectStatus(t, resp, http.StatusTooManyRequests)
 	if n := table.total(); n != 0 {
 		t.Errorf("%d requests reached a table", n)
 	}
-	resp, _ = ask(t, "GET", url+"/verify", "", "X-Forwarded-Method", "GET", "X-Forwarded-Uri", "table-view")
-	expect(t, resp, http.StatusBadRequest)
+	resp, _ = sendRequest(t, "GET", url+"/verify", "", "X-Forwarded-Method", "GET", "X-Forwarded-Uri", "table-view")
+	expectStatus(t, resp, http.StatusBadRequest)
 }
 
 // Nobody but a configured proxy may ask, or be believed in what it forwards.
 func TestStrangersAreNotBelieved(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
-	url := gateway(t, check.URL, store.Addr(), table, "127.0.0.0/8", "192.0.2.0/24")
-	resp, _ := ask(t, "GET", url+"/verify", "", "X-Forwarded-Method", "GET", "X-Forwarded-Uri", "/table-view/9")
-	expect(t, resp, http.StatusForbidden)
-	resp, _ = ask(t, "GET", url+"/table-view/9", "", "X-Forwarded-For", "192.0.2.9", "X-Forwarded-Uri", "/other")
-	expect(t, resp, http.StatusOK)
-	if q := <-check.asked; q.Get("X-Forwarded-For") != "127.0.0.1" || q.Get("X-Forwarded-Uri") != "/table-view/9" {
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
+	url := startGateway(t, check.URL, store.Addr(), table, "127.0.0.0/8", "192.0.2.0/24")
+	resp, _ := sendRequest(t, "GET", url+"/verify", "", "X-Forwarded-Method", "GET", "X-Forwarded-Uri", "/table-view/9")
+	expectStatus(t, resp, http.StatusForbidden)
+	resp, _ = sendRequest(t, "GET", url+"/table-view/9", "", "X-Forwarded-For", "192.0.2.9", "X-Forwarded-Uri", "/other")
+	expectStatus(t, resp, http.StatusOK)
+	if q := <-check.requests; q.Get("X-Forwarded-For") != "127.0.0.1" || q.Get("X-Forwarded-Uri") != "/table-view/9" {
 		t.Errorf("the checker was told For %q, Uri %q", q.Get("X-Forwarded-For"), q.Get("X-Forwarded-Uri"))
 	}
 }
 
 // Malformed input is answered at once, outside the core, without a question to the checker.
 func TestMalformedIsRejected(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
-	url := gateway(t, check.URL, store.Addr(), table)
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
+	url := startGateway(t, check.URL, store.Addr(), table)
 	for _, c := range []struct {
 		method, path, key, header, value string
 		status                           int
@@ -416,8 +416,8 @@
 		{"GET", "/table-view/1", "", "X-Quota", "units=-1,spread=1,first=0", 400},
 		{"GET", "/table-view/1", "", "X-Long", strings.Repeat("x", 32<<10), 431},
 	} {
-		resp, _ := ask(t, c.method, url+c.path, c.key, c.header, c.value)
-		expect(t, resp, c.status)
+		resp, _ := sendRequest(t, c.method, url+c.path, c.key, c.header, c.value)
+		expectStatus(t, resp, c.status)
 	}
 	r, _ := http.NewRequest("POST", url+"/move-submit/1", bytes.NewReader(make([]byte, 64<<10+1)))
 	r.Header.Set("Idempotency-Key", "k")
@@ -426,25 +426,25 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	expect(t, resp, http.StatusRequestEntityTooLarge)
-	if len(check.asked) != 0 || table.total() != 0 {
+	expectStatus(t, resp, http.StatusRequestEntityTooLarge)
+	if len(check.requests) != 0 || table.total() != 0 {
 		t.Error("something malformed went further")
 	}
 }
 
 // Two gateways on one store hold one quota between them; a silent or emptied store stops neither.
 func TestTwoGatewaysOneQuota(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	urls := []string{
-		gateway(t, check.URL, store.Addr(), table),
-		gateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 2\nordinal = 1"),
+		startGateway(t, check.URL, store.Addr(), table),
+		startGateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 2\nordinal = 1"),
 	}
 	// The store's word arrives beside the requests: each is sent once the one before it has been counted.
 	const each = 4.0
 	quota := []string{"X-Quota", "units=4,spread=2,first=0"}
 	units := 0.0
 	for i := range 16 {
-		resp, _ := ask(t, "GET", urls[i%2]+"/table-view/1", "", quota...)
+		resp, _ := sendRequest(t, "GET", urls[i%2]+"/table-view/1", "", quota...)
 		switch resp.StatusCode {
 		case http.StatusOK:
 			units += each
@@ -464,12 +464,12 @@
 		}
 	}
 	store.Empty()
-	resp, _ := ask(t, "GET", urls[0]+"/table-view/1", "", quota...)
+	resp, _ := sendRequest(t, "GET", urls[0]+"/table-view/1", "", quota...)
 	if resp.StatusCode != http.StatusTooManyRequests {
 		t.Errorf("an emptied store refilled the quota: %d", resp.StatusCode)
 	}
 	store.Silence()
-	resp, _ = ask(t, "GET", urls[1]+"/table-view/2", "", quota...)
+	resp, _ = sendRequest(t, "GET", urls[1]+"/table-view/2", "", quota...)
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
 		t.Errorf("a silent store gave %d", resp.StatusCode)
 	}
@@ -477,20 +477,20 @@
 
 // A move whose end is in doubt is not run again once table servers no longer drop its repeat.
 func TestKeyInDoubtIsNotRunAgain(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	table.hold = make(chan struct{})
 	defer close(table.hold)
-	url := gateway(t, check.URL, store.Addr(), table, `window = "4s"`, `window = "400ms"`)
-	resp, _ := ask(t, "POST", url+"/move-submit/7", "k") // held by the table until the window has passed
-	expect(t, resp, http.StatusServiceUnavailable)
-	resp, _ = ask(t, "POST", url+"/move-submit/7", "k")
-	expect(t, resp, http.StatusConflict)
-	if n := table.ran("k"); n != 1 {
+	url := startGateway(t, check.URL, store.Addr(), table, `window = "4s"`, `window = "400ms"`)
+	resp, _ := sendRequest(t, "POST", url+"/move-submit/7", "k") // held by the table until the window has passed
+	expectStatus(t, resp, http.StatusServiceUnavailable)
+	resp, _ = sendRequest(t, "POST", url+"/move-submit/7", "k")
+	expectStatus(t, resp, http.StatusConflict)
+	if n := table.runCount("k"); n != 1 {
 		t.Errorf("the move ran %d times", n)
 	}
-	resp, _ = ask(t, "POST", url+"/move-submit/7", "other", "X-Timeout", "300m") // another key is not held up
-	expect(t, resp, http.StatusServiceUnavailable)
-	if n := table.ran("other"); n != 1 {
+	resp, _ = sendRequest(t, "POST", url+"/move-submit/7", "other", "X-Timeout", "300m") // another key is not held up
+	expectStatus(t, resp, http.StatusServiceUnavailable)
+	if n := table.runCount("other"); n != 1 {
 		t.Errorf("the other move ran %d times", n)
 	}
 }
@@ -515,9 +515,9 @@
 // A long move passes on as it comes and its long answer too, checked and under its key like a short one; one beyond
 // max_body gets 413, with its length and in chunks, and no table server runs it.
 func TestLongBodyIsPassedOn(t *testing.T) {
-	table, store := newTables(t), newStore(t)
+	table, store := newTableServer(t), newStore(t)
 	check := newChecker(t, allow)
-	url := gateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 2\nmax_body = 4194304")
+	url := startGateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 2\nmax_body = 4194304")
 	body := bytes.Repeat([]byte("e2e4"), 1<<19)
 	post := func(key string, body io.Reader) int {
 		r, err := http.NewRequest("POST", url+"/move-submit/7", body)
@@ -547,14 +547,14 @@
 		{"k2", chunked(body), 200, 1},
 		{"k3", bytes.NewReader(make([]byte, 5<<20)), 413, 0},
 	} {
-		if status := post(c.key, c.body); status != c.status || table.ran(c.key) != c.runs {
-			t.Errorf("%s: answered %d, ran %d times; want %d, %d", c.key, status, table.ran(c.key), c.status, c.runs)
+		if status := post(c.key, c.body); status != c.status || table.runCount(c.key) != c.runs {
+			t.Errorf("%s: answered %d, ran %d times; want %d, %d", c.key, status, table.runCount(c.key), c.status, c.runs)
 		}
 	}
-	if status := post("k4", chunked(make([]byte, 5<<20))); status < 400 || table.ran("k4") != 0 {
-		t.Errorf("too long in chunks: answered %d, ran %d times", status, table.ran("k4"))
+	if status := post("k4", chunked(make([]byte, 5<<20))); status < 400 || table.runCount("k4") != 0 {
+		t.Errorf("too long in chunks: answered %d, ran %d times", status, table.runCount("k4"))
 	}
-	if n := len(check.asked); n > 4 {
+	if n := len(check.requests); n > 4 {
 		t.Errorf("the checker was asked %d times", n)
 	}
 }
--- a/internal/forwardauth/hidden_request_test.go
+++ b/internal/forwardauth/hidden_request_test.go
@@ -15,8 +15,8 @@
 // clients goes by Content-Length and net/http by the chunks beside it: the answer to the hidden one would be given to the
 // proxy's next client.
 func TestRequestHiddenBehindChunksIsNotAnswered(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
-	url := gateway(t, check.URL, store.Addr(), table)
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
+	url := startGateway(t, check.URL, store.Addr(), table)
 	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/forwardauth/view.go
+++ b/internal/forwardauth/view.go
@@ -12,12 +12,12 @@
 
 // View is one configuration version as the front sees it. It is not changed once it is made.
 type View struct {
-	o       *config.Operator
-	names   *front.Names
-	classes []int // the numbers in the core, by their place in the document
-	plans   []int
-	checker *checker // nil: trusted proxies say who a client is
-	users   int      // requests under it; guarded by the front
+	o        *config.Operator
+	names    *front.Names
+	classes  []int // the numbers in the core, by their place in the document
+	plans    []int
+	checker  *checker // nil: trusted proxies say who a client is
+	requests int      // requests under it; guarded by the front
 }
 
 // NewView makes a view of a version. Nothing sees it before Install.
@@ -55,23 +55,23 @@
 func (f *Front) Install(v *View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.past = append(f.past, f.view)
+	f.replaced = append(f.replaced, f.view)
 	f.view = v
-	f.sweep()
+	f.dropUnusedViews()
 }
 
 // Classes are the numbers of classes, and Plans those of plans, that requests may still use.
-func (f *Front) Classes() map[int]bool { return f.used(func(v *View) []int { return v.classes }) }
+func (f *Front) Classes() map[int]bool { return f.inUse(func(v *View) []int { return v.classes }) }
 
 // Plans is documented with Classes.
-func (f *Front) Plans() map[int]bool { return f.used(func(v *View) []int { return v.plans }) }
+func (f *Front) Plans() map[int]bool { return f.inUse(func(v *View) []int { return v.plans }) }
 
-func (f *Front) used(of func(*View) []int) map[int]bool {
+func (f *Front) inUse(of func(*View) []int) map[int]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sweep()
+	f.dropUnusedViews()
 	all := map[int]bool{}
-	for _, v := range append([]*View{f.view}, f.past...) {
+	for _, v := range append([]*View{f.view}, f.replaced...) {
 		for _, n := range of(v) {
 			all[n] = true
 		}
@@ -79,24 +79,24 @@
 	return all
 }
 
-func (f *Front) enterView() *View {
+func (f *Front) acquireView() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.view.users++
+	f.view.requests++
 	return f.view
 }
 
-func (f *Front) leaveView(v *View) {
+func (f *Front) releaseView(v *View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if v.users--; v.users == 0 && v != f.view {
-		f.sweep()
+	if v.requests--; v.requests == 0 && v != f.view {
+		f.dropUnusedViews()
 	}
 }
 
 // sweep lets go of replaced views that nobody uses.
-func (f *Front) sweep() {
-	f.past = slices.DeleteFunc(f.past, func(v *View) bool { return v.users == 0 })
+func (f *Front) dropUnusedViews() {
+	f.replaced = slices.DeleteFunc(f.replaced, func(v *View) bool { return v.requests == 0 })
 }
 
 // WindowFaults names the keyed classes of a new version whose window is shorter than the present one while keys of it
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -18,8 +18,8 @@
 }
 
 const (
-	mostParts = 8      // of a rule's path: a match looks at no more than 2 to that many places
-	mostRules = 50_000 // of a list: twice the largest that is planned for
+	maxParts = 8      // of a rule's path: a match looks at no more than 2 to that many places
+	maxRules = 50_000 // of a list: twice the largest that is planned for
 )
 
 // methods are the ones that a rule may name, each a bit.
@@ -31,14 +31,14 @@
 
 // node is a place in the tree: what may follow the parts that led here.
 type node struct {
-	next map[string]*node
-	any  *node
-	ends []end // rules whose path ends here, in order
-	rest []end // rules that go on with "**"
+	literal  map[string]*node
+	wildcard *node
+	exact    []ruleRef // rules whose path ends here, in order
+	prefix   []ruleRef // rules that go on with "**"
 }
 
 // end is a rule, by its place in the list.
-type end struct {
+type ruleRef struct {
 	order   int
 	methods uint16
 	class   int
@@ -48,11 +48,11 @@
 func Compile(rules []Rule) (*Table, []error) {
 	var faults []error
 	t := &Table{root: &node{}}
-	if len(rules) > mostRules {
-		return t, []error{fmt.Errorf("%d routes, %d are allowed", len(rules), mostRules)}
+	if len(rules) > maxRules {
+		return t, []error{fmt.Errorf("%d routes, %d are allowed", len(rules), maxRules)}
 	}
 	for i, r := range rules {
-		e, parts, err := r.read(i)
+		e, parts, err := r.parse(i)
 		if err != nil {
 			faults = append(faults, err)
 			continue
@@ -65,17 +65,17 @@
 			n = n.child(part)
 		}
 		if len(parts) > 0 && parts[len(parts)-1] == "**" {
-			n.rest = append(n.rest, e)
+			n.prefix = append(n.prefix, e)
 		} else {
-			n.ends = append(n.ends, e)
+			n.exact = append(n.exact, e)
 		}
 	}
 	return t, faults
 }
 
-func (r Rule) read(i int) (e end, parts []string, err error) {
-	fault := func(format string, args ...any) (end, []string, error) {
-		return e, nil, fmt.Errorf("route %d (%s): %s", i+1, r.Path, fmt.Sprintf(format, args...))
+func (r Rule) parse(i int) (ref ruleRef, parts []string, err error) {
+	fault := func(format string, args ...any) (ruleRef, []string, error) {
+		return ref, nil, fmt.Errorf("route %d (%s): %s", i+1, r.Path, fmt.Sprintf(format, args...))
 	}
 	if !strings.HasPrefix(r.Path, "/") {
 		return fault("the path must begin with /")
@@ -83,8 +83,8 @@
 	if r.Path != "/" {
 		parts = strings.Split(r.Path[1:], "/")
 	}
-	if len(parts) > mostParts {
-		return fault("%d parts, %d are allowed", len(parts), mostParts)
+	if len(parts) > maxParts {
+		return fault("%d parts, %d are allowed", len(parts), maxParts)
 	}
 	for n, part := range parts {
 		switch {
@@ -96,31 +96,31 @@
 			return fault("part %d, %q, is neither literal nor * nor **", n+1, part)
 		}
 	}
-	e = end{order: i, class: r.Class}
+	ref = ruleRef{order: i, class: r.Class}
 	for _, m := range r.Methods {
 		bit := slices.Index(methods, m)
 		if bit < 0 {
 			return fault("method %q is not known", m)
 		}
-		e.methods |= 1 << bit
+		ref.methods |= 1 << bit
 	}
-	return e, parts, nil
+	return ref, parts, nil
 }
 
 func (n *node) child(part string) *node {
 	if part == "*" {
-		if n.any == nil {
-			n.any = &node{}
+		if n.wildcard == nil {
+			n.wildcard = &node{}
 		}
-		return n.any
+		return n.wildcard
 	}
-	if n.next == nil {
-		n.next = map[string]*node{}
+	if n.literal == nil {
+		n.literal = map[string]*node{}
 	}
-	c := n.next[part]
+	c := n.literal[part]
 	if c == nil {
 		c = &node{}
-		n.next[part] = c
+		n.literal[part] = c
 	}
 	return c
 }
@@ -134,29 +134,29 @@
 	if i := slices.Index(methods, method); i >= 0 {
 		bit = 1 << i
 	}
-	best := end{order: mostRules}
+	best := ruleRef{order: maxRules}
 	t.root.find(bit, strings.TrimPrefix(path, "/"), path == "/" || path == "", &best)
-	return best.class, best.order < mostRules
+	return best.class, best.order < maxRules
 }
 
 // find looks for the first rule that fits what is left of a path.
-func (n *node) find(bit uint16, left string, done bool, best *end) {
-	first(n.rest, bit, best)
+func (n *node) find(bit uint16, path string, done bool, best *ruleRef) {
+	matchFirst(n.prefix, bit, best)
 	if done {
-		first(n.ends, bit, best)
+		matchFirst(n.exact, bit, best)
 		return
 	}
-	part, rest, more := strings.Cut(left, "/")
-	if c := n.next[part]; c != nil {
+	part, rest, more := strings.Cut(path, "/")
+	if c := n.literal[part]; c != nil {
 		c.find(bit, rest, !more, best)
 	}
-	if n.any != nil && part != "" {
-		n.any.find(bit, rest, !more, best)
+	if n.wildcard != nil && part != "" {
+		n.wildcard.find(bit, rest, !more, best)
 	}
 }
 
-func first(ends []end, bit uint16, best *end) {
-	for _, e := range ends {
+func matchFirst(refs []ruleRef, bit uint16, best *ruleRef) {
+	for _, e := range refs {
 		if e.order >= best.order {
 			return
 		}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -75,7 +75,7 @@
 			}
 			want := -1
 			for i, r := range rules {
-				if fits(r.Path, path) {
+				if ruleMatches(r.Path, path) {
 					want = i
 					break
 				}
@@ -88,7 +88,7 @@
 	}
 }
 
-func fits(rule, path string) bool {
+func ruleMatches(rule, path string) bool {
 	want, have := strings.Split(rule[1:], "/"), strings.Split(path[1:], "/")
 	for i, w := range want {
 		switch {
@@ -116,11 +116,11 @@
 }
 
 func TestListOfThePlannedSize(t *testing.T) {
-	rules := make([]Rule, mostRules+1)
+	rules := make([]Rule, maxRules+1)
 	for i := range rules {
 		rules[i] = Rule{Path: fmt.Sprintf("/service-%d/resource-%d/*", i%720, i), Class: i}
 	}
-	table, faults := Compile(rules[:mostRules])
+	table, faults := Compile(rules[:maxRules])
 	if class, ok := table.Match("GET", "/service-639/resource-22959/x"); len(faults) > 0 || !ok || class != 22959 {
 		t.Errorf("class %d, %v, %v", class, ok, faults)
 	}
--- a/internal/routetable/discovery.go
+++ b/internal/routetable/discovery.go
@@ -26,25 +26,25 @@
 const (
 	// An empty line comes every 2 s while a watch lives. What one that has fallen silent misses counts as told 6 s after
 	// its last word: that is time for one more watch that says nothing, and for a third.
-	silent       = 2800 * time.Millisecond
-	toldAnyway   = 6 * time.Second
-	connectWait  = 2 * time.Second        // for a connection to discovery
-	inTurn       = 5 * time.Second        // for the first word where calls wait for their turn
-	agentPause   = 20 * time.Millisecond  // between watches of an agent of its own: calls cost nothing, and what it
-	agentMost    = 100 * time.Millisecond // has at its return counts as told at once
-	pauseEach    = 50 * time.Millisecond  // between watches, for each gateway that asks the same discovery
-	pauseGrows   = 2                      // times the one before, where the watch did not come about
-	pauseMost    = 500 * time.Millisecond // or two first pauses, if that is longer
-	pauseScatter = 0.8                    // of a pause, both ways
-	askShare     = 0.5                    // of the time in which it must ask, for the longest pause
-	askAfterFail = 4                      // times as long is allowed after a call that failed
-	firstShare   = 0.8                    // of the time in which it must ask, for the first call
-	crowdedAfter = time.Second / 4        // a call that fails later has waited for its turn; one that is out fails at once
-	answerTime   = time.Second / 2        // kept free within toldAnyway for the next call's connection and answer
-	longest      = 4 << 20                // of one list
+	silenceTimeout         = 2800 * time.Millisecond
+	assumedKnownAfter      = 6 * time.Second
+	connectTimeout         = 2 * time.Second        // for a connection to discovery
+	queuedFirstByteTimeout = 5 * time.Second        // for the first word where calls wait for their turn
+	localPauseInitial      = 20 * time.Millisecond  // between watches of an agent of its own: calls cost nothing, and what it
+	localPauseMax          = 100 * time.Millisecond // has at its return counts as told at once
+	pausePerGateway        = 50 * time.Millisecond  // between watches, for each gateway that asks the same discovery
+	pauseMultiplier        = 2                      // times the one before, where the watch did not come about
+	pauseMaxFloor          = 500 * time.Millisecond // or two first pauses, if that is longer
+	pauseJitter            = 0.8                    // of a pause, both ways
+	pauseShare             = 0.5                    // of the time in which it must ask, for the longest pause
+	failedCallFactor       = 4                      // times as long is allowed after a call that failed
+	firstCallShare         = 0.8                    // of the time in which it must ask, for the first call
+	queuedFailureMin       = time.Second / 4        // a call that fails later has waited for its turn; one that is out fails at once
+	responseReserve        = time.Second / 2        // kept free within toldAnyway for the next call's connection and answer
+	maxListBytes           = 4 << 20                // of one list
 )
 
-var states = map[string]control.MemberState{
+var lifecycleStates = map[string]control.MemberState{
 	"SERVING": control.Ready, "DRAINING": control.Draining, "DELETED": control.Removed,
 }
 
@@ -62,7 +62,7 @@
 		t.Kind = control.Snapshot
 	}
 	for _, e := range list.Get("instances").Array() {
-		state, ok := states[e.Get("lifecycle").String()]
+		state, ok := lifecycleStates[e.Get("lifecycle").String()]
 		if !ok { // one entry that is not understood must not hide the rest of the list
 			state = control.Draining
 		}
@@ -80,60 +80,60 @@
 
 // Discovery follows the list of the platform's discovery agent.
 type Discovery struct {
-	Address  string
-	From     int64         // version of the list that is known
-	HasList    bool          // a list is at hand: the first watch can wait for its turn
-	Gateways int           // that ask the same discovery; 0: it asks an agent of its own, which costs nothing
-	AskEvery time.Duration // a gateway that has no watch and has not asked for so long counts as told; 0: no such rule
-	Zones    []string
-	Sites    map[string]int // the site of each zone, where there are sites
-	AddressChanges    <-chan string  // addresses that the agent moves to; may be nil
-	Publish     func(core.Table)
-	Log      *slog.Logger
-	Dial     func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
+	Address        string
+	From           int64         // version of the list that is known
+	HasList        bool          // a list is at hand: the first watch can wait for its turn
+	Gateways       int           // that ask the same discovery; 0: it asks an agent of its own, which costs nothing
+	AskEvery       time.Duration // a gateway that has no watch and has not asked for so long counts as told; 0: no such rule
+	Zones          []string
+	Sites          map[string]int // the site of each zone, where there are sites
+	AddressChanges <-chan string  // addresses that the agent moves to; may be nil
+	Publish        func(core.Table)
+	Log            *slog.Logger
+	Dial           func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
 
-	mu      sync.Mutex // orders what is told
-	history history
-	restart *time.Timer // of history; nil: none is due
+	mu           sync.Mutex // orders what is told
+	history      history
+	restartTimer *time.Timer // of history; nil: none is due
 }
 
 // pauses between watches grow with the number of gateways. Behind the agents stands one service of fixed capacity,
 // where calls wait in turn and fail when they have waited too long. Danger: gateways that start together, or lose
 // their watches together, and ask again each half second: it works on calls that nobody waits for any more, and none
 // is ever answered in time.
-func (d *Discovery) pauses() *backoff.ExponentialBackOff {
-	first := pauseEach * time.Duration(d.Gateways)
-	longest := max(pauseMost, pauseGrows*first)
+func (d *Discovery) newBackOff() *backoff.ExponentialBackOff {
+	initial := pausePerGateway * time.Duration(d.Gateways)
+	maxPause := max(pauseMaxFloor, pauseMultiplier*initial)
 	if d.Gateways == 0 {
-		first, longest = agentPause, agentMost
+		initial, maxPause = localPauseInitial, localPauseMax
 	}
 	if d.AskEvery > 0 {
-		most := time.Duration(askShare / (1 + pauseScatter) * float64(d.AskEvery))
-		first, longest = min(first, most), min(longest, askAfterFail*most)
+		askBound := time.Duration(pauseShare / (1 + pauseJitter) * float64(d.AskEvery))
+		initial, maxPause = min(initial, askBound), min(maxPause, failedCallFactor*askBound)
 	}
 	return &backoff.ExponentialBackOff{
-		InitialInterval: first, MaxInterval: longest, Multiplier: pauseGrows, RandomizationFactor: pauseScatter,
+		InitialInterval: initial, MaxInterval: maxPause, Multiplier: pauseMultiplier, RandomizationFactor: pauseJitter,
 	}
 }
 
 // firstCallSpread is the time over which gateways that have a list spread their first calls. What they miss until then
 // counts as told after toldAnyway, or when they have not asked for AskEvery.
 func (d *Discovery) firstCallSpread() time.Duration {
-	spread := min(pauseEach*time.Duration(d.Gateways), toldAnyway-answerTime)
+	window := min(pausePerGateway*time.Duration(d.Gateways), assumedKnownAfter-responseReserve)
 	if d.AskEvery > 0 {
-		spread = min(spread, time.Duration(firstShare*float64(d.AskEvery)))
+		window = min(window, time.Duration(firstCallShare*float64(d.AskEvery)))
 	}
-	return spread
+	return window
 }
 
 // rest waits, or goes on at once where the agent moves; false: ctx has ended.
-func (d *Discovery) rest(ctx context.Context, pause time.Duration) bool {
-	wait := time.NewTimer(pause)
-	defer wait.Stop()
+func (d *Discovery) wait(ctx context.Context, pause time.Duration) bool {
+	timer := time.NewTimer(pause)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-wait.C:
+	case <-timer.C:
 	case d.Address = <-d.AddressChanges:
 	}
 	return true
@@ -142,51 +142,51 @@
 // Run watches until ctx ends, from where it stands whenever a watch breaks or the agent moves.
 func (d *Discovery) Run(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: d.connect}}
-	pauses := d.pauses()
-	pauses.Reset()
-	if d.HasList && d.Gateways > 1 && !d.rest(ctx, time.Duration(rand.Float64()*float64(d.firstCallSpread()))) {
+	backOff := d.newBackOff()
+	backOff.Reset()
+	if d.HasList && d.Gateways > 1 && !d.wait(ctx, time.Duration(rand.Float64()*float64(d.firstCallSpread()))) {
 		return
 	}
-	crowded := false // its calls wait in turn, and fail
+	queueing := false // its calls wait in turn, and fail
 	for ctx.Err() == nil {
 		watching, cancel := context.WithCancel(ctx)
 		ended := make(chan error, 1)
-		heard, began := false, time.Now()
+		received, started := false, time.Now()
 		go func() {
-			err := d.watch(watching, client, &heard)
-			d.Log.Info("watch ended", "heard", heard, "err", err)
+			err := d.watch(watching, client, &received)
+			d.Log.Info("watch ended", "heard", received, "err", err)
 			ended <- err
 		}()
 		select {
 		case err := <-ended:
-			lasted := time.Since(began)
-			if heard {
-				pauses.Reset()
+			lasted := time.Since(started)
+			if received {
+				backOff.Reset()
 				lasted = 0 // it brought all there was until its end
 			}
-			crowded = !heard && (crowded || errors.Is(err, errOverloaded) && lasted >= crowdedAfter)
-			pause := pauses.NextBackOff()
+			queueing = !received && (queueing || errors.Is(err, errOverloaded) && lasted >= queuedFailureMin)
+			pause := backOff.NextBackOff()
 			switch {
-			case heard && errors.Is(err, errSilent): // all may fall silent together: at any time that is left
-				pause = min(pause, time.Duration(rand.Float64()*float64(toldAnyway-silent-answerTime)))
-			case crowded && pauses.MaxInterval > toldAnyway-answerTime:
+			case received && errors.Is(err, errSilent): // all may fall silent together: at any time that is left
+				pause = min(pause, time.Duration(rand.Float64()*float64(assumedKnownAfter-silenceTimeout-responseReserve)))
+			case queueing && backOff.MaxInterval > assumedKnownAfter-responseReserve:
 				// So large a fleet that asks again within toldAnyway would keep discovery overloaded.
 			default:
 				pause = boundPause(pause, lasted)
 			}
-			d.rest(ctx, pause)
+			d.wait(ctx, pause)
 		case address := <-d.AddressChanges: // at once: the old agent may stay silent and open
 			cancel()
 			<-ended
 			d.Address = address
-			pauses.Reset()
+			backOff.Reset()
 		}
 		cancel()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.restart != nil {
-		d.restart.Stop()
+	if d.restartTimer != nil {
+		d.restartTimer.Stop()
 	}
 }
 
@@ -194,17 +194,17 @@
 // call that has just failed began: discovery may have become reachable right after that. A pause that is cut short is
 // spread over half of the time there is, so that a fleet does not ask all at once.
 func boundPause(pause, callLasted time.Duration) time.Duration {
-	room := max(0, toldAnyway-answerTime-callLasted)
-	if pause <= room {
+	available := max(0, assumedKnownAfter-responseReserve-callLasted)
+	if pause <= available {
 		return pause
 	}
-	return room/2 + time.Duration(rand.Float64()*float64(room/2))
+	return available/2 + time.Duration(rand.Float64()*float64(available/2))
 }
 
 // connect bounds how long a connection may take to come up. http.Transport goes on dialling for a call that was given
 // up: with no bound each call to a discovery that is cut off would hold a descriptor for minutes.
 func (d *Discovery) connect(ctx context.Context, network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, connectWait)
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	if d.Dial != nil {
 		return d.Dial(ctx, network, address)
@@ -218,18 +218,18 @@
 )
 
 // watch follows the list until the watch ends; heard is set once anything has come.
-func (d *Discovery) watch(ctx context.Context, client *http.Client, heard *bool) error {
+func (d *Discovery) watch(ctx context.Context, client *http.Client, received *bool) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	first := silent
+	timeout := silenceTimeout
 	if d.Gateways > 0 {
-		first = inTurn
+		timeout = queuedFirstByteTimeout
 	}
-	quiet := time.AfterFunc(first, func() { cancel(errSilent) }) // a new watch brings what was missed
-	defer quiet.Stop()
-	err := d.follow(ctx, client, func() {
-		*heard = true
-		quiet.Reset(silent)
+	timer := time.AfterFunc(timeout, func() { cancel(errSilent) }) // a new watch brings what was missed
+	defer timer.Stop()
+	err := d.readWatch(ctx, client, func() {
+		*received = true
+		timer.Reset(silenceTimeout)
 	})
 	if errors.Is(context.Cause(ctx), errSilent) {
 		return errSilent
@@ -239,7 +239,7 @@
 
 // follow takes one list after another from a watch. They are told apart as JSON and not by lines: a list may come
 // indented, over many. It calls heard as bytes come, be they of an empty line.
-func (d *Discovery) follow(ctx context.Context, client *http.Client, heard func()) error {
+func (d *Discovery) readWatch(ctx context.Context, client *http.Client, onData func()) error {
 	url := fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", d.Address, d.From)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -256,12 +256,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("discovery answered %s", resp.Status)
 	}
-	body := &listening{r: resp.Body, heard: heard}
-	in := json.NewDecoder(body)
+	body := &watchReader{r: resp.Body, onData: onData}
+	decoder := json.NewDecoder(body)
 	for {
-		body.left = longest
+		body.remaining = maxListBytes
 		var raw json.RawMessage
-		if err := in.Decode(&raw); err != nil {
+		if err := decoder.Decode(&raw); err != nil {
 			return err
 		}
 		t, err := Decode(raw, d.Zones)
@@ -270,58 +270,58 @@
 		}
 		d.From = t.Version
 		if d.Sites != nil {
-			d.place(raw, &t)
+			d.assignSites(raw, &t)
 		}
-		d.tell(t)
+		d.publish(t)
 	}
 }
 
 // tell passes a list on as far as it is newer than what was told before.
-func (d *Discovery) tell(t core.Table) {
+func (d *Discovery) publish(t core.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.history.take(&t, time.Now())
+	d.history.apply(&t, time.Now())
 	d.Publish(t)
-	if d.restart != nil {
-		d.restart.Stop()
-		d.restart = nil
+	if d.restartTimer != nil {
+		d.restartTimer.Stop()
+		d.restartTimer = nil
 	}
 	if wait, due := d.history.restartDue(time.Now()); due {
-		d.restart = time.AfterFunc(wait, d.tellRestart)
+		d.restartTimer = time.AfterFunc(wait, d.publishRestart)
 	}
 }
 
 // tellRestart tells what was kept back, once it is sure that the numbering has started again.
-func (d *Discovery) tellRestart() {
+func (d *Discovery) publishRestart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if t, ok := d.history.restarted(time.Now()); ok {
+	if t, ok := d.history.acceptRestart(time.Now()); ok {
 		d.Log.Warn("discovery numbers its lists anew", "generation", t.Version, "endpoints kept back so far", len(t.Targets))
 		d.Publish(t)
 	}
 }
 
 // listening reads what comes, tells of it, and ends a list that is too long.
-type listening struct {
-	r     io.Reader
-	left  int
-	heard func()
+type watchReader struct {
+	r         io.Reader
+	remaining int
+	onData    func()
 }
 
 // Read implements io.Reader.
-func (l *listening) Read(p []byte) (int, error) {
+func (l *watchReader) Read(p []byte) (int, error) {
 	n, err := l.r.Read(p)
 	if n > 0 {
-		l.heard()
+		l.onData()
 	}
-	if l.left -= n; l.left < 0 {
+	if l.remaining -= n; l.remaining < 0 {
 		return 0, errors.New("the list is too long")
 	}
 	return n, err
 }
 
 // place puts each target at the site of its zone. One in a zone of no site gets nothing: it might stand anywhere.
-func (d *Discovery) place(raw []byte, t *core.Table) {
+func (d *Discovery) assignSites(raw []byte, t *core.Table) {
 	zones := map[string]string{}
 	for _, e := range gjson.GetBytes(raw, "instances").Array() {
 		zones[e.Get("instanceId").String()] = e.Get("zone").String()
--- a/internal/routetable/discovery_test.go
+++ b/internal/routetable/discovery_test.go
@@ -17,7 +17,7 @@
 	"junctionring/internal/routetable"
 )
 
-func line(version int, reset bool, id, state string) string {
+func listLine(version int, reset bool, id, state string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[{"instanceId":%q,"hostPort":"10.1.0.18:8000",`+
 		`"zone":"hall-b","cell":3,"lifecycle":%q,"startedAtMs":1500}]}`+"\n", version, reset, id, state)
 }
@@ -29,14 +29,14 @@
 		from <- r.URL.Query().Get("from")
 		switch r.URL.Query().Get("from") {
 		case "41":
-			fmt.Fprint(w, line(42, true, "s-1", "SERVING")+"\n")
+			fmt.Fprint(w, listLine(42, true, "s-1", "SERVING")+"\n")
 			w.(http.Flusher).Flush()
 			<-goOn
-			fmt.Fprint(w, line(43, false, "s-1", "DRAINING")+`{"generation":44,"res`)
+			fmt.Fprint(w, listLine(43, false, "s-1", "DRAINING")+`{"generation":44,"res`)
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		default:
-			fmt.Fprint(w, line(45, false, "s-1", "DELETED"))
+			fmt.Fprint(w, listLine(45, false, "s-1", "DELETED"))
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}
@@ -69,7 +69,7 @@
 
 // One entry that is not understood gets nothing new, and does not hide the others.
 func TestOddEntryDoesNotHideTheRest(t *testing.T) {
-	text := strings.Replace(line(7, true, "s-1", "RESTING"), `"instances":[`,
+	text := strings.Replace(listLine(7, true, "s-1", "RESTING"), `"instances":[`,
 		`"instances":[{"zone":"hall-a"},{"instanceId":"s-2","hostPort":"10.1.0.19:8000","lifecycle":"SERVING"},`, 1)
 	table, err := routetable.Decode([]byte(text), nil)
 	if err != nil || len(table.Targets) != 2 {
@@ -94,8 +94,8 @@
 		}))
 		return s, strings.TrimPrefix(s.URL, "http://")
 	}
-	first, address := agent(line(42, true, "s-1", "SERVING"))
-	second, next := agent(line(43, false, "s-1", "DRAINING"))
+	first, address := agent(listLine(42, true, "s-1", "SERVING"))
+	second, next := agent(listLine(43, false, "s-1", "DRAINING"))
 	told, moves := make(chan core.Table, 4), make(chan string, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -117,7 +117,7 @@
 }
 
 // watching runs a Discovery against an agent, and brings what it tells.
-func watching(t *testing.T, d *routetable.Discovery, agent http.HandlerFunc) <-chan core.Table {
+func runDiscovery(t *testing.T, d *routetable.Discovery, agent http.HandlerFunc) <-chan core.Table {
 	s := httptest.NewServer(agent)
 	told := make(chan core.Table, 16)
 	d.Address, d.Publish, d.Log = strings.TrimPrefix(s.URL, "http://"), func(t core.Table) { told <- t }, slog.New(slog.DiscardHandler)
@@ -138,12 +138,12 @@
 		}
 		return b.String()
 	}
-	whole, change := indent(line(42, true, "s-1", "SERVING")), indent(line(43, false, "s-1", "DRAINING"))
-	text := whole + "\n\n\n" + change + "\n" + line(44, false, "s-1", "SERVING") + line(45, false, "s-1", "DELETED")
+	whole, change := indent(listLine(42, true, "s-1", "SERVING")), indent(listLine(43, false, "s-1", "DRAINING"))
+	text := whole + "\n\n\n" + change + "\n" + listLine(44, false, "s-1", "SERVING") + listLine(45, false, "s-1", "DELETED")
 	for _, piece := range []int{len(text), 1, 7, len(whole) - 1} {
 		t.Run(fmt.Sprintf("%d bytes at once", piece), func(t *testing.T) {
 			watches := make(chan string, 16)
-			told := watching(t, &routetable.Discovery{From: 41}, func(w http.ResponseWriter, r *http.Request) {
+			told := runDiscovery(t, &routetable.Discovery{From: 41}, func(w http.ResponseWriter, r *http.Request) {
 				watches <- r.URL.Query().Get("from")
 				if len(watches) == 1 {
 					for rest := text; rest != ""; {
@@ -174,12 +174,12 @@
 		`{"generation":"50","reset":true,"instances":[]}`, `{"generation":50,"reset":true,"instances":[}`, "\xff"} {
 		t.Run(spoilt, func(t *testing.T) {
 			from := make(chan string, 16)
-			told := watching(t, &routetable.Discovery{From: 41}, func(w http.ResponseWriter, r *http.Request) {
+			told := runDiscovery(t, &routetable.Discovery{From: 41}, func(w http.ResponseWriter, r *http.Request) {
 				first := len(from) == 0
 				if from <- r.URL.Query().Get("from"); first {
-					io.WriteString(w, line(42, true, "s-1", "SERVING")+spoilt+"\n"+line(51, true, "s-2", "SERVING"))
+					io.WriteString(w, listLine(42, true, "s-1", "SERVING")+spoilt+"\n"+listLine(51, true, "s-2", "SERVING"))
 				} else {
-					io.WriteString(w, line(43, false, "s-1", "DRAINING"))
+					io.WriteString(w, listLine(43, false, "s-1", "DRAINING"))
 				}
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
@@ -213,7 +213,7 @@
 		return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", version, reset, strings.Join(entries, ","))
 	}
 	moves := make(chan string, 1)
-	told := watching(t, &routetable.Discovery{From: 40, AddressChanges: moves}, func(w http.ResponseWriter, r *http.Request) {
+	told := runDiscovery(t, &routetable.Discovery{From: 40, AddressChanges: moves}, func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, list(41, true, entry("a", "SERVING", 1), entry("b", "SERVING", 1), entry("c", "SERVING", 1), entry("d", "SERVING", 1))+
 			list(43, false, entry("a", "DRAINING", 1), entry("b", "DELETED", 0), entry("c", "DELETED", 0)))
 		w.(http.Flusher).Flush()
--- a/internal/routetable/fleet_test.go
+++ b/internal/routetable/fleet_test.go
@@ -18,13 +18,13 @@
 )
 
 // pipes is a listener whose connections are pipes, so that all of a test can run on virtual time.
-type pipes struct {
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -33,10 +33,10 @@
 	}
 }
 
-func (p *pipes) Close() error   { p.once.Do(func() { close(p.done) }); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { p.once.Do(func() { close(p.done) }); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (p *pipeListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
 	case p.conns <- far:
@@ -48,42 +48,42 @@
 
 // bookedOut is a discovery of fixed capacity: calls wait in turn, one that has waited too long is turned away, and yet
 // takes its turn, as work does that nobody calls off.
-type bookedOut struct {
-	each, patience time.Duration
-	mu             sync.Mutex
-	free           time.Time
-	calls, open    atomic.Int64
+type limitedRegistry struct {
+	serviceTime, maxWait time.Duration
+	mu                   sync.Mutex
+	nextFree             time.Time
+	calls, open          atomic.Int64
 }
 
-func (b *bookedOut) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *limitedRegistry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b.calls.Add(1)
 	b.mu.Lock()
 	turn := time.Now()
-	if b.free.After(turn) {
-		turn = b.free
+	if b.nextFree.After(turn) {
+		turn = b.nextFree
 	}
-	if longest := time.Now().Add(2 * b.patience); turn.After(longest) { // its line is full
+	if longest := time.Now().Add(2 * b.maxWait); turn.After(longest) { // its line is full
 		b.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	b.free = turn.Add(b.each)
+	b.nextFree = turn.Add(b.serviceTime)
 	b.mu.Unlock()
-	wait := time.Until(turn.Add(b.each))
-	if wait > b.patience {
-		time.Sleep(b.patience)
+	wait := time.Until(turn.Add(b.serviceTime))
+	if wait > b.maxWait {
+		time.Sleep(b.maxWait)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	time.Sleep(wait)
 	b.open.Add(1)
 	defer b.open.Add(-1)
-	fmt.Fprint(w, line(42, true, "s-1", "SERVING"))
-	beats(w, r)
+	fmt.Fprint(w, listLine(42, true, "s-1", "SERVING"))
+	sendHeartbeats(w, r)
 }
 
 // beats goes on with an empty line every 2 s, as while nothing changes.
-func beats(w http.ResponseWriter, r *http.Request) {
+func sendHeartbeats(w http.ResponseWriter, r *http.Request) {
 	for {
 		w.(http.Flusher).Flush()
 		select {
@@ -99,12 +99,12 @@
 // and all together have asked little more often than once each. A single gateway is served at once.
 func TestFleetDoesNotStormDiscovery(t *testing.T) {
 	for _, size := range []struct {
-		gateways   int
-		each       time.Duration // of discovery's work for a call
-		within     time.Duration
-		mostCalls  int64
-		knowsAList bool
-		askEvery   time.Duration
+		gateways    int
+		serviceTime time.Duration // of discovery's work for a call
+		within      time.Duration
+		mostCalls   int64
+		hasList     bool
+		askEvery    time.Duration
 	}{
 		{1, time.Second / 16, 200 * time.Millisecond, 1, false, 0},
 		{4, time.Second / 16, 2 * time.Second, 4, true, 10 * time.Second},
@@ -113,16 +113,16 @@
 		{80, time.Second / 16, 20 * time.Second, 240, true, 10 * time.Second},
 		{200, time.Second / 16, 60 * time.Second, 800, true, 10 * time.Second},
 	} {
-		t.Run(fmt.Sprintf("%d gateways, a list known: %t, to ask every %v", size.gateways, size.knowsAList, size.askEvery), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d gateways, a list known: %t, to ask every %v", size.gateways, size.hasList, size.askEvery), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				registry := &bookedOut{each: size.each, patience: 2 * time.Second}
-				listener := &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+				registry := &limitedRegistry{serviceTime: size.serviceTime, maxWait: 2 * time.Second}
+				listener := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 				server := &http.Server{Handler: registry}
 				go server.Serve(listener)
 				ctx, cancel := context.WithCancel(t.Context())
 				var ended sync.WaitGroup
 				for range size.gateways {
-					d := &routetable.Discovery{Address: "registry:80", HasList: size.knowsAList, Gateways: size.gateways, AskEvery: size.askEvery,
+					d := &routetable.Discovery{Address: "registry:80", HasList: size.hasList, Gateways: size.gateways, AskEvery: size.askEvery,
 						Publish: func(core.Table) {}, Log: slog.New(slog.DiscardHandler), Dial: listener.dial}
 					ended.Go(func() { d.Run(ctx) })
 				}
@@ -144,26 +144,26 @@
 
 // fallsSilent is a discovery whose open watches say nothing from some moment on, and whose next ones may be silent
 // from the start. It has a change to tell to those that come later.
-type fallsSilent struct {
-	mu         sync.Mutex
-	calls      int
-	deadAtOnce int // so many calls more say nothing at all
-	gateways   int
+type silentAfterFirstList struct {
+	mu          sync.Mutex
+	calls       int
+	silentCalls int // so many calls more say nothing at all
+	gateways    int
 }
 
-func (f *fallsSilent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *silentAfterFirstList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	f.calls++
 	n := f.calls
 	f.mu.Unlock()
 	switch {
 	case n <= f.gateways:
-		fmt.Fprint(w, line(42, true, "s-1", "SERVING"))
+		fmt.Fprint(w, listLine(42, true, "s-1", "SERVING"))
 		w.(http.Flusher).Flush()
-	case n <= f.gateways+f.deadAtOnce:
+	case n <= f.gateways+f.silentCalls:
 	default:
-		fmt.Fprint(w, line(43, false, "s-1", "DRAINING"))
-		beats(w, r)
+		fmt.Fprint(w, listLine(43, false, "s-1", "DRAINING"))
+		sendHeartbeats(w, r)
 	}
 	<-r.Context().Done()
 }
@@ -174,9 +174,9 @@
 func TestSilentWatchesAreReplacedBeforeItCounts(t *testing.T) {
 	for _, size := range []struct {
 		name               string
-		gateways, asksWith int
+		gateways, sharedBy int
 		askEvery           time.Duration
-		deadAtOnce         int
+		silentCalls        int
 	}{
 		{"an agent each", 3, 0, 0, 0},
 		{"an agent each, silent again", 3, 0, 0, 3},
@@ -186,14 +186,14 @@
 	} {
 		t.Run(size.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				listener := &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
-				server := &http.Server{Handler: &fallsSilent{gateways: size.gateways, deadAtOnce: size.deadAtOnce}}
+				listener := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
+				server := &http.Server{Handler: &silentAfterFirstList{gateways: size.gateways, silentCalls: size.silentCalls}}
 				go server.Serve(listener)
 				ctx, cancel := context.WithCancel(t.Context())
 				var ended sync.WaitGroup
 				told := make(chan core.Table, 2*size.gateways)
 				for range size.gateways {
-					d := &routetable.Discovery{Address: "registry:80", Gateways: size.asksWith, AskEvery: size.askEvery,
+					d := &routetable.Discovery{Address: "registry:80", Gateways: size.sharedBy, AskEvery: size.askEvery,
 						Publish: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler), Dial: listener.dial}
 					ended.Go(func() { d.Run(ctx) })
 				}
--- a/internal/routetable/reachable_test.go
+++ b/internal/routetable/reachable_test.go
@@ -22,48 +22,48 @@
 // outage is a discovery that cannot be reached until some moment, and from then on tells each gateway of a drain at
 // once, whatever version it asks from.
 type outage struct {
-	listener *pipes
-	back     time.Time
-	down     http.HandlerFunc // of calls that begin before back; nil: connections are refused
-	neverUp  bool             // connections that begin before back never come up
-	dialling atomic.Int64     // connections that are not up
+	listener      *pipeListener
+	reachableAt   time.Time
+	respondBefore http.HandlerFunc // of calls that begin before back; nil: connections are refused
+	dialHangs     bool             // connections that begin before back never come up
+	pendingDials  atomic.Int64     // connections that are not up
 }
 
 func (o *outage) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	switch {
-	case !time.Now().Before(o.back):
-	case o.neverUp:
-		o.dialling.Add(1)
-		defer o.dialling.Add(-1)
+	case !time.Now().Before(o.reachableAt):
+	case o.dialHangs:
+		o.pendingDials.Add(1)
+		defer o.pendingDials.Add(-1)
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case o.down == nil:
+	case o.respondBefore == nil:
 		return nil, errors.New("connection refused")
 	}
 	return o.listener.dial(ctx, network, address)
 }
 
 func (o *outage) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if time.Now().Before(o.back) {
-		o.down(w, r)
+	if time.Now().Before(o.reachableAt) {
+		o.respondBefore(w, r)
 		return
 	}
-	io.WriteString(w, line(43, true, "s-1", "DRAINING"))
-	beats(w, r)
+	io.WriteString(w, listLine(43, true, "s-1", "DRAINING"))
+	sendHeartbeats(w, r)
 }
 
 // silence takes a call and says nothing until the caller gives it up.
-func silence(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+func noResponse(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 // hangsUp takes a call and ends it with no answer.
-func hangsUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortResponse(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func turnsAway(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+func respond503(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 
 // tellsUntil brings a list and empty lines, and at some moment goes on in another way.
-func tellsUntil(end time.Time, then http.HandlerFunc) http.HandlerFunc {
+func watchUntil(end time.Time, then http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, line(42, true, "s-1", "SERVING"))
+		io.WriteString(w, listLine(42, true, "s-1", "SERVING"))
 		for {
 			w.(http.Flusher).Flush()
 			select {
@@ -80,46 +80,46 @@
 	}
 }
 
-func endsInOrder(http.ResponseWriter, *http.Request) {}
+func endCleanly(http.ResponseWriter, *http.Request) {}
 
 // Whatever becomes of the calls before, each gateway learns of a drain within 6 s of the moment in which discovery has
 // it and can be reached: with an agent each, and where they ask one discovery together.
 func TestChangesAreLearnedWithin6sOfDiscoverysReturn(t *testing.T) {
 	const limit = 6 * time.Second
 	for _, c := range []struct {
-		name     string
-		back     time.Duration // from the start
-		down     func(back time.Time) http.HandlerFunc
-		neverUp  bool
-		gateways []int // that ask one discovery; 0: each of 30 has an agent of its own
+		name           string
+		reachableAfter time.Duration // from the start
+		down           func(back time.Time) http.HandlerFunc
+		dialHangs      bool
+		gateways       []int // that ask one discovery; 0: each of 30 has an agent of its own
 	}{
-		{name: "refused", back: 8 * time.Second, gateways: []int{0, 3, 30, 300}},
-		{name: "refused for long", back: 61 * time.Second, gateways: []int{0, 3, 30, 300}},
-		{name: "never come up", back: 8 * time.Second, neverUp: true, gateways: []int{0, 3, 30, 300}},
-		{name: "given up", back: 8 * time.Second, down: func(time.Time) http.HandlerFunc { return silence }, gateways: []int{0, 3, 30, 300}},
-		{name: "given up for long", back: 47 * time.Second, down: func(time.Time) http.HandlerFunc { return silence }, gateways: []int{0, 3, 30, 300}},
-		{name: "reset", back: 23 * time.Second, down: func(time.Time) http.HandlerFunc { return hangsUp }, gateways: []int{0, 3, 30, 300}},
-		{name: "failed with 503", back: 33 * time.Second, down: func(time.Time) http.HandlerFunc { return turnsAway }, gateways: []int{0, 3, 30, 50}},
-		{name: "watches end in place of telling", back: 9 * time.Second, gateways: []int{0, 3, 30, 300},
-			down: func(back time.Time) http.HandlerFunc { return tellsUntil(back, endsInOrder) }},
-		{name: "watches are reset in place of telling", back: 9 * time.Second, gateways: []int{0, 3, 30, 300},
-			down: func(back time.Time) http.HandlerFunc { return tellsUntil(back, hangsUp) }},
-		{name: "watches fall silent after 13 s", back: 13 * time.Second, gateways: []int{0, 3, 30, 300},
-			down: func(back time.Time) http.HandlerFunc { return tellsUntil(back, silence) }},
+		{name: "refused", reachableAfter: 8 * time.Second, gateways: []int{0, 3, 30, 300}},
+		{name: "refused for long", reachableAfter: 61 * time.Second, gateways: []int{0, 3, 30, 300}},
+		{name: "never come up", reachableAfter: 8 * time.Second, dialHangs: true, gateways: []int{0, 3, 30, 300}},
+		{name: "given up", reachableAfter: 8 * time.Second, down: func(time.Time) http.HandlerFunc { return noResponse }, gateways: []int{0, 3, 30, 300}},
+		{name: "given up for long", reachableAfter: 47 * time.Second, down: func(time.Time) http.HandlerFunc { return noResponse }, gateways: []int{0, 3, 30, 300}},
+		{name: "reset", reachableAfter: 23 * time.Second, down: func(time.Time) http.HandlerFunc { return abortResponse }, gateways: []int{0, 3, 30, 300}},
+		{name: "failed with 503", reachableAfter: 33 * time.Second, down: func(time.Time) http.HandlerFunc { return respond503 }, gateways: []int{0, 3, 30, 50}},
+		{name: "watches end in place of telling", reachableAfter: 9 * time.Second, gateways: []int{0, 3, 30, 300},
+			down: func(back time.Time) http.HandlerFunc { return watchUntil(back, endCleanly) }},
+		{name: "watches are reset in place of telling", reachableAfter: 9 * time.Second, gateways: []int{0, 3, 30, 300},
+			down: func(back time.Time) http.HandlerFunc { return watchUntil(back, abortResponse) }},
+		{name: "watches fall silent after 13 s", reachableAfter: 13 * time.Second, gateways: []int{0, 3, 30, 300},
+			down: func(back time.Time) http.HandlerFunc { return watchUntil(back, noResponse) }},
 	} {
 		for _, asking := range c.gateways {
 			t.Run(fmt.Sprintf("%s, %d ask together", c.name, asking), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					o := &outage{listener: &pipes{conns: make(chan net.Conn), done: make(chan struct{})},
-						back: time.Now().Add(c.back), neverUp: c.neverUp}
+					o := &outage{listener: &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})},
+						reachableAt: time.Now().Add(c.reachableAfter), dialHangs: c.dialHangs}
 					if c.down != nil {
-						o.down = c.down(o.back)
+						o.respondBefore = c.down(o.reachableAt)
 					}
 					size := asking
 					if size == 0 {
 						size = 30
 					}
-					late := learns(t, o, size, asking)
+					late := measureLearning(t, o, size, asking)
 					t.Logf("%d of %d learned, the last one %v after discovery could be reached", late.count, size, late.last)
 					if late.count != size || late.last > limit {
 						t.Errorf("%d of %d learned, the last one after %v, want all within %v", late.count, size, late.last, limit)
@@ -130,19 +130,19 @@
 	}
 }
 
-type lateness struct {
+type learnResult struct {
 	count int
 	last  time.Duration
 }
 
 // learns runs gateways before a discovery until 20 s after its return, and tells when they learned of the drain.
-func learns(t *testing.T, o *outage, gateways, askingTogether int) lateness {
+func measureLearning(t *testing.T, o *outage, gateways, askingTogether int) learnResult {
 	server := &http.Server{Handler: o}
 	go server.Serve(o.listener)
 	ctx, cancel := context.WithCancel(t.Context())
 	var ended sync.WaitGroup
 	var mu sync.Mutex
-	var l lateness
+	var l learnResult
 	for range gateways {
 		learned := false
 		d := &routetable.Discovery{Address: "registry:80", Gateways: askingTogether, HasList: true, From: 41,
@@ -154,17 +154,17 @@
 				mu.Lock()
 				defer mu.Unlock()
 				l.count++
-				l.last = max(l.last, time.Since(o.back))
+				l.last = max(l.last, time.Since(o.reachableAt))
 			}}
 		if askingTogether > 0 {
 			d.AskEvery = 10 * time.Second
 		}
 		ended.Go(func() { d.Run(ctx) })
 	}
-	time.Sleep(time.Until(o.back) + 20*time.Second) // of the bubble's time
+	time.Sleep(time.Until(o.reachableAt) + 20*time.Second) // of the bubble's time
 	cancel()
 	ended.Wait()
-	if n := o.dialling.Load(); n > int64(gateways) {
+	if n := o.pendingDials.Load(); n > int64(gateways) {
 		t.Errorf("%d connections of %d gateways are still being opened", n, gateways)
 	}
 	time.Sleep(5 * time.Second) // dials outlive the calls that they were for
@@ -179,24 +179,24 @@
 	for _, c := range []struct {
 		name  string
 		first http.HandlerFunc
-	}{{"answers", nil}, {"is silent first", silence}, {"hangs up first", hangsUp}, {"turns away first", turnsAway}} {
+	}{{"answers", nil}, {"is silent first", noResponse}, {"hangs up first", abortResponse}, {"turns away first", respond503}} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				listeners := map[string]*pipes{}
+				listeners := map[string]*pipeListener{}
 				calls := 0
 				handlers := map[string]http.HandlerFunc{
-					"old:80": tellsUntil(time.Now().Add(time.Hour), silence),
+					"old:80": watchUntil(time.Now().Add(time.Hour), noResponse),
 					"new:80": func(w http.ResponseWriter, r *http.Request) {
 						if calls++; calls == 1 && c.first != nil {
 							c.first(w, r)
 							return
 						}
-						io.WriteString(w, line(43, true, "s-1", "DRAINING"))
-						beats(w, r)
+						io.WriteString(w, listLine(43, true, "s-1", "DRAINING"))
+						sendHeartbeats(w, r)
 					},
 				}
 				for address, handler := range handlers {
-					listeners[address] = &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+					listeners[address] = &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 					server := &http.Server{Handler: handler}
 					go server.Serve(listeners[address])
 					defer listeners[address].Close()
@@ -234,9 +234,9 @@
 	t.Helper()
 	const limit = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		o := &outage{listener: &pipes{conns: make(chan net.Conn), done: make(chan struct{})},
-			back: time.Now().Add(33 * time.Second), down: down}
-		late := learns(t, o, gateways, gateways)
+		o := &outage{listener: &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})},
+			reachableAt: time.Now().Add(33 * time.Second), respondBefore: down}
+		late := measureLearning(t, o, gateways, gateways)
 		if late.count != gateways || late.last > limit {
 			t.Errorf("%d of %d learned, the last one after %v, want all within %v", late.count, gateways, late.last, limit)
 		}
@@ -247,18 +247,18 @@
 func TestLargeFleetsLearnWithin6sOfDiscoverysReturn(t *testing.T) {
 	for _, gateways := range []int{60, 300, 900} {
 		t.Run(fmt.Sprintf("%d ask together", gateways), func(t *testing.T) {
-			checkFleetLearns(t, gateways, turnsAway)
+			checkFleetLearns(t, gateways, respond503)
 		})
 	}
 }
 
 // slowlyTurnsAway is a discovery whose calls wait for their turn and fail then.
-func slowlyTurnsAway(w http.ResponseWriter, _ *http.Request) {
+func respond503Late(w http.ResponseWriter, _ *http.Request) {
 	time.Sleep(time.Second) // of the bubble's time
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // Guards against a large fleet that learns of drains late after the return of a discovery whose calls waited and failed.
 func TestLargeFleetsLearnWithin6sOfACrowdedDiscoverysReturn(t *testing.T) {
-	checkFleetLearns(t, 300, slowlyTurnsAway)
+	checkFleetLearns(t, 300, respond503Late)
 }
--- a/internal/routetable/restart_test.go
+++ b/internal/routetable/restart_test.go
@@ -23,18 +23,18 @@
 	return fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.1.0.18:8000","lifecycle":%q,"startedAtMs":1000}`, id, lifecycle)
 }
 
-func endpoints(generation int, whole bool, entries ...string) string {
+func endpointList(generation int, whole bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", generation, whole, strings.Join(entries, ","))
 }
 
 // said is what an agent brings on a watch, so long after it was opened.
-type said struct {
+type scheduled struct {
 	after time.Duration
 	text  string
 }
 
 // brings writes what is said, each at its time, and empty lines in between.
-func brings(w http.ResponseWriter, r *http.Request, all []said) {
+func sendScheduled(w http.ResponseWriter, r *http.Request, all []scheduled) {
 	began := time.Now()
 	for {
 		for len(all) > 0 && time.Since(began) >= all[0].after {
@@ -59,39 +59,39 @@
 // drained under the old numbers is in use again once nothing has caught up with them for 30 s, on the new numbers' word;
 // an agent that is merely behind never undoes the drain, and what is told after it has caught up counts at once.
 func TestRestartedNumberingIsToldFromAnOlderList(t *testing.T) {
-	before := endpoints(41, true, endpoint("a", "SERVING"), endpoint("b", "SERVING"), endpoint("c", "SERVING")) +
-		endpoints(43, false, endpoint("a", "DRAINING"), endpoint("b", "DELETED"))
+	before := endpointList(41, true, endpoint("a", "SERVING"), endpoint("b", "SERVING"), endpoint("c", "SERVING")) +
+		endpointList(43, false, endpoint("a", "DRAINING"), endpoint("b", "DELETED"))
 	const a, b = "a", "b"
 	for _, c := range []struct {
 		name  string
-		after []said
+		after []scheduled
 		want  map[string][]string // by endpoint: the states that are told on the second watch, when they change
 	}{
 		{"numbered anew, both in use again",
-			[]said{{0, endpoints(2, true, endpoint(a, "SERVING"), endpoint(b, "SERVING"), endpoint("c", "SERVING"))}},
+			[]scheduled{{0, endpointList(2, true, endpoint(a, "SERVING"), endpoint(b, "SERVING"), endpoint("c", "SERVING"))}},
 			map[string][]string{a: {"0s draining", "30s ready"}, b: {"0s draining", "30s ready"}}},
 		{"numbered anew, one of them still draining",
-			[]said{{0, endpoints(2, true, endpoint(a, "SERVING"), endpoint(b, "DRAINING"))}},
+			[]scheduled{{0, endpointList(2, true, endpoint(a, "SERVING"), endpoint(b, "DRAINING"))}},
 			map[string][]string{a: {"0s draining", "30s ready"}, b: {"0s draining"}}},
 		{"numbered anew, in use again by a change",
-			[]said{{0, endpoints(2, true, endpoint(a, "DRAINING"))}, {10 * time.Second, endpoints(3, false, endpoint(a, "SERVING"))}},
+			[]scheduled{{0, endpointList(2, true, endpoint(a, "DRAINING"))}, {10 * time.Second, endpointList(3, false, endpoint(a, "SERVING"))}},
 			map[string][]string{a: {"0s draining", "30s ready"}}},
 		{"numbered anew, drained again before it counts",
-			[]said{{0, endpoints(2, true, endpoint(a, "SERVING"))}, {20 * time.Second, endpoints(3, false, endpoint(a, "DRAINING"))}},
+			[]scheduled{{0, endpointList(2, true, endpoint(a, "SERVING"))}, {20 * time.Second, endpointList(3, false, endpoint(a, "DRAINING"))}},
 			map[string][]string{a: {"0s draining"}}},
 		{"numbered anew, drained after it counts",
-			[]said{{0, endpoints(2, true, endpoint(a, "SERVING"))}, {40 * time.Second, endpoints(3, false, endpoint(a, "DRAINING"))}},
+			[]scheduled{{0, endpointList(2, true, endpoint(a, "SERVING"))}, {40 * time.Second, endpointList(3, false, endpoint(a, "DRAINING"))}},
 			map[string][]string{a: {"0s draining", "30s ready", "40s draining"}}},
 		{"behind, catches up after 14 s",
-			[]said{{0, endpoints(42, true, endpoint(a, "SERVING"), endpoint(b, "SERVING"))},
-				{14 * time.Second, endpoints(43, false, endpoint(a, "DRAINING"), endpoint(b, "DELETED"))}},
+			[]scheduled{{0, endpointList(42, true, endpoint(a, "SERVING"), endpoint(b, "SERVING"))},
+				{14 * time.Second, endpointList(43, false, endpoint(a, "DRAINING"), endpoint(b, "DELETED"))}},
 			map[string][]string{a: {"0s draining"}, b: {"0s draining", "14s removed"}}},
 		{"behind, catches up step by step",
-			[]said{{0, endpoints(40, true, endpoint(a, "SERVING"))}, {9 * time.Second, endpoints(42, false, endpoint("c", "SERVING"))},
-				{14 * time.Second, endpoints(43, false, endpoint(a, "DRAINING"))}},
+			[]scheduled{{0, endpointList(40, true, endpoint(a, "SERVING"))}, {9 * time.Second, endpointList(42, false, endpoint("c", "SERVING"))},
+				{14 * time.Second, endpointList(43, false, endpoint(a, "DRAINING"))}},
 			map[string][]string{a: {"0s draining"}}},
 		{"behind, catches up with a drain that was called off",
-			[]said{{0, endpoints(42, true, endpoint(a, "SERVING"))}, {6 * time.Second, endpoints(44, false, endpoint(a, "SERVING"))}},
+			[]scheduled{{0, endpointList(42, true, endpoint(a, "SERVING"))}, {6 * time.Second, endpointList(44, false, endpoint(a, "SERVING"))}},
 			map[string][]string{a: {"0s draining", "6s ready"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -108,8 +108,8 @@
 }
 
 // statesOnSecondWatch follows an agent that says one thing, resets its watch and then says another for a minute.
-func statesOnSecondWatch(t *testing.T, before string, after []said) map[string][]string {
-	listener := &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+func statesOnSecondWatch(t *testing.T, before string, after []scheduled) map[string][]string {
+	listener := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 	calls := 0
 	var second time.Time
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -119,7 +119,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		second = time.Now()
-		brings(w, r, after)
+		sendScheduled(w, r, after)
 	})}
 	go server.Serve(listener)
 	names := map[control.MemberState]string{control.Ready: "ready", control.Draining: "draining", control.Removed: "removed"}
