--- a/internal/forwardauth/check.go
+++ b/internal/forwardauth/check.go
@@ -11,12 +11,12 @@
 	"junctionring/internal/egress"
 )
 
-// refusal is a final answer given before the core.
+// refusal is a final response that is given without involving the core.
 type refusal struct {
 	status     int
 	retryAfter time.Duration
 	text       string
-	reply      *egress.Reply // the checker's own answer, passed back as it is
+	reply      *egress.Reply // the checker's response, passed back unchanged
 }
 
 func (r *refusal) write(w http.ResponseWriter) {
@@ -40,15 +40,17 @@
 	http.Error(w, r.text, r.status)
 }
 
-// closed is what a client gets when no verdict is to be had: nothing has run, it may come again.
+// checkFailed returns the refusal for a request that could not be checked. Nothing has run, so the client may retry.
 func (f requestHandler) checkFailed() *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, retryAfter: f.o.Checker.RetryAfter.Duration,
 		text: "the request could not be checked"}
 }
 
-// identify finds out who a client is: one check, with its own deadline inside the client's, or what a trusted
-// proxy says where there is no checker. It returns the headers to copy onward, or why not.
-func (f requestHandler) identify(ctx context.Context, h http.Header, origin map[string]string, trusted bool) (http.Header, *refusal) {
+// identify determines the client's identity: with one check, whose deadline lies within the client's, or from a trusted
+// proxy's headers if there is no checker. It returns the headers to copy to the forwarded request, or a refusal.
+func (f requestHandler) identify(
+	ctx context.Context, h http.Header, origin map[string]string, trusted bool,
+) (http.Header, *refusal) {
 	if f.checker == nil {
 		identity := http.Header{}
 		if trusted {
@@ -63,8 +65,8 @@
 	ctx, cancel := context.WithTimeout(ctx, f.o.Checker.Timeout.Duration)
 	defer cancel()
 	reply, err := f.checker.query(ctx, f.checkRequestHeader(h, origin))
-	if err = cmp.Or(err, ctx.Err()); err != nil { // none, or one that came too late to count
-		f.log.Warn("no verdict", "err", err)
+	if err = cmp.Or(err, ctx.Err()); err != nil { // no answer, or one after the deadline
+		f.log.Warn("check failed: no usable answer from the checker", "err", err)
 		return nil, f.checkFailed()
 	}
 	switch {
@@ -79,11 +81,12 @@
 	case reply.Status >= 300 && reply.Status < 500 && reply.Status != http.StatusNotModified:
 		return nil, &refusal{reply: reply}
 	}
-	f.log.Warn("the checker failed", "status", reply.Status)
+	f.log.Warn("check failed: unexpected status from the checker", "status", reply.Status)
 	return nil, f.checkFailed()
 }
 
-// question is the head of the message to the checker: the client's headers, and what it asked for.
+// checkRequestHeader returns the header of the request to the checker: the client's headers, and the forwarded headers
+// that describe the client's request.
 func (f requestHandler) checkRequestHeader(h http.Header, origin map[string]string) http.Header {
 	q := http.Header{}
 	for name, values := range h {
@@ -99,7 +102,7 @@
 	}
 	q.Del("Expect")
 	if q.Get("User-Agent") == "" {
-		q["User-Agent"] = nil // net/http would name itself
+		q["User-Agent"] = nil // nil keeps net/http from adding its own
 	}
 	for name, value := range origin {
 		q.Set(name, value)
--- a/internal/forwardauth/checker.go
+++ b/internal/forwardauth/checker.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	maxCheckerConns       = 64 // at once
+	maxCheckerConns       = 64 // concurrent connections
 	checkerDialTimeout    = 250 * time.Millisecond
-	maxVerdictHeaderBytes = 16 << 10 // bytes of an answer's head
+	maxVerdictHeaderBytes = 16 << 10 // of an answer
 )
 
 var (
-	errVerdictTooLong = errors.New("the checker's answer is too long")
-	errProtocolSwitch = errors.New("the checker switches protocols")
+	errVerdictTooLong = errors.New("checker's answer has a body that is too long")
+	errProtocolSwitch = errors.New("checker answered with 101 Switching Protocols")
 )
 
-// checker asks the checker over HTTP/1.1, each question on a connection of its own: nothing in an answer names the
-// question that it is for. A second answer to one question, on a connection that is used again, would be taken for the
-// verdict on the next client.
+// checker queries the checker over HTTP/1.1, with a new connection for each query: HTTP/1.1 answers do not identify the
+// request that they belong to. On a reused connection, a second answer to one query would be taken for the verdict on
+// the next client.
 type checker struct {
 	url       *url.URL
 	transport *http.Transport
@@ -40,26 +40,26 @@
 	}}
 }
 
-// ask sends one question, once, and returns the whole answer. It ends with ctx at the latest.
+// query sends one query without retries and returns the complete answer. It returns when ctx ends at the latest.
 func (c *checker) query(ctx context.Context, header http.Header) (*egress.Reply, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		header.Set("X-Timeout", strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10)+"m")
 	}
-	question := (&http.Request{Method: http.MethodGet, URL: c.url, Host: c.url.Host, Header: header}).WithContext(ctx)
-	answer, err := c.transport.RoundTrip(question)
+	req := (&http.Request{Method: http.MethodGet, URL: c.url, Host: c.url.Host, Header: header}).WithContext(ctx)
+	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode == http.StatusSwitchingProtocols {
-		return nil, errProtocolSwitch // its body is the connection: it has no end, and no longer heeds ctx
+	defer resp.Body.Close()
+	if resp.StatusCode == http.StatusSwitchingProtocols {
+		return nil, errProtocolSwitch // its body is the connection itself: it has no end and ignores ctx
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, egress.MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, egress.MaxBody+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > egress.MaxBody {
 		return nil, errVerdictTooLong
 	}
-	return &egress.Reply{Status: answer.StatusCode, Header: answer.Header, Body: body}, nil
+	return &egress.Reply{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
--- a/internal/forwardauth/forwardauth.go
+++ b/internal/forwardauth/forwardauth.go
@@ -1,6 +1,6 @@
-// Package forwardauth is the front for forward authentication over HTTP, after Traefik's ForwardAuth and
-// nginx's auth_request. It asks a checker before an exchange enters the core, and is asked for verdicts by
-// proxies, on the same core and quota as all else.
+// Package forwardauth is the HTTP front for forward authentication in the manner of Traefik's ForwardAuth and nginx's
+// auth_request: it asks a checker before an exchange enters the core, and gives proxies verdicts on requests, on the
+// core and quota that forwarded requests use too. It does not authenticate clients itself.
 package forwardauth
 
 import (
@@ -26,15 +26,15 @@
 	"junctionring/internal/front"
 )
 
-// forwarded are the headers that only trusted proxies are believed.
+// trustedHeaders are the headers that are accepted only from trusted proxies.
 var trustedHeaders = []string{"X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "X-Forwarded-Method",
 	"X-Forwarded-Uri", "X-Original-Uri", "X-Original-Method", "Forwarded", "X-Real-Ip"}
 
-// hopByHop are the headers that end at this gateway.
+// hopByHop are the headers that end at this gateway and are not passed on in either direction.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
 
-// Front is the handler of the front. Each request is decided under the one view that it came in under.
+// Front is the front's HTTP handler. Each request is handled entirely under the view that was current on its arrival.
 type Front struct {
 	core  *core.Core
 	proxy *httputil.ReverseProxy
@@ -43,10 +43,10 @@
 
 	mu       sync.Mutex
 	view     *View
-	replaced []*View // replaced, and still used by requests
+	replaced []*View // views that requests still use
 }
 
-// New makes the front of an operator's file.
+// New returns a front with the configuration of an operator's file.
 func New(o *config.Operator, c *core.Core, log *slog.Logger) (*Front, error) {
 	f := &Front{
 		core: c, log: log, keys: keyGuard{states: map[string]*keyState{}},
@@ -57,6 +57,7 @@
 	return f, err
 }
 
+// sequence returns the numbers 0 to n-1.
 func sequence(n int) (all []int) {
 	for i := range n {
 		all = append(all, i)
@@ -64,7 +65,7 @@
 	return all
 }
 
-// visit is one request's stay, with the view that it is decided under.
+// requestHandler handles one request under one view.
 type requestHandler struct {
 	*Front
 	*View
@@ -99,7 +100,7 @@
 	front.Arrived(&x, received, rest)
 	trusted := f.trusted(r)
 	origin := f.forwardedValues(r, trusted)
-	// What is checked is what is sent on: no header may say that it is something else.
+	// The forwarded request is the one that was checked: no header may describe another one.
 	origin["X-Forwarded-Method"], origin["X-Forwarded-Uri"] = r.Method, r.RequestURI
 	ctx, cancel := context.WithDeadline(r.Context(), x.Deadline)
 	identity, refusal := f.identify(ctx, r.Header, origin, trusted)
@@ -108,7 +109,7 @@
 		refusal = f.assignSender(&x, identity)
 	}
 	if r.Context().Err() != nil {
-		panic(http.ErrAbortHandler) // the client left while it was checked: nothing is sent for it
+		panic(http.ErrAbortHandler) // the client disconnected during the check: nothing is sent
 	}
 	if refusal != nil {
 		refusal.write(w)
@@ -127,7 +128,7 @@
 	f.forward(w, r, x, body, rest)
 }
 
-// carry has an exchange carried out, a keyed one under the guard of its key.
+// forward passes an exchange to the core. The key of a keyed one is guarded against running twice.
 func (f requestHandler) forward(w http.ResponseWriter, r *http.Request, x core.Exchange, body []byte, rest *front.Body) {
 	class, name := f.o.Module.Classes[x.Class], f.names.Classes[x.Class]
 	x.Class = f.classes[x.Class]
@@ -136,8 +137,8 @@
 		return
 	}
 	id := name + "\x00" + r.Header.Get(f.o.Identity.Account) + "\x00" + r.Header.Get("Idempotency-Key")
-	v, by, reply, ranAt := f.keys.begin(id, time.Now(), time.Duration(class.Window*float64(time.Second)))
-	switch v {
+	status, windowEnd, reply, ranAt := f.keys.begin(id, time.Now(), time.Duration(class.Window*float64(time.Second)))
+	switch status {
 	case keyInFlight, keyExpired:
 		(&refusal{status: http.StatusConflict, retryAfter: time.Second,
 			text: "this Idempotency-Key is in use, or how it ended is in doubt"}).write(w)
@@ -155,18 +156,18 @@
 		w.Write(reply.Body)
 		return
 	}
-	if by.Before(x.Deadline) {
-		x.Deadline = by // later targets no longer drop a repeat
+	if windowEnd.Before(x.Deadline) {
+		x.Deadline = windowEnd // after this, targets no longer drop a repeat
 	}
-	if v == keyRepeat && class.Group != control.GroupAll { // at another site it would run a second time
+	if status == keyRepeat && class.Group != control.GroupAll { // another site would run it a second time
 		x.Bound, x.At = true, ranAt
 	}
-	end := core.Answer{Kind: core.Left} // unless the core is reached: nothing can have run
-	defer func() { f.keys.end(id, time.Now(), end, v == keyRepeat) }()
-	front.Carry(f.proxy, w, r, &x, body, rest, func(a core.Answer) { end = a })
+	outcome := core.Answer{Kind: core.Left} // stands if the core is not reached: nothing can have run
+	defer func() { f.keys.end(id, time.Now(), outcome, status == keyRepeat) }()
+	front.Carry(f.proxy, w, r, &x, body, rest, func(a core.Answer) { outcome = a })
 }
 
-// asked answers a proxy that asks whether a request may pass. It is the proxy that sends the request on.
+// serveVerdict answers a proxy that asks whether a request may pass. The proxy forwards the request itself.
 func (f requestHandler) serveVerdict(w http.ResponseWriter, r *http.Request, received time.Time) {
 	if !f.trusted(r) {
 		(&refusal{status: http.StatusForbidden, text: "only configured proxies may ask"}).write(w)
@@ -186,12 +187,12 @@
 	x.Ask = true
 	ctx, cancel := context.WithDeadline(r.Context(), x.Deadline)
 	defer cancel()
-	identity, no := f.identify(ctx, r.Header, origin, true)
-	if no == nil {
-		no = f.assignSender(&x, identity)
+	identity, refused := f.identify(ctx, r.Header, origin, true)
+	if refused == nil {
+		refused = f.assignSender(&x, identity)
 	}
-	if no != nil {
-		no.write(w)
+	if refused != nil {
+		refused.write(w)
 		return
 	}
 	x.Class = f.classes[x.Class]
@@ -208,18 +209,18 @@
 	}
 }
 
-// decode reads a message but for who sent it: that is for the checker to say.
+// decode reads everything from a request except its sender, which the checker determines.
 func (f requestHandler) decode(r *http.Request, received time.Time) (x core.Exchange, err error) {
 	if x.Class, err = f.names.Class(r); err != nil {
 		return x, err
 	}
 	x.Deadline = received.Add(f.o.Classes[x.Class].Deadline.Duration - front.Margin)
 	if text := r.Header.Get("X-Timeout"); text != "" {
-		wait, err := front.ParseTimeout(text)
+		timeout, err := front.ParseTimeout(text)
 		if err != nil {
 			return x, err
 		}
-		if by := received.Add(wait - front.Margin); by.Before(x.Deadline) {
+		if by := received.Add(timeout - front.Margin); by.Before(x.Deadline) {
 			x.Deadline = by
 		}
 	}
@@ -230,19 +231,19 @@
 	return x, err
 }
 
-// enter fills in who sent an exchange.
+// assignSender sets an exchange's customer and plan from identity.
 func (f requestHandler) assignSender(x *core.Exchange, identity http.Header) *refusal {
 	account, plan := identity.Get(f.o.Identity.Account), identity.Get(f.o.Identity.Plan)
-	place := slices.Index(f.names.Plans, plan)
+	index := slices.Index(f.names.Plans, plan)
 	switch {
-	case account != "" && place >= 0:
-		x.Plan = f.plans[place]
+	case account != "" && index >= 0:
+		x.Plan = f.plans[index]
 		h := fnv.New64a()
 		h.Write([]byte(account))
 		x.Customer = h.Sum64()
 		return nil
-	case f.checker != nil: // it let the client in, but does not say as whom
-		f.log.Error("the checker named no account, or no known plan", "plan", plan)
+	case f.checker != nil: // the checker allowed the client without a usable identity
+		f.log.Error("checker's answer has no account or no known plan", "plan", plan)
 		return f.checkFailed()
 	case account == "":
 		return &refusal{status: http.StatusUnauthorized, text: "nobody vouches for this client"}
@@ -250,7 +251,7 @@
 	return &refusal{status: http.StatusForbidden, text: "no such plan"}
 }
 
-// trusted tells whether the peer is a configured proxy.
+// trusted reports whether the peer is a configured proxy.
 func (f requestHandler) trusted(r *http.Request) bool {
 	peer, err := netip.ParseAddrPort(r.RemoteAddr)
 	return err == nil && slices.ContainsFunc(f.o.TrustedProxies, func(p netip.Prefix) bool {
@@ -258,32 +259,33 @@
 	})
 }
 
-// origin is what the forwarded headers are to say: what a trusted proxy says, else what is seen here.
+// forwardedValues returns the values of the forwarded headers: those from a trusted proxy, or else those of the request
+// as received.
 func (f requestHandler) forwardedValues(r *http.Request, trusted bool) map[string]string {
 	peer, _, _ := net.SplitHostPort(r.RemoteAddr)
-	o := map[string]string{
+	values := map[string]string{
 		"X-Forwarded-Method": r.Method, "X-Forwarded-Proto": "http", "X-Forwarded-Host": r.Host,
 		"X-Forwarded-Uri": r.RequestURI, "X-Forwarded-For": peer,
 	}
 	if !trusted {
-		return o
+		return values
 	}
-	for _, said := range [][2]string{
+	for _, source := range [][2]string{
 		{"X-Forwarded-Method", "X-Original-Method"}, {"X-Forwarded-Method", "X-Forwarded-Method"},
 		{"X-Forwarded-Uri", "X-Original-Uri"}, {"X-Forwarded-Uri", "X-Forwarded-Uri"},
 		{"X-Forwarded-Proto", "X-Forwarded-Proto"}, {"X-Forwarded-Host", "X-Forwarded-Host"},
 	} {
-		if v := r.Header.Get(said[1]); v != "" {
-			o[said[0]] = v
+		if v := r.Header.Get(source[1]); v != "" {
+			values[source[0]] = v
 		}
 	}
-	if before := strings.Join(r.Header.Values("X-Forwarded-For"), ", "); before != "" {
-		o["X-Forwarded-For"] = before + ", " + peer
+	if previous := strings.Join(r.Header.Values("X-Forwarded-For"), ", "); previous != "" {
+		values["X-Forwarded-For"] = previous + ", " + peer
 	}
-	return o
+	return values
 }
 
-// strip removes what a client may not say of itself.
+// stripTrustedHeaders removes the headers that a client may not set.
 func (f requestHandler) stripTrustedHeaders(h http.Header) {
 	for _, list := range [][]string{trustedHeaders, f.o.Checker.ResponseHeaders, {f.o.Identity.Account, f.o.Identity.Plan}} {
 		for _, name := range list {
--- a/internal/forwardauth/keys.go
+++ b/internal/forwardauth/keys.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	keyRetention  = time.Minute // a key whose end is in doubt is not run again this long
+	keyRetention  = time.Minute // after its last exchange a key is remembered, and not run again if in doubt
 	maxKeys       = 8192
-	maxReplayBody = 4 << 10 // of a body kept for a repeat; a longer one is not replayed
+	maxReplayBody = 4 << 10 // bytes of a body that is kept for a repeat; a longer body is not replayed
 )
 
-// keyState is what is known of a key that this gateway has taken.
+// keyState is the state of an idempotency key that this gateway has accepted.
 type keyState struct {
-	inFlight  bool // an exchange with it is held
+	inFlight  bool // an exchange with the key is in progress
 	served    bool
 	firstSeen time.Time
-	ranAt     int // the site where it may have run
+	ranAt     int // site where the request may have run
 	expires   time.Time
-	reply     *egress.Reply // of one that was served
+	reply     *egress.Reply // the response, if served and short enough
 }
 
-// keys guards against running a key twice: targets drop its repeats for a window only, and two exchanges with
-// one key may meet two targets at the same instant.
+// keyGuard prevents a key from running twice: targets drop repeats only within a window, and two concurrent exchanges
+// with one key may reach two targets.
 type keyGuard struct {
 	mu     sync.Mutex
 	states map[string]*keyState
@@ -36,15 +36,18 @@
 
 const (
 	keyNew       keyStatus = iota
-	keyRepeat              // in doubt, but targets still drop a repeat: send it on, within the window
-	keyInFlight            // another exchange with this key is held
-	keyReplay              // here is what it was answered
-	keyExpired             // in doubt or served long ago: it can't be run again safely
-	keyGuardFull           // more keys than are remembered
+	keyRepeat              // outcome in doubt, but targets still drop a repeat: forward it within the window
+	keyInFlight            // another exchange with the key is in progress
+	keyReplay              // already served: replay the response
+	keyExpired             // in doubt after the window, or served without a kept response: unsafe to run again
+	keyGuardFull           // the maximum number of keys is reached
 )
 
-// begin takes a key. After fresh and repeat, end must follow.
-func (k *keyGuard) begin(key string, now time.Time, window time.Duration) (v keyStatus, by time.Time, reply *egress.Reply, ranAt int) {
+// begin registers an exchange with a key. After keyNew and keyRepeat, the caller must call end. windowEnd is the end of
+// the window in which targets drop a repeat.
+func (k *keyGuard) begin(key string, now time.Time, window time.Duration) (
+	status keyStatus, windowEnd time.Time, reply *egress.Reply, ranAt int,
+) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.states[key]
@@ -54,25 +57,25 @@
 	}
 	if s == nil {
 		if len(k.states) >= maxKeys && !k.evictExpired(now) {
-			return keyGuardFull, by, nil, 0
+			return keyGuardFull, windowEnd, nil, 0
 		}
 		k.states[key] = &keyState{inFlight: true, firstSeen: now}
 		return keyNew, now.Add(window), nil, 0
 	}
-	by = s.firstSeen.Add(window)
+	windowEnd = s.firstSeen.Add(window)
 	switch {
 	case s.inFlight:
-		return keyInFlight, by, nil, 0
+		return keyInFlight, windowEnd, nil, 0
 	case s.reply != nil:
-		return keyReplay, by, s.reply, 0
-	case s.served, now.After(by):
-		return keyExpired, by, nil, 0
+		return keyReplay, windowEnd, s.reply, 0
+	case s.served, now.After(windowEnd):
+		return keyExpired, windowEnd, nil, 0
 	}
 	s.inFlight = true
-	return keyRepeat, by, nil, s.ranAt
+	return keyRepeat, windowEnd, nil, s.ranAt
 }
 
-// inDoubt counts the keys of a class that may have run and may still be repeated.
+// inDoubt counts the keys of a class that may have run and may still be repeated within the window.
 func (k *keyGuard) inDoubt(class string, now time.Time, window time.Duration) (n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -84,7 +87,8 @@
 	return n
 }
 
-func (k *keyGuard) evictExpired(now time.Time) (room bool) {
+// evictExpired removes expired keys and reports whether there is room for another. The caller holds mu.
+func (k *keyGuard) evictExpired(now time.Time) (hasRoom bool) {
 	for key, s := range k.states {
 		if !s.inFlight && now.After(s.expires) {
 			delete(k.states, key)
@@ -93,8 +97,8 @@
 	return len(k.states) < maxKeys
 }
 
-// end books how an exchange with the key ended. again tells that an earlier one is in doubt.
-func (k *keyGuard) end(key string, now time.Time, a core.Answer, again bool) {
+// end records how an exchange with the key ended. earlierInDoubt means that an earlier one is in doubt.
+func (k *keyGuard) end(key string, now time.Time, a core.Answer, earlierInDoubt bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.states[key]
@@ -102,7 +106,7 @@
 		return
 	}
 	s.inFlight, s.expires = false, now.Add(keyRetention)
-	if a.MayHaveRun && !again {
+	if a.MayHaveRun && !earlierInDoubt {
 		s.ranAt = a.RanAt
 	}
 	if a.Kind == core.Served {
@@ -112,7 +116,7 @@
 		}
 		return
 	}
-	if !a.MayHaveRun && !again {
-		delete(k.states, key) // nothing has run: the key is as good as new
+	if !a.MayHaveRun && !earlierInDoubt {
+		delete(k.states, key) // nothing has run, so the key can be used again
 	}
 }
--- a/internal/forwardauth/view.go
+++ b/internal/forwardauth/view.go
@@ -10,17 +10,17 @@
 	"junctionring/internal/front"
 )
 
-// View is one configuration version as the front sees it. It is not changed once it is made.
+// View is the front's form of one configuration version. It is immutable once installed, except for requests.
 type View struct {
 	o        *config.Operator
 	names    *front.Names
-	classes  []int // the numbers in the core, by their place in the document
+	classes  []int // core numbers, by index in the document
 	plans    []int
-	checker  *checker // nil: trusted proxies say who a client is
-	requests int      // requests under it; guarded by the front
+	checker  *checker // nil: trusted proxies supply the client's identity
+	requests int      // in progress under the view; guarded by Front.mu
 }
 
-// NewView makes a view of a version. Nothing sees it before Install.
+// NewView returns a view of a configuration version. Requests use it only after Install.
 func (f *Front) NewView(o *config.Operator, classes, plans []int) (*View, error) {
 	v := &View{o: o, names: &front.Names{Gateways: o.Gateways, Routes: o.Paths}, classes: classes, plans: plans}
 	for i, class := range o.Classes {
@@ -38,20 +38,20 @@
 		return nil, err
 	}
 	f.mu.Lock()
-	now := f.view
+	current := f.view
 	f.mu.Unlock()
-	if now != nil && now.checker != nil && *now.checker.url == *u {
-		v.checker = now.checker // with its bound on connections
+	if current != nil && current.checker != nil && *current.checker.url == *u {
+		v.checker = current.checker // keeps its connection limit
 		return v, nil
 	}
 	v.checker = newChecker(u)
 	return v, nil
 }
 
-// SetNumbers gives a view's classes and plans their numbers in the core, before it is installed.
+// SetNumbers sets the core numbers of the view's classes and plans. It must be called before Install.
 func (v *View) SetNumbers(classes, plans []int) { v.classes, v.plans = classes, plans }
 
-// Install has new requests decided under a view. Those that are held end under the one they came in with.
+// Install makes v the view for new requests. Requests in progress finish under the view that they began with.
 func (f *Front) Install(v *View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,19 +60,19 @@
 	f.dropUnusedViews()
 }
 
-// Classes are the numbers of classes, and Plans those of plans, that requests may still use.
+// Classes returns the core numbers of the classes that new requests or those in progress may use.
 func (f *Front) Classes() map[int]bool { return f.inUse(func(v *View) []int { return v.classes }) }
 
-// Plans is documented with Classes.
+// Plans returns the core numbers of the plans that new requests or those in progress may use.
 func (f *Front) Plans() map[int]bool { return f.inUse(func(v *View) []int { return v.plans }) }
 
-func (f *Front) inUse(of func(*View) []int) map[int]bool {
+func (f *Front) inUse(numbersOf func(*View) []int) map[int]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.dropUnusedViews()
 	all := map[int]bool{}
 	for _, v := range append([]*View{f.view}, f.replaced...) {
-		for _, n := range of(v) {
+		for _, n := range numbersOf(v) {
 			all[n] = true
 		}
 	}
@@ -94,20 +94,21 @@
 	}
 }
 
-// sweep lets go of replaced views that nobody uses.
+// dropUnusedViews removes replaced views that no request uses. The caller holds mu.
 func (f *Front) dropUnusedViews() {
 	f.replaced = slices.DeleteFunc(f.replaced, func(v *View) bool { return v.requests == 0 })
 }
 
-// WindowFaults names the keyed classes of a new version whose window is shorter than the present one while keys of it
-// are in doubt: by the new window they would count as forgotten by table servers that still know them, or not.
+// WindowFaults returns a fault for each keyed class whose window the new version shortens while keys of the class are
+// in doubt. Under the shorter window these keys would be treated as forgotten by the table servers, which may still
+// remember them or not.
 func (f *Front) WindowFaults(o *config.Operator) (faults []string) {
 	f.mu.Lock()
-	now := f.view
+	current := f.view
 	f.mu.Unlock()
 	windows := map[string]time.Duration{}
-	for i, c := range now.o.Classes {
-		windows[c.Name] = time.Duration(now.o.Module.Classes[i].Window * float64(time.Second))
+	for i, c := range current.o.Classes {
+		windows[c.Name] = time.Duration(current.o.Module.Classes[i].Window * float64(time.Second))
 	}
 	for i, c := range o.Classes {
 		window := time.Duration(o.Module.Classes[i].Window * float64(time.Second))
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,6 +1,6 @@
-// Package routes matches a request's method and path to a class: a list of rules in order, the first that fits
-// counts, compiled once into a tree so that a match costs the path's parts and not the rules. It owns the rules'
-// words and their bounds, and never looks at anything but method and path.
+// Package routes maps a request's method and path to a class by the first matching rule of an ordered list, which is
+// compiled into a tree so that the cost of a match depends on the number of path parts and not of rules. It defines
+// the rules' syntax and limits, and does not look at headers, queries or bodies.
 package routes
 
 import (
@@ -10,7 +10,8 @@
 	"strings"
 )
 
-// Rule sends requests to a class. A path's parts are literal, "*" for any one, or a last "**" for any rest.
+// Rule assigns requests to a class. Each part of its path is a literal, "*" for any one part, or, as the last, "**" for
+// any number of parts.
 type Rule struct {
 	Path    string
 	Methods []string // empty: any
@@ -18,33 +19,33 @@
 }
 
 const (
-	maxParts = 8      // of a rule's path: a match looks at no more than 2 to that many places
-	maxRules = 50_000 // of a list: twice the largest that is planned for
+	maxParts = 8      // of a rule's path: a match visits at most 2^maxParts nodes per level
+	maxRules = 50_000 // of a list: twice the largest planned list
 )
 
-// methods are the ones that a rule may name, each a bit.
+// methods are the methods that a rule may name. Their indexes are bit positions in ruleRef.methods.
 var methods = []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch,
 	http.MethodDelete, http.MethodOptions}
 
-// Table is a compiled list. Its zero value matches nothing. It is not changed after Compile.
+// Table is a compiled list of rules. Its zero value matches nothing. It is immutable after Compile.
 type Table struct{ root *node }
 
-// node is a place in the tree: what may follow the parts that led here.
+// node is a node of the tree, reached by the parts of a path prefix.
 type node struct {
 	literal  map[string]*node
 	wildcard *node
-	exact    []ruleRef // rules whose path ends here, in order
-	prefix   []ruleRef // rules that go on with "**"
+	exact    []ruleRef // rules whose path ends at this node, in order
+	prefix   []ruleRef // rules that continue with "**", in order
 }
 
-// end is a rule, by its place in the list.
+// ruleRef is the part of a rule that a match needs.
 type ruleRef struct {
-	order   int
+	order   int // index in the list
 	methods uint16
 	class   int
 }
 
-// Compile makes a table, or says all that is wrong with the rules.
+// Compile builds a table from rules, or returns an error for each invalid rule.
 func Compile(rules []Rule) (*Table, []error) {
 	var faults []error
 	t := &Table{root: &node{}}
@@ -125,7 +126,7 @@
 	return c
 }
 
-// Match is the class of the first rule that fits; false: none does. It allocates nothing.
+// Match returns the class of the first rule that matches, or false if none does. It does not allocate.
 func (t *Table) Match(method, path string) (class int, ok bool) {
 	if t.root == nil {
 		return 0, false
@@ -139,7 +140,8 @@
 	return best.class, best.order < maxRules
 }
 
-// find looks for the first rule that fits what is left of a path.
+// find replaces best with an earlier rule under n that matches the remaining path, if there is one. done means that no
+// parts remain.
 func (n *node) find(bit uint16, path string, done bool, best *ruleRef) {
 	matchFirst(n.prefix, bit, best)
 	if done {
--- a/internal/routetable/discovery.go
+++ b/internal/routetable/discovery.go
@@ -1,5 +1,5 @@
-// Package routetable is the actor of the list of egress targets: it follows discovery, or serves the
-// static list of an operator's file, and tells the core of every change at once.
+// Package routetable keeps the list of egress targets: it watches discovery, or takes the static list of an
+// operator's file, and publishes every change to the core at once. It does not choose targets for requests.
 package routetable
 
 import (
@@ -24,38 +24,45 @@
 )
 
 const (
-	// An empty line comes every 2 s while a watch lives. What one that has fallen silent misses counts as told 6 s after
-	// its last word: that is time for one more watch that says nothing, and for a third.
-	silenceTimeout         = 2800 * time.Millisecond
-	assumedKnownAfter      = 6 * time.Second
-	connectTimeout         = 2 * time.Second        // for a connection to discovery
-	queuedFirstByteTimeout = 5 * time.Second        // for the first word where calls wait for their turn
-	localPauseInitial      = 20 * time.Millisecond  // between watches of an agent of its own: calls cost nothing, and what it
-	localPauseMax          = 100 * time.Millisecond // has at its return counts as told at once
-	pausePerGateway        = 50 * time.Millisecond  // between watches, for each gateway that asks the same discovery
-	pauseMultiplier        = 2                      // times the one before, where the watch did not come about
-	pauseMaxFloor          = 500 * time.Millisecond // or two first pauses, if that is longer
-	pauseJitter            = 0.8                    // of a pause, both ways
-	pauseShare             = 0.5                    // of the time in which it must ask, for the longest pause
-	failedCallFactor       = 4                      // times as long is allowed after a call that failed
-	firstCallShare         = 0.8                    // of the time in which it must ask, for the first call
-	queuedFailureMin       = time.Second / 4        // a call that fails later has waited for its turn; one that is out fails at once
-	responseReserve        = time.Second / 2        // kept free within toldAnyway for the next call's connection and answer
-	maxListBytes           = 4 << 20                // of one list
+	// A live watch carries an empty line every 2 s. The gateway is assumed to know a change that a silent watch misses
+	// 6 s after the watch's last data. That leaves time to detect the silence, for a second watch that is silent too,
+	// and for a third.
+	silenceTimeout    = 2800 * time.Millisecond
+	assumedKnownAfter = 6 * time.Second
+
+	connectTimeout         = 2 * time.Second // for a connection to discovery
+	queuedFirstByteTimeout = 5 * time.Second // for the first data where discovery queues calls
+
+	// Pauses between watches of the gateway's own agent are short: calls to it cost nothing, and the gateway is assumed
+	// to know at once what the agent has when it returns.
+	localPauseInitial = 20 * time.Millisecond
+	localPauseMax     = 100 * time.Millisecond
+
+	pausePerGateway  = 50 * time.Millisecond  // initial pause between watches, per gateway that asks the same discovery
+	pauseMultiplier  = 2                      // growth of the pause after a watch that brought no data
+	pauseMaxFloor    = 500 * time.Millisecond // the maximum pause is this, or two initial pauses if that is longer
+	pauseJitter      = 0.8                    // fraction of a pause, in both directions
+	pauseShare       = 0.5                    // fraction of AskEvery that the initial pause may take, jitter included
+	failedCallFactor = 4                      // multiple of that bound that is allowed after failed calls
+	firstCallShare   = 0.8                    // fraction of AskEvery over which first calls are spread
+	queuedFailureMin = time.Second / 4        // slower failures were queued calls; a discovery that is down fails at once
+	responseReserve  = time.Second / 2        // part of assumedKnownAfter kept for the next call's connection and response
+	maxListBytes     = 4 << 20                // of one list
 )
 
 var lifecycleStates = map[string]control.MemberState{
 	"SERVING": control.Ready, "DRAINING": control.Draining, "DELETED": control.Removed,
 }
 
-// Decode reads a list in discovery's form; zones are the names that the settings number.
+// Decode parses a list in discovery's JSON format. A target's zone number is the index of its zone's name in zones.
 func Decode(raw []byte, zones []string) (core.Table, error) {
 	if !gjson.ValidBytes(raw) {
-		return core.Table{}, fmt.Errorf("the list is not JSON: %.80q", raw)
+		return core.Table{}, fmt.Errorf("discovery list is not valid JSON: %.80q", raw)
 	}
 	list := gjson.ParseBytes(raw)
-	if list.Get("generation").Type != gjson.Number || !list.Get("instances").IsArray() { // a whole list of nothing would end all targets
-		return core.Table{}, fmt.Errorf("no generation or no instances: %.80q", raw)
+	// Without this check, a malformed list would count as an empty snapshot and remove all targets.
+	if list.Get("generation").Type != gjson.Number || !list.Get("instances").IsArray() {
+		return core.Table{}, fmt.Errorf("discovery list has no numeric generation or no array of instances: %.80q", raw)
 	}
 	t := core.Table{Version: list.Get("generation").Int()}
 	if list.Get("reset").Bool() {
@@ -63,7 +70,7 @@
 	}
 	for _, e := range list.Get("instances").Array() {
 		state, ok := lifecycleStates[e.Get("lifecycle").String()]
-		if !ok { // one entry that is not understood must not hide the rest of the list
+		if !ok { // an entry with an unknown state must not make the rest of the list unusable
 			state = control.Draining
 		}
 		m := control.Member{
@@ -78,29 +85,29 @@
 	return t, nil
 }
 
-// Discovery follows the list of the platform's discovery agent.
+// Discovery watches the list of egress targets that the platform's discovery agent serves.
 type Discovery struct {
 	Address        string
-	From           int64         // version of the list that is known
-	HasList        bool          // a list is at hand: the first watch can wait for its turn
-	Gateways       int           // that ask the same discovery; 0: it asks an agent of its own, which costs nothing
-	AskEvery       time.Duration // a gateway that has no watch and has not asked for so long counts as told; 0: no such rule
+	From           int64         // version of the list that the gateway holds
+	HasList        bool          // the gateway holds a list, so its first call can be delayed
+	Gateways       int           // that ask the same discovery; 0: the gateway asks its own agent, which costs nothing
+	AskEvery       time.Duration // after so long without watch or call it is assumed to know all; 0: no such rule
 	Zones          []string
-	Sites          map[string]int // the site of each zone, where there are sites
-	AddressChanges <-chan string  // addresses that the agent moves to; may be nil
+	Sites          map[string]int // the site of each zone; nil: there are no sites
+	AddressChanges <-chan string  // new addresses of the agent; may be nil
 	Publish        func(core.Table)
 	Log            *slog.Logger
-	Dial           func(ctx context.Context, network, address string) (net.Conn, error) // nil: the network
+	Dial           func(ctx context.Context, network, address string) (net.Conn, error) // nil: net.Dialer
 
-	mu           sync.Mutex // orders what is told
+	mu           sync.Mutex // guards the fields below and keeps calls of Publish in order
 	history      history
-	restartTimer *time.Timer // of history; nil: none is due
+	restartTimer *time.Timer // runs publishRestart; nil: not due
 }
 
-// pauses between watches grow with the number of gateways. Behind the agents stands one service of fixed capacity,
-// where calls wait in turn and fail when they have waited too long. Danger: gateways that start together, or lose
-// their watches together, and ask again each half second: it works on calls that nobody waits for any more, and none
-// is ever answered in time.
+// newBackOff returns the pauses between watches, which grow with the number of gateways. All agents depend on one
+// service of fixed capacity that queues calls and fails those that wait too long. If gateways that start together, or
+// lose their watches together, retried every half second, the service would spend its time on abandoned calls and
+// answer none in time.
 func (d *Discovery) newBackOff() *backoff.ExponentialBackOff {
 	initial := pausePerGateway * time.Duration(d.Gateways)
 	maxPause := max(pauseMaxFloor, pauseMultiplier*initial)
@@ -116,8 +123,8 @@
 	}
 }
 
-// firstCallSpread is the time over which gateways that have a list spread their first calls. What they miss until then
-// counts as told after toldAnyway, or when they have not asked for AskEvery.
+// firstCallSpread returns the period over which gateways that hold a list spread their first calls. They are assumed
+// to know what they miss until then after assumedKnownAfter, or when they have not asked for AskEvery.
 func (d *Discovery) firstCallSpread() time.Duration {
 	window := min(pausePerGateway*time.Duration(d.Gateways), assumedKnownAfter-responseReserve)
 	if d.AskEvery > 0 {
@@ -126,7 +133,7 @@
 	return window
 }
 
-// rest waits, or goes on at once where the agent moves; false: ctx has ended.
+// wait waits for pause, and returns early if the agent moves to a new address. It returns false if ctx has ended.
 func (d *Discovery) wait(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -139,7 +146,8 @@
 	return true
 }
 
-// Run watches until ctx ends, from where it stands whenever a watch breaks or the agent moves.
+// Run watches the list until ctx ends. When a watch breaks or the agent moves, the next watch resumes from the version
+// held.
 func (d *Discovery) Run(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: d.connect}}
 	backOff := d.newBackOff()
@@ -147,14 +155,14 @@
 	if d.HasList && d.Gateways > 1 && !d.wait(ctx, time.Duration(rand.Float64()*float64(d.firstCallSpread()))) {
 		return
 	}
-	queueing := false // its calls wait in turn, and fail
+	queueing := false // discovery queues calls, and they fail
 	for ctx.Err() == nil {
 		watching, cancel := context.WithCancel(ctx)
 		ended := make(chan error, 1)
 		received, started := false, time.Now()
 		go func() {
 			err := d.watch(watching, client, &received)
-			d.Log.Info("watch ended", "heard", received, "err", err)
+			d.Log.Info("discovery watch ended", "heard", received, "err", err)
 			ended <- err
 		}()
 		select {
@@ -162,20 +170,22 @@
 			lasted := time.Since(started)
 			if received {
 				backOff.Reset()
-				lasted = 0 // it brought all there was until its end
+				lasted = 0 // it delivered all changes until its end
 			}
 			queueing = !received && (queueing || errors.Is(err, errOverloaded) && lasted >= queuedFailureMin)
 			pause := backOff.NextBackOff()
 			switch {
-			case received && errors.Is(err, errSilent): // all may fall silent together: at any time that is left
+			case received && errors.Is(err, errSilent):
+				// All gateways may lose their watches together: the calls are spread over the time left.
 				pause = min(pause, time.Duration(rand.Float64()*float64(assumedKnownAfter-silenceTimeout-responseReserve)))
 			case queueing && backOff.MaxInterval > assumedKnownAfter-responseReserve:
-				// So large a fleet that asks again within toldAnyway would keep discovery overloaded.
+				// A fleet of this size that retried within assumedKnownAfter would keep discovery overloaded.
 			default:
 				pause = boundPause(pause, lasted)
 			}
 			d.wait(ctx, pause)
-		case address := <-d.AddressChanges: // at once: the old agent may stay silent and open
+		case address := <-d.AddressChanges:
+			// The watch is canceled at once: the old agent may keep its connection open and send nothing.
 			cancel()
 			<-ended
 			d.Address = address
@@ -190,9 +200,9 @@
 	}
 }
 
-// boundPause keeps a pause short enough for the next call to be answered within toldAnyway of the moment in which the
-// call that has just failed began: discovery may have become reachable right after that. A pause that is cut short is
-// spread over half of the time there is, so that a fleet does not ask all at once.
+// boundPause limits a pause so that the next call is answered within assumedKnownAfter of the start of the call that
+// has just failed: discovery may have become reachable right after that start. A shortened pause is drawn from the
+// second half of the time available, so that the gateways of a fleet do not call at the same moment.
 func boundPause(pause, callLasted time.Duration) time.Duration {
 	available := max(0, assumedKnownAfter-responseReserve-callLasted)
 	if pause <= available {
@@ -201,8 +211,8 @@
 	return available/2 + time.Duration(rand.Float64()*float64(available/2))
 }
 
-// connect bounds how long a connection may take to come up. http.Transport goes on dialling for a call that was given
-// up: with no bound each call to a discovery that is cut off would hold a descriptor for minutes.
+// connect dials with a timeout. http.Transport goes on dialing for a call that was canceled: without a timeout, each
+// call to an unreachable discovery would hold a file descriptor for minutes.
 func (d *Discovery) connect(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
@@ -213,11 +223,11 @@
 }
 
 var (
-	errSilent     = errors.New("discovery is silent")
-	errOverloaded = errors.New("discovery turns calls away")
+	errSilent     = errors.New("discovery sent no data in time")
+	errOverloaded = errors.New("discovery answered with a server error")
 )
 
-// watch follows the list until the watch ends; heard is set once anything has come.
+// watch makes one watch call and reads it until it ends. It sets received once any data has arrived.
 func (d *Discovery) watch(ctx context.Context, client *http.Client, received *bool) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -225,7 +235,7 @@
 	if d.Gateways > 0 {
 		timeout = queuedFirstByteTimeout
 	}
-	timer := time.AfterFunc(timeout, func() { cancel(errSilent) }) // a new watch brings what was missed
+	timer := time.AfterFunc(timeout, func() { cancel(errSilent) }) // the next watch delivers what was missed
 	defer timer.Stop()
 	err := d.readWatch(ctx, client, func() {
 		*received = true
@@ -237,8 +247,8 @@
 	return err
 }
 
-// follow takes one list after another from a watch. They are told apart as JSON and not by lines: a list may come
-// indented, over many. It calls heard as bytes come, be they of an empty line.
+// readWatch reads one list after another from a watch and publishes them. Lists are delimited as JSON values, not by
+// lines, since an indented list spans many lines. readWatch calls onData for all bytes received, empty lines included.
 func (d *Discovery) readWatch(ctx context.Context, client *http.Client, onData func()) error {
 	url := fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", d.Address, d.From)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -276,7 +286,7 @@
 	}
 }
 
-// tell passes a list on as far as it is newer than what was told before.
+// publish passes a list on. Entries that are older than what was published before do not undo it.
 func (d *Discovery) publish(t core.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -291,20 +301,21 @@
 	}
 }
 
-// tellRestart tells what was kept back, once it is sure that the numbering has started again.
+// publishRestart publishes the withheld entries once the generation numbering is known to have restarted.
 func (d *Discovery) publishRestart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if t, ok := d.history.acceptRestart(time.Now()); ok {
-		d.Log.Warn("discovery numbers its lists anew", "generation", t.Version, "endpoints kept back so far", len(t.Targets))
+		d.Log.Warn("discovery restarted its generation numbering",
+			"generation", t.Version, "endpoints kept back so far", len(t.Targets))
 		d.Publish(t)
 	}
 }
 
-// listening reads what comes, tells of it, and ends a list that is too long.
+// watchReader reads a watch's body, reports received data, and fails on a list that is too long.
 type watchReader struct {
 	r         io.Reader
-	remaining int
+	remaining int // bytes that the current list may still take
 	onData    func()
 }
 
@@ -315,12 +326,13 @@
 		l.onData()
 	}
 	if l.remaining -= n; l.remaining < 0 {
-		return 0, errors.New("the list is too long")
+		return 0, errors.New("discovery list exceeds the maximum length")
 	}
 	return n, err
 }
 
-// place puts each target at the site of its zone. One in a zone of no site gets nothing: it might stand anywhere.
+// assignSites sets each target's site from its zone. A target whose zone belongs to no site gets no requests, since its
+// location is unknown.
 func (d *Discovery) assignSites(raw []byte, t *core.Table) {
 	zones := map[string]string{}
 	for _, e := range gjson.GetBytes(raw, "instances").Array() {
@@ -330,7 +342,8 @@
 		m := &t.Targets[i].Member
 		site, ok := d.Sites[zones[m.Server]]
 		if !ok && m.State == control.Ready {
-			d.Log.Error("a target's zone is no site's: nothing is sent to it", "target", m.Server, "zone", zones[m.Server])
+			d.Log.Error("target's zone belongs to no site, no requests are sent to it",
+				"target", m.Server, "zone", zones[m.Server])
 			m.State = control.Draining
 		}
 		m.Site = site
--- a/internal/routetable/history.go
+++ b/internal/routetable/history.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	keptGenerations = 4096 // generations: a list that is older still is no concern
+	keptGenerations = 4096 // generations for which a drain or removal is remembered: older lists do not occur
 
-	// restartAfter is how long an agent may bring lists of lower generations without having caught up, until its
-	// numbering counts as started again. An agent that is behind is told within some 15 s at the longest.
+	// restartAfter is how long an agent may deliver lists of lower generations without catching up before its numbering
+	// is taken as restarted. An agent that is merely behind receives the changes within about 15 s at most.
 	restartAfter = 30 * time.Second
 )
 
-// history is what the lists so far said of each endpoint, and keeps an older list from undoing a drain or a removal: an
-// agent that was moved to, or has restarted, may be behind. It is pure: the time is handed in.
+// history records what the lists received so far say of each endpoint, and keeps an older list from undoing a drain or
+// a removal: an agent that the gateway was moved to, or that has restarted, may be behind. It reads no clock: callers
+// pass the time.
 //
-// A discovery whose numbering starts again looks like an agent that is behind: both bring a whole list of a lower
-// generation. Only the one that is behind catches up. So endpoints that drained are kept back from the first such list
-// on, and are believed to be in use again when nothing has caught up within restartAfter.
+// A discovery whose numbering restarts looks like an agent that is behind: both deliver a snapshot of a lower
+// generation. Only the agent that is behind catches up. So entries that would make a drained endpoint ready again are
+// withheld from the first such list on, and are accepted when the agent has not caught up within restartAfter.
 type history struct {
 	endpoints   map[string]endpointState
-	highest     int64     // generation, in the present numbering
+	highest     int64     // highest generation in the current numbering
 	latest      int64     // generation of the last list
-	behindSince time.Time // since when lists are of lower generations; zero: they are not
+	behindSince time.Time // since when lists have lower generations; zero: they do not
 }
 
-// known is what is known of one endpoint.
+// endpointState is the latest known state of one endpoint.
 type endpointState struct {
 	generation int64
-	since      control.Seconds // its last start
+	since      control.Seconds // time of its last start
 	ready      bool
-	withheld   *core.Target // what a lower generation says of it, and is not believed yet; nil: nothing
+	withheld   *core.Target // ready state from a lower generation that is not accepted yet; nil: none
 }
 
-// take takes a list in, and changes what an older one must not undo. An endpoint that has started since then is
-// another matter.
+// apply records a list and changes in it the entries with which an older list would undo a drain. Entries of an
+// endpoint that has restarted since then are accepted as they are.
 func (h *history) apply(t *core.Table, now time.Time) {
 	h.trackGeneration(t, now)
 	next := h.endpoints
@@ -48,7 +49,9 @@
 		e := &t.Targets[i]
 		previous := h.endpoints[e.Server]
 		if t.Version >= previous.generation || e.Since > previous.since {
-			next[e.Server] = endpointState{generation: t.Version, since: max(e.Since, previous.since), ready: e.State == control.Ready}
+			next[e.Server] = endpointState{
+				generation: t.Version, since: max(e.Since, previous.since), ready: e.State == control.Ready,
+			}
 			continue
 		}
 		previous.withheld = nil
@@ -60,19 +63,20 @@
 		previous.ready = previous.ready && e.State == control.Ready
 		next[e.Server] = previous
 	}
-	for id, was := range h.endpoints { // those that an older list does not name, or that a newer one removed
+	// Keep the drained and removed endpoints that an older list omits, and forget those older than keptGenerations.
+	for id, state := range h.endpoints {
 		switch _, named := next[id]; {
-		case !named && !was.ready && was.generation > t.Version:
-			was.withheld = nil
-			next[id] = was
-		case named && !was.ready && was.generation < t.Version-keptGenerations:
+		case !named && !state.ready && state.generation > t.Version:
+			state.withheld = nil
+			next[id] = state
+		case named && !state.ready && state.generation < t.Version-keptGenerations:
 			delete(next, id)
 		}
 	}
 	h.endpoints = next
 }
 
-// follow notes whether the lists are of lower generations than before.
+// trackGeneration records whether the lists have lower generations than before.
 func (h *history) trackGeneration(t *core.Table, now time.Time) {
 	h.latest = t.Version
 	switch {
@@ -83,12 +87,13 @@
 	}
 }
 
-// restartDue tells how long it takes until the numbering counts as started again; false: it does not.
+// restartDue returns the time left until the numbering is taken as restarted. It returns false if lists do not have
+// lower generations.
 func (h *history) restartDue(now time.Time) (wait time.Duration, due bool) {
 	return h.behindSince.Add(restartAfter).Sub(now), !h.behindSince.IsZero()
 }
 
-// restarted goes over to the new numbering, if that is due, and returns what was kept back.
+// acceptRestart switches to the new numbering, if that is due, and returns the withheld entries.
 func (h *history) acceptRestart(now time.Time) (t core.Table, ok bool) {
 	if wait, due := h.restartDue(now); !due || wait > 0 {
 		return core.Table{}, false
@@ -99,7 +104,7 @@
 		case e.withheld != nil:
 			t.Targets = append(t.Targets, *e.withheld)
 			e.ready = true
-		case e.generation > h.latest && !e.ready: // the new numbering does not know it
+		case e.generation > h.latest && !e.ready: // not listed under the new numbering
 			delete(h.endpoints, id)
 			continue
 		}
--- a/internal/routetable/roster.go
+++ b/internal/routetable/roster.go
@@ -8,11 +8,11 @@
 	"junctionring/internal/core"
 )
 
-// Roster stands between a list that is watched and the core: it keeps the list whole, tells which targets there
-// are, and lets a configuration name those that may be used.
+// Roster passes a watched list on to the core. It keeps the complete list, reports which targets exist, and restricts
+// requests to the targets that the configuration allows.
 type Roster struct {
-	Publish  func(core.Table)      // the core
-	OnChange func(map[string]bool) // told of the targets on the roster, after each change; may be nil
+	Publish  func(core.Table)      // receives the filtered list; the core's Routes
+	OnChange func(map[string]bool) // receives the IDs of all targets after each change; may be nil
 
 	mu      sync.Mutex
 	targets map[string]core.Target
@@ -21,7 +21,7 @@
 	version int64
 }
 
-// Update takes a list in, or changes to it, and passes it on.
+// Update applies a list, or changes to it, and publishes it with the states that the configuration allows.
 func (r *Roster) Update(t core.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,7 +47,7 @@
 	r.notifyKnown()
 }
 
-// Allow names the targets that may be used, nil for all, and passes the whole list on as it now stands.
+// Allow sets the IDs of the targets that may be used, an empty set for all, and publishes the complete current list.
 func (r *Roster) Allow(ids map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 	r.allowed = ids
 	if r.targets == nil {
-		return // it comes with the first list
+		return // the first Update applies it
 	}
 	t := core.Table{Kind: control.Snapshot, Version: r.version}
 	for _, id := range r.order {
@@ -65,7 +65,8 @@
 	r.Publish(t)
 }
 
-// judged is a target as the core is to see it: one that may not be used completes what it has.
+// effective returns a target as the core sees it: a ready target that may not be used is draining, so that it
+// completes the requests that it has.
 func (r *Roster) effective(e core.Target) core.Target {
 	if r.allowed != nil && !r.allowed[e.Server] && e.State == control.Ready {
 		e.State = control.Draining
--- a/internal/routetable/static.go
+++ b/internal/routetable/static.go
@@ -6,7 +6,7 @@
 	"junctionring/internal/core"
 )
 
-// Static is the list of an operator's file: it never changes.
+// Static returns the list of targets in an operator's file, which never changes.
 func Static(o *config.Operator) core.Table {
 	t := core.Table{Kind: control.Snapshot, Version: 1}
 	for _, e := range o.Targets {
