--- a/internal/forwardauth/crossed_verdict_test.go
+++ b/internal/forwardauth/crossed_verdict_test.go
@@ -7,8 +7,8 @@
 	"junctionring/internal/standin"
 )
 
-// newTwiceChecker is a checker that answers every check twice, the second time when the next check on the connection has
-// come.
+// newDoubleAnswerChecker starts a checker that answers every check twice, the second time once the next check on the
+// connection has arrived.
 func newDoubleAnswerChecker(t *testing.T, answer func(token string) string) (url string) {
 	t.Helper()
 	address, stop, err := standin.NewTwice("127.0.0.1:0", func(r *http.Request) string { return answer(r.Header.Get("Authorization")) })
@@ -19,14 +19,15 @@
 	return "http://" + address
 }
 
-// Guards against one client being taken for another, where the checker answers a check twice and the second time late.
+// Guards against one client being taken for another when the checker answers a check twice, the second time late: on a
+// reused connection, the second answer would be read as the answer to the next client's check.
 func TestSecondVerdictIsNotGivenToTheNextClient(t *testing.T) {
 	for _, status := range []string{"200 OK", "204 No Content"} {
 		t.Run(status, func(t *testing.T) {
 			check := newDoubleAnswerChecker(t, func(token string) string {
 				length := "Content-Length: 0\r\n"
 				if status != "200 OK" {
-					length = "" // it has no body, and may not say so
+					length = "" // a 204 answer must not have a Content-Length
 				}
 				return "HTTP/1.1 " + status + "\r\n" + length + "X-Auth-Account: " + token + "\r\nX-Auth-Plan: club\r\n\r\n"
 			})
@@ -46,7 +47,7 @@
 	}
 }
 
-// Guards against a client being let in on the verdict on another, where the checker answers a check twice.
+// Guards against a client being admitted by the verdict on another when the checker answers a check twice.
 func TestSecondVerdictDoesNotLetAStrangerIn(t *testing.T) {
 	check := newDoubleAnswerChecker(t, func(token string) string {
 		if token == "stranger" {
@@ -61,11 +62,11 @@
 	resp, _ = sendRequest(t, "GET", url+"/table-view/1", "", "Authorization", "stranger")
 	expectStatus(t, resp, http.StatusUnauthorized)
 	if n := table.total(); n != 1 {
-		t.Errorf("%d requests reached a table, want that of client one alone", n)
+		t.Errorf("%d requests reached a table, want only that of client one", n)
 	}
 }
 
-// Guards against a check without end, where the checker's answer leaves HTTP.
+// Guards against a check that never ends when the checker switches to another protocol.
 func TestCheckerThatSwitchesProtocolsIsNoVerdict(t *testing.T) {
 	check := newDoubleAnswerChecker(t, func(string) string {
 		return "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: other\r\nX-Auth-Account: one\r\nX-Auth-Plan: club\r\n\r\n"
--- a/internal/forwardauth/forwardauth_test.go
+++ b/internal/forwardauth/forwardauth_test.go
@@ -25,19 +25,19 @@
 	"junctionring/internal/standin"
 )
 
-// tables is a stand-in table server that counts how often each move key ran. It drops no repeats itself.
+// tableServer is a stand-in table server that counts how often each key ran. It does not drop repeats itself.
 type tableServer struct {
 	*httptest.Server
 	mu   sync.Mutex
 	runs map[string]int
 	seen []http.Header
-	hold chan struct{} // not nil: an answer waits for it
+	hold chan struct{} // if not nil, answers wait until it is closed
 }
 
 func newTableServer(t *testing.T) *tableServer {
 	s := &tableServer{runs: map[string]int{}}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(r.Body) // a request begins once its last byte has arrived
+		body, err := io.ReadAll(r.Body) // a request runs only once its last byte has arrived
 		if err != nil {
 			return
 		}
@@ -67,11 +67,11 @@
 	return s.runs[key]
 }
 
-// checker is a stand-in checker whose answers a test scripts.
+// checker is a stand-in checker whose answers are defined by each test.
 type checker struct {
 	*httptest.Server
 	requests  chan http.Header
-	abandoned chan struct{} // one for each question that the gateway gave up
+	abandoned chan struct{} // receives one value for each check that the gateway canceled
 }
 
 func newChecker(t *testing.T, answer func(w http.ResponseWriter, r *http.Request)) *checker {
@@ -93,7 +93,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// gateway starts the front of an operator's file that knows the given peers.
+// startGateway starts a front with the given checker, store and table server, and returns its URL. more lists pairs of
+// old and new text to replace in the operator's file.
 func startGateway(t *testing.T, checkURL, redis string, table *tableServer, more ...string) string {
 	t.Helper()
 	text := `listen = "127.0.0.1:0"
@@ -148,7 +149,7 @@
 	return "http://" + l.Addr().String()
 }
 
-// ask sends one request and returns its answer with the body read.
+// sendRequest sends one request and returns the response and its body.
 func sendRequest(t *testing.T, method, url, key string, more ...string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, url, bytes.NewReader([]byte("e2e4")))
@@ -189,7 +190,8 @@
 	}
 }
 
-// A checked move reaches a table with the checker's word on who plays, and not with the client's own.
+// A checked move reaches a table server with the identity that the checker determined, not with the one that the client
+// claims.
 func TestCheckedMoveIsServed(t *testing.T) {
 	table, store := newTableServer(t), newStore(t)
 	check := newChecker(t, func(w http.ResponseWriter, r *http.Request) {
@@ -218,7 +220,7 @@
 	}
 }
 
-// Whatever becomes of the check, there is one answer, at once, and without a 2xx nothing runs.
+// However the check fails, the client gets one prompt response, and without a 2xx from the checker nothing runs.
 func TestNoVerdictFailsClosed(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -247,7 +249,7 @@
 			case <-release:
 			case <-r.Context().Done():
 			}
-			allow(w, r) // too late to count
+			allow(w, r) // after the check's timeout
 		}, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -266,7 +268,7 @@
 				t.Error("the checker's headers are lost")
 			}
 			if c.name == "stall of 3 s" {
-				<-check.abandoned // the question was given up, not left running
+				<-check.abandoned // the gateway canceled the check
 			}
 			if n := table.total(); n != 0 {
 				t.Errorf("%d requests reached a table", n)
@@ -284,7 +286,7 @@
 	})
 }
 
-// A verdict that comes after the client has left sends nothing to a table.
+// If the client disconnects during the check, a verdict that arrives later sends nothing to a table server.
 func TestClientLeavesDuringCheck(t *testing.T) {
 	table, store, verdict := newTableServer(t), newStore(t), make(chan struct{})
 	check := newChecker(t, func(w http.ResponseWriter, r *http.Request) {
@@ -306,11 +308,11 @@
 	<-check.requests
 	leave()
 	if err := <-done; err == nil {
-		t.Fatal("the client did not leave")
+		t.Fatal("the client did not disconnect")
 	}
-	<-check.abandoned // the gateway noticed and gave the check up
+	<-check.abandoned // the gateway noticed the disconnect and canceled the check
 	close(verdict)
-	// The same key is free: nothing ran under it. This one's check passes, and it is the only one to run.
+	// Nothing ran with the key, so it can be used again. This request passes its check and is the only one to run.
 	resp, _ := sendRequest(t, "POST", url+"/move-submit/7", "k")
 	expectStatus(t, resp, http.StatusOK)
 	if n := table.runCount("k"); n != 1 {
@@ -318,7 +320,7 @@
 	}
 }
 
-// Concurrent repeats of a key: one runs, each gets one answer, and a later repeat gets the first one's.
+// Of concurrent requests with one key, one runs and each gets one response. A later repeat gets the first response.
 func TestKeyRunsOnce(t *testing.T) {
 	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	table.hold = make(chan struct{})
@@ -331,7 +333,7 @@
 			statuses <- resp.StatusCode
 		}()
 	}
-	for range repeats - 1 { // all but the one that runs are answered while it still does
+	for range repeats - 1 { // all but the one that runs are answered while it is running
 		if s := <-statuses; s != http.StatusConflict {
 			t.Errorf("a repeat was answered %d while the key was running", s)
 		}
@@ -350,7 +352,7 @@
 	}
 }
 
-// A proxy asks for verdicts: the same quota as for what is sent on, 429 with Retry-After beyond it.
+// Verdicts for a proxy use the same quota as forwarded requests, with 429 and Retry-After beyond it.
 func TestAskedForVerdicts(t *testing.T) {
 	table, store := newTableServer(t), newStore(t)
 	check := newChecker(t, func(w http.ResponseWriter, r *http.Request) {
@@ -388,7 +390,7 @@
 	expectStatus(t, resp, http.StatusBadRequest)
 }
 
-// Nobody but a configured proxy may ask, or be believed in what it forwards.
+// Only configured proxies may ask for verdicts and set forwarded headers.
 func TestStrangersAreNotBelieved(t *testing.T) {
 	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	url := startGateway(t, check.URL, store.Addr(), table, "127.0.0.0/8", "192.0.2.0/24")
@@ -401,7 +403,7 @@
 	}
 }
 
-// Malformed input is answered at once, outside the core, without a question to the checker.
+// Malformed input is rejected at once, without a check and without reaching the core.
 func TestMalformedIsRejected(t *testing.T) {
 	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	url := startGateway(t, check.URL, store.Addr(), table)
@@ -428,18 +430,18 @@
 	resp.Body.Close()
 	expectStatus(t, resp, http.StatusRequestEntityTooLarge)
 	if len(check.requests) != 0 || table.total() != 0 {
-		t.Error("something malformed went further")
+		t.Error("a malformed request reached the checker or a table server")
 	}
 }
 
-// Two gateways on one store hold one quota between them; a silent or emptied store stops neither.
+// Two gateways on one store share one quota. A silent or emptied store stops neither of them.
 func TestTwoGatewaysOneQuota(t *testing.T) {
 	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	urls := []string{
 		startGateway(t, check.URL, store.Addr(), table),
 		startGateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 2\nordinal = 1"),
 	}
-	// The store's word arrives beside the requests: each is sent once the one before it has been counted.
+	// The store's sums arrive asynchronously: each request is sent once the one before it has been counted.
 	const each = 4.0
 	quota := []string{"X-Quota", "units=4,spread=2,first=0"}
 	units := 0.0
@@ -454,13 +456,13 @@
 			t.Fatalf("answered %d", resp.StatusCode)
 		}
 	}
-	// Each alone would let in 20, both 40. A gateway may be one view behind.
+	// Each gateway alone would admit 20 units, both 40. A gateway may lack the latest sum.
 	if units < 2*each || units > 20+2*each {
-		t.Errorf("%g units were let in, of a quota of 20", units)
+		t.Errorf("%g units were admitted, of a quota of 20", units)
 	}
 	for _, life := range store.Life() {
 		if life <= 0 || life > time.Minute {
-			t.Errorf("a name lives on for %v", life)
+			t.Errorf("a key in the store expires after %v, want within a minute", life)
 		}
 	}
 	store.Empty()
@@ -475,20 +477,20 @@
 	}
 }
 
-// A move whose end is in doubt is not run again once table servers no longer drop its repeat.
+// A move whose outcome is in doubt is not run again once table servers no longer drop its repeat.
 func TestKeyInDoubtIsNotRunAgain(t *testing.T) {
 	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	table.hold = make(chan struct{})
 	defer close(table.hold)
 	url := startGateway(t, check.URL, store.Addr(), table, `window = "4s"`, `window = "400ms"`)
-	resp, _ := sendRequest(t, "POST", url+"/move-submit/7", "k") // held by the table until the window has passed
+	resp, _ := sendRequest(t, "POST", url+"/move-submit/7", "k") // held by the table server until the window has passed
 	expectStatus(t, resp, http.StatusServiceUnavailable)
 	resp, _ = sendRequest(t, "POST", url+"/move-submit/7", "k")
 	expectStatus(t, resp, http.StatusConflict)
 	if n := table.runCount("k"); n != 1 {
 		t.Errorf("the move ran %d times", n)
 	}
-	resp, _ = sendRequest(t, "POST", url+"/move-submit/7", "other", "X-Timeout", "300m") // another key is not held up
+	resp, _ = sendRequest(t, "POST", url+"/move-submit/7", "other", "X-Timeout", "300m") // another key is not blocked
 	expectStatus(t, resp, http.StatusServiceUnavailable)
 	if n := table.runCount("other"); n != 1 {
 		t.Errorf("the other move ran %d times", n)
@@ -512,8 +514,8 @@
 	}
 }
 
-// A long move passes on as it comes and its long answer too, checked and under its key like a short one; one beyond
-// max_body gets 413, with its length and in chunks, and no table server runs it.
+// A long move and its long answer are streamed, with the same check and key guard as a short one. A body beyond max_body
+// gets 413 if its length is declared, is refused if it comes in chunks, and no table server runs it.
 func TestLongBodyIsPassedOn(t *testing.T) {
 	table, store := newTableServer(t), newStore(t)
 	check := newChecker(t, allow)
@@ -531,7 +533,7 @@
 		}
 		defer resp.Body.Close()
 		if got, err := io.ReadAll(resp.Body); resp.StatusCode == 200 && (err != nil || !bytes.Equal(got, bytes.Repeat([]byte("e2e4"), 1<<19))) {
-			t.Errorf("answered with %d bytes, or others; %v", len(got), err)
+			t.Errorf("answered with %d bytes, possibly not those sent; %v", len(got), err)
 		}
 		return resp.StatusCode
 	}
@@ -543,7 +545,7 @@
 		runs   int
 	}{
 		{"k1", bytes.NewReader(body), 200, 1},
-		{"k1", bytes.NewReader(body), 409, 1}, // it has run, and its answer is not kept
+		{"k1", bytes.NewReader(body), 409, 1}, // it has run, and its response is not kept
 		{"k2", chunked(body), 200, 1},
 		{"k3", bytes.NewReader(make([]byte, 5<<20)), 413, 0},
 	} {
--- a/internal/forwardauth/hidden_request_test.go
+++ b/internal/forwardauth/hidden_request_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Guards against one client's request being hidden in another's body, where a proxy that shares a connection between
-// clients goes by Content-Length and net/http by the chunks beside it: the answer to the hidden one would be given to the
-// proxy's next client.
+// Guards against request smuggling: a proxy that shares a connection between clients delimits a body by Content-Length,
+// and net/http by the chunked encoding that the request has too. The proxy would pass the answer to the hidden request to
+// its next client.
 func TestRequestHiddenBehindChunksIsNotAnswered(t *testing.T) {
 	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	url := startGateway(t, check.URL, store.Addr(), table)
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// The tree finds what a walk through the list finds.
+// The compiled tree agrees with a linear search of the list.
 func TestMatchAgreesWithTheList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	part := func() string { return []string{"a", "b", "*"}[rng.IntN(3)] }
@@ -88,6 +88,7 @@
 	}
 }
 
+// ruleMatches reports whether the path of a rule matches a request's path.
 func ruleMatches(rule, path string) bool {
 	want, have := strings.Split(rule[1:], "/"), strings.Split(path[1:], "/")
 	for i, w := range want {
--- a/internal/routetable/discovery_test.go
+++ b/internal/routetable/discovery_test.go
@@ -22,16 +22,17 @@
 		`"zone":"hall-b","cell":3,"lifecycle":%q,"startedAtMs":1500}]}`+"\n", version, reset, id, state)
 }
 
-// A change is told as it comes; a watch that breaks, half a line in, is taken up from the last version.
+// A change is published while the watch is open. A watch that breaks in the middle of a list resumes from the last
+// version received.
 func TestWatchIsTakenUpAgain(t *testing.T) {
-	from, goOn := make(chan string, 4), make(chan struct{})
+	from, proceed := make(chan string, 4), make(chan struct{})
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		from <- r.URL.Query().Get("from")
 		switch r.URL.Query().Get("from") {
 		case "41":
 			fmt.Fprint(w, listLine(42, true, "s-1", "SERVING")+"\n")
 			w.(http.Flusher).Flush()
-			<-goOn
+			<-proceed
 			fmt.Fprint(w, listLine(43, false, "s-1", "DRAINING")+`{"generation":44,"res`)
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
@@ -42,23 +43,23 @@
 		}
 	}))
 	defer agent.Close()
-	told := make(chan core.Table, 4)
+	published := make(chan core.Table, 4)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	d := &routetable.Discovery{Address: strings.TrimPrefix(agent.URL, "http://"), From: 41,
-		Zones: []string{"hall-a", "hall-b"}, Publish: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler)}
+		Zones: []string{"hall-a", "hall-b"}, Publish: func(t core.Table) { published <- t }, Log: slog.New(slog.DiscardHandler)}
 	go func() { d.Run(ctx); close(ended) }()
-	first := <-told // while the watch is still open
+	first := <-published // while the watch is still open
 	if m := first.Targets[0]; first.Kind != control.Snapshot || m.Server != "s-1" || m.Zone != 1 || m.Cell != 3 ||
 		m.Since != 1.5 || m.State != control.Ready || m.Address != "10.1.0.18:8000" {
-		t.Errorf("told %+v", first)
+		t.Errorf("published %+v", first)
 	}
-	close(goOn)
-	if second := <-told; second.Kind != control.Delta || second.Targets[0].State != control.Draining {
-		t.Errorf("told %+v", second)
+	close(proceed)
+	if second := <-published; second.Kind != control.Delta || second.Targets[0].State != control.Draining {
+		t.Errorf("published %+v", second)
 	}
-	if third := <-told; third.Version != 45 || third.Targets[0].State != control.Removed {
-		t.Errorf("told %+v", third)
+	if third := <-published; third.Version != 45 || third.Targets[0].State != control.Removed {
+		t.Errorf("published %+v", third)
 	}
 	if a, b := <-from, <-from; a != "41" || b != "43" {
 		t.Errorf("watched from %s, then from %s", a, b)
@@ -67,22 +68,22 @@
 	<-ended
 }
 
-// One entry that is not understood gets nothing new, and does not hide the others.
+// An entry with an unknown state is drained, one without an ID is skipped, and the other entries stay usable.
 func TestOddEntryDoesNotHideTheRest(t *testing.T) {
 	text := strings.Replace(listLine(7, true, "s-1", "RESTING"), `"instances":[`,
 		`"instances":[{"zone":"hall-a"},{"instanceId":"s-2","hostPort":"10.1.0.19:8000","lifecycle":"SERVING"},`, 1)
 	table, err := routetable.Decode([]byte(text), nil)
 	if err != nil || len(table.Targets) != 2 {
-		t.Fatalf("read %+v, %v", table, err)
+		t.Fatalf("decoded %+v, %v", table, err)
 	}
 	if a, b := table.Targets[0], table.Targets[1]; a.Server != "s-2" || a.State != control.Ready ||
 		b.Server != "s-1" || b.State != control.Draining {
-		t.Errorf("read %+v", table)
+		t.Errorf("decoded %+v", table)
 	}
 }
 
-// An agent that moves is watched at its new address at once, from the version held, while the old one is still
-// open and silent.
+// When the agent moves, its new address is watched at once from the version held, even while the old connection is open
+// and silent.
 func TestWatchMoves(t *testing.T) {
 	from := make(chan string, 4)
 	agent := func(text string) (*httptest.Server, string) {
@@ -96,16 +97,16 @@
 	}
 	first, address := agent(listLine(42, true, "s-1", "SERVING"))
 	second, next := agent(listLine(43, false, "s-1", "DRAINING"))
-	told, moves := make(chan core.Table, 4), make(chan string, 1)
+	published, moves := make(chan core.Table, 4), make(chan string, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	d := &routetable.Discovery{Address: address, From: 41, AddressChanges: moves,
-		Publish: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler)}
+		Publish: func(t core.Table) { published <- t }, Log: slog.New(slog.DiscardHandler)}
 	go func() { d.Run(ctx); close(ended) }()
-	<-told
+	<-published
 	moves <- next
-	if t2 := <-told; t2.Version != 43 || t2.Targets[0].State != control.Draining {
-		t.Errorf("told %+v", t2)
+	if t2 := <-published; t2.Version != 43 || t2.Targets[0].State != control.Draining {
+		t.Errorf("published %+v", t2)
 	}
 	if a, b := <-from, <-from; a != "41" || b != "42" {
 		t.Errorf("watched from %s, then from %s", a, b)
@@ -116,20 +117,20 @@
 	second.Close()
 }
 
-// watching runs a Discovery against an agent, and brings what it tells.
+// runDiscovery runs d against an agent and returns the lists that d publishes.
 func runDiscovery(t *testing.T, d *routetable.Discovery, agent http.HandlerFunc) <-chan core.Table {
 	s := httptest.NewServer(agent)
-	told := make(chan core.Table, 16)
-	d.Address, d.Publish, d.Log = strings.TrimPrefix(s.URL, "http://"), func(t core.Table) { told <- t }, slog.New(slog.DiscardHandler)
+	published := make(chan core.Table, 16)
+	d.Address, d.Publish, d.Log = strings.TrimPrefix(s.URL, "http://"), func(t core.Table) { published <- t }, slog.New(slog.DiscardHandler)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended; s.Close() })
-	return told
+	return published
 }
 
-// A list and a change may come indented, over many lines, with empty lines between them, two at once, or cut anywhere
-// over several reads: each is told once, from a single watch.
+// Lists may be indented over many lines, separated by empty lines, sent two at once, or split at any byte over several
+// reads. Each list is published once, from a single watch.
 func TestIndentedLists(t *testing.T) {
 	indent := func(text string) string {
 		var b bytes.Buffer
@@ -143,7 +144,7 @@
 	for _, piece := range []int{len(text), 1, 7, len(whole) - 1} {
 		t.Run(fmt.Sprintf("%d bytes at once", piece), func(t *testing.T) {
 			watches := make(chan string, 16)
-			told := runDiscovery(t, &routetable.Discovery{From: 41}, func(w http.ResponseWriter, r *http.Request) {
+			published := runDiscovery(t, &routetable.Discovery{From: 41}, func(w http.ResponseWriter, r *http.Request) {
 				watches <- r.URL.Query().Get("from")
 				if len(watches) == 1 {
 					for rest := text; rest != ""; {
@@ -156,8 +157,8 @@
 				<-r.Context().Done()
 			})
 			for i, want := range []control.MemberState{control.Ready, control.Draining, control.Ready, control.Removed} {
-				if got := <-told; got.Version != int64(42+i) || got.Targets[0].State != want || got.Targets[0].Server != "s-1" {
-					t.Fatalf("told %+v, want version %d in state %v", got, 42+i, want)
+				if got := <-published; got.Version != int64(42+i) || got.Targets[0].State != want || got.Targets[0].Server != "s-1" {
+					t.Fatalf("published %+v, want version %d in state %v", got, 42+i, want)
 				}
 			}
 			if len(watches) != 1 {
@@ -167,25 +168,25 @@
 	}
 }
 
-// A list that is spoilt ends the watch; the next one goes on from the version held, and nothing of the spoilt one is
-// told. Above all a list of no instances at all is none: it would end every target.
+// An invalid list ends the watch and is not published, and the next watch resumes from the version held. This matters
+// most for a list without an array of instances: as an empty snapshot it would remove every target.
 func TestSpoiltListsAreNotTold(t *testing.T) {
-	for _, spoilt := range []string{`{"generation":50,"reset":true}`, `{"reset":true,"instances":[]}`, `[]`, `7`, `{"generation":50,"reset":true,"instances":{}}`,
+	for _, invalid := range []string{`{"generation":50,"reset":true}`, `{"reset":true,"instances":[]}`, `[]`, `7`, `{"generation":50,"reset":true,"instances":{}}`,
 		`{"generation":"50","reset":true,"instances":[]}`, `{"generation":50,"reset":true,"instances":[}`, "\xff"} {
-		t.Run(spoilt, func(t *testing.T) {
+		t.Run(invalid, func(t *testing.T) {
 			from := make(chan string, 16)
-			told := runDiscovery(t, &routetable.Discovery{From: 41}, func(w http.ResponseWriter, r *http.Request) {
+			published := runDiscovery(t, &routetable.Discovery{From: 41}, func(w http.ResponseWriter, r *http.Request) {
 				first := len(from) == 0
 				if from <- r.URL.Query().Get("from"); first {
-					io.WriteString(w, listLine(42, true, "s-1", "SERVING")+spoilt+"\n"+listLine(51, true, "s-2", "SERVING"))
+					io.WriteString(w, listLine(42, true, "s-1", "SERVING")+invalid+"\n"+listLine(51, true, "s-2", "SERVING"))
 				} else {
 					io.WriteString(w, listLine(43, false, "s-1", "DRAINING"))
 				}
 				w.(http.Flusher).Flush()
 				<-r.Context().Done()
 			})
-			if a, b := <-told, <-told; a.Version != 42 || b.Version != 43 {
-				t.Errorf("told versions %d and %d", a.Version, b.Version)
+			if a, b := <-published, <-published; a.Version != 42 || b.Version != 43 {
+				t.Errorf("published versions %d and %d", a.Version, b.Version)
 			}
 			if a, b := <-from, <-from; a != "41" || b != "42" {
 				t.Errorf("watched from %s, then from %s", a, b)
@@ -194,8 +195,8 @@
 	}
 }
 
-// An agent that was moved to may be behind: its older list does not make a target ready again that a newer one has
-// drained or removed, until it has caught up. A target that has started since then is new.
+// An agent that the gateway has moved to may be behind. Until it has caught up, its older list does not make a target
+// ready again that a newer list has drained or removed, unless the target has restarted since then.
 func TestOlderListUndoesNoDrain(t *testing.T) {
 	agent := func(text string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -213,14 +214,14 @@
 		return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", version, reset, strings.Join(entries, ","))
 	}
 	moves := make(chan string, 1)
-	told := runDiscovery(t, &routetable.Discovery{From: 40, AddressChanges: moves}, func(w http.ResponseWriter, r *http.Request) {
+	published := runDiscovery(t, &routetable.Discovery{From: 40, AddressChanges: moves}, func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, list(41, true, entry("a", "SERVING", 1), entry("b", "SERVING", 1), entry("c", "SERVING", 1), entry("d", "SERVING", 1))+
 			list(43, false, entry("a", "DRAINING", 1), entry("b", "DELETED", 0), entry("c", "DELETED", 0)))
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	<-told
-	<-told
+	<-published
+	<-published
 	moves <- agent(list(42, true, entry("a", "SERVING", 1), entry("b", "SERVING", 1), entry("c", "SERVING", 5), entry("d", "SERVING", 1)) +
 		list(44, false, entry("a", "SERVING", 1)))
 	states := func(table core.Table) (all string) {
@@ -229,10 +230,10 @@
 		}
 		return all
 	}
-	if got := states(<-told); got != "a draining b draining c ready d ready " {
-		t.Errorf("an older list told: %s", got)
+	if got := states(<-published); got != "a draining b draining c ready d ready " {
+		t.Errorf("published states after an older list: %s", got)
 	}
-	if got := states(<-told); got != "a ready " {
-		t.Errorf("a newer change told: %s", got)
+	if got := states(<-published); got != "a ready " {
+		t.Errorf("published states after a newer change: %s", got)
 	}
 }
--- a/internal/routetable/fleet_test.go
+++ b/internal/routetable/fleet_test.go
@@ -17,7 +17,7 @@
 	"junctionring/internal/routetable"
 )
 
-// pipes is a listener whose connections are pipes, so that all of a test can run on virtual time.
+// pipeListener is a listener of in-memory pipes, so that a test can run entirely on synctest's virtual time.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -46,8 +46,9 @@
 	}
 }
 
-// bookedOut is a discovery of fixed capacity: calls wait in turn, one that has waited too long is turned away, and yet
-// takes its turn, as work does that nobody calls off.
+// limitedRegistry is a discovery of fixed capacity. It serves calls one after another, and answers 503 to a call
+// that has waited for maxWait. Such a call still takes its service time, as work does that is not canceled. Calls that
+// would wait for more than twice maxWait fail at once and take no service time.
 type limitedRegistry struct {
 	serviceTime, maxWait time.Duration
 	mu                   sync.Mutex
@@ -62,7 +63,7 @@
 	if b.nextFree.After(turn) {
 		turn = b.nextFree
 	}
-	if longest := time.Now().Add(2 * b.maxWait); turn.After(longest) { // its line is full
+	if longest := time.Now().Add(2 * b.maxWait); turn.After(longest) { // the queue is full
 		b.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -82,7 +83,7 @@
 	sendHeartbeats(w, r)
 }
 
-// beats goes on with an empty line every 2 s, as while nothing changes.
+// sendHeartbeats sends an empty line every 2 s, as discovery does while nothing changes.
 func sendHeartbeats(w http.ResponseWriter, r *http.Request) {
 	for {
 		w.(http.Flusher).Flush()
@@ -95,12 +96,13 @@
 	}
 }
 
-// Gateways that start together ask a discovery that can't answer them all at once: within seconds each has its watch,
-// and all together have asked little more often than once each. A single gateway is served at once.
+// Gateways that start together call a discovery that cannot answer them all at once. All get their watch within the
+// stated time and number of calls, and a single gateway gets it at once. This guards against retries that overload
+// discovery.
 func TestFleetDoesNotStormDiscovery(t *testing.T) {
 	for _, size := range []struct {
 		gateways    int
-		serviceTime time.Duration // of discovery's work for a call
+		serviceTime time.Duration // that discovery takes for a call
 		within      time.Duration
 		mostCalls   int64
 		hasList     bool
@@ -108,8 +110,8 @@
 	}{
 		{1, time.Second / 16, 200 * time.Millisecond, 1, false, 0},
 		{4, time.Second / 16, 2 * time.Second, 4, true, 10 * time.Second},
-		{80, time.Second / 16, 20 * time.Second, 240, true, 0},  // all have a list and wait for their turn
-		{80, time.Second / 16, 20 * time.Second, 240, false, 0}, // none has one: all ask at once
+		{80, time.Second / 16, 20 * time.Second, 240, true, 0},  // all hold a list and delay their first call
+		{80, time.Second / 16, 20 * time.Second, 240, false, 0}, // none holds a list: all call at once
 		{80, time.Second / 16, 20 * time.Second, 240, true, 10 * time.Second},
 		{200, time.Second / 16, 60 * time.Second, 800, true, 10 * time.Second},
 	} {
@@ -126,7 +128,7 @@
 						Publish: func(core.Table) {}, Log: slog.New(slog.DiscardHandler), Dial: listener.dial}
 					ended.Go(func() { d.Run(ctx) })
 				}
-				time.Sleep(size.within) // of the bubble's time
+				time.Sleep(size.within) // virtual time
 				synctest.Wait()
 				if n := registry.open.Load(); n != int64(size.gateways) {
 					t.Errorf("%d of %d have their watch after %v and %d calls", n, size.gateways, size.within, registry.calls.Load())
@@ -142,12 +144,12 @@
 	}
 }
 
-// fallsSilent is a discovery whose open watches say nothing from some moment on, and whose next ones may be silent
-// from the start. It has a change to tell to those that come later.
+// silentAfterFirstList is a discovery whose first watches send a list and then nothing. The next silentCalls watches
+// send nothing at all, and later ones receive a change.
 type silentAfterFirstList struct {
 	mu          sync.Mutex
 	calls       int
-	silentCalls int // so many calls more say nothing at all
+	silentCalls int // number of further calls that receive no data
 	gateways    int
 }
 
@@ -168,9 +170,9 @@
 	<-r.Context().Done()
 }
 
-// All open watches fall silent at once, behind their first list, and a drain begins. It counts as told 6 s later,
-// arrived or not; each gateway has learnt of it by then from a new watch, be there few of them or hundreds, pushed or
-// asked for, and where calls are answered by an agent of its own also when the first new watch is silent from the start.
+// All open watches fall silent at once after their first list, and a drain begins. The gateways are assumed to know of
+// the drain 6 s later, so each must have learned of it from a new watch by then, whether they are few or hundreds, and
+// with an agent each or one discovery for all. With an agent each, this holds even if the first new watch is silent.
 func TestSilentWatchesAreReplacedBeforeItCounts(t *testing.T) {
 	for _, size := range []struct {
 		name               string
@@ -191,19 +193,19 @@
 				go server.Serve(listener)
 				ctx, cancel := context.WithCancel(t.Context())
 				var ended sync.WaitGroup
-				told := make(chan core.Table, 2*size.gateways)
+				published := make(chan core.Table, 2*size.gateways)
 				for range size.gateways {
 					d := &routetable.Discovery{Address: "registry:80", Gateways: size.sharedBy, AskEvery: size.askEvery,
-						Publish: func(t core.Table) { told <- t }, Log: slog.New(slog.DiscardHandler), Dial: listener.dial}
+						Publish: func(t core.Table) { published <- t }, Log: slog.New(slog.DiscardHandler), Dial: listener.dial}
 					ended.Go(func() { d.Run(ctx) })
 				}
-				for range size.gateways { // they fall silent as they have spoken
-					<-told
+				for range size.gateways { // each watch falls silent after its first list
+					<-published
 				}
-				time.Sleep(6 * time.Second) // of the bubble's time
+				time.Sleep(6 * time.Second) // virtual time
 				synctest.Wait()
-				if len(told) != size.gateways {
-					t.Errorf("%d of %d have learnt of the drain", len(told), size.gateways)
+				if len(published) != size.gateways {
+					t.Errorf("%d of %d have learned of the drain", len(published), size.gateways)
 				}
 				cancel()
 				ended.Wait()
--- a/internal/routetable/reachable_test.go
+++ b/internal/routetable/reachable_test.go
@@ -19,14 +19,14 @@
 	"junctionring/internal/routetable"
 )
 
-// outage is a discovery that cannot be reached until some moment, and from then on tells each gateway of a drain at
-// once, whatever version it asks from.
+// outage is a discovery that is unavailable until reachableAt, and from then on answers each call with a list in which
+// the target drains, whatever version the call asks from.
 type outage struct {
 	listener      *pipeListener
 	reachableAt   time.Time
-	respondBefore http.HandlerFunc // of calls that begin before back; nil: connections are refused
-	dialHangs     bool             // connections that begin before back never come up
-	pendingDials  atomic.Int64     // connections that are not up
+	respondBefore http.HandlerFunc // answers calls that begin before reachableAt; nil: connections are refused
+	dialHangs     bool             // connections dialed before reachableAt are never established
+	pendingDials  atomic.Int64     // connections that are not established yet
 }
 
 func (o *outage) dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -52,15 +52,15 @@
 	sendHeartbeats(w, r)
 }
 
-// silence takes a call and says nothing until the caller gives it up.
+// noResponse accepts a call and sends nothing until the caller cancels it.
 func noResponse(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// hangsUp takes a call and ends it with no answer.
+// abortResponse accepts a call and closes the connection without a response.
 func abortResponse(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func respond503(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 
-// tellsUntil brings a list and empty lines, and at some moment goes on in another way.
+// watchUntil sends a list and heartbeats until end, and then continues with another handler.
 func watchUntil(end time.Time, then http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, listLine(42, true, "s-1", "SERVING"))
@@ -82,47 +82,47 @@
 
 func endCleanly(http.ResponseWriter, *http.Request) {}
 
-// Whatever becomes of the calls before, each gateway learns of a drain within 6 s of the moment in which discovery has
-// it and can be reached: with an agent each, and where they ask one discovery together.
+// However earlier calls fail, each gateway learns of a drain within 6 s of the moment in which discovery is reachable and
+// has it, both with an agent each and with one discovery for all.
 func TestChangesAreLearnedWithin6sOfDiscoverysReturn(t *testing.T) {
 	const limit = 6 * time.Second
 	for _, c := range []struct {
 		name           string
-		reachableAfter time.Duration // from the start
-		down           func(back time.Time) http.HandlerFunc
+		reachableAfter time.Duration // since the start of the test
+		respondBefore  func(reachableAt time.Time) http.HandlerFunc
 		dialHangs      bool
-		gateways       []int // that ask one discovery; 0: each of 30 has an agent of its own
+		gateways       []int // gateways that share one discovery; 0: 30 gateways with an agent each
 	}{
 		{name: "refused", reachableAfter: 8 * time.Second, gateways: []int{0, 3, 30, 300}},
 		{name: "refused for long", reachableAfter: 61 * time.Second, gateways: []int{0, 3, 30, 300}},
 		{name: "never come up", reachableAfter: 8 * time.Second, dialHangs: true, gateways: []int{0, 3, 30, 300}},
-		{name: "given up", reachableAfter: 8 * time.Second, down: func(time.Time) http.HandlerFunc { return noResponse }, gateways: []int{0, 3, 30, 300}},
-		{name: "given up for long", reachableAfter: 47 * time.Second, down: func(time.Time) http.HandlerFunc { return noResponse }, gateways: []int{0, 3, 30, 300}},
-		{name: "reset", reachableAfter: 23 * time.Second, down: func(time.Time) http.HandlerFunc { return abortResponse }, gateways: []int{0, 3, 30, 300}},
-		{name: "failed with 503", reachableAfter: 33 * time.Second, down: func(time.Time) http.HandlerFunc { return respond503 }, gateways: []int{0, 3, 30, 50}},
+		{name: "given up", reachableAfter: 8 * time.Second, respondBefore: func(time.Time) http.HandlerFunc { return noResponse }, gateways: []int{0, 3, 30, 300}},
+		{name: "given up for long", reachableAfter: 47 * time.Second, respondBefore: func(time.Time) http.HandlerFunc { return noResponse }, gateways: []int{0, 3, 30, 300}},
+		{name: "reset", reachableAfter: 23 * time.Second, respondBefore: func(time.Time) http.HandlerFunc { return abortResponse }, gateways: []int{0, 3, 30, 300}},
+		{name: "failed with 503", reachableAfter: 33 * time.Second, respondBefore: func(time.Time) http.HandlerFunc { return respond503 }, gateways: []int{0, 3, 30, 50}},
 		{name: "watches end in place of telling", reachableAfter: 9 * time.Second, gateways: []int{0, 3, 30, 300},
-			down: func(back time.Time) http.HandlerFunc { return watchUntil(back, endCleanly) }},
+			respondBefore: func(reachableAt time.Time) http.HandlerFunc { return watchUntil(reachableAt, endCleanly) }},
 		{name: "watches are reset in place of telling", reachableAfter: 9 * time.Second, gateways: []int{0, 3, 30, 300},
-			down: func(back time.Time) http.HandlerFunc { return watchUntil(back, abortResponse) }},
+			respondBefore: func(reachableAt time.Time) http.HandlerFunc { return watchUntil(reachableAt, abortResponse) }},
 		{name: "watches fall silent after 13 s", reachableAfter: 13 * time.Second, gateways: []int{0, 3, 30, 300},
-			down: func(back time.Time) http.HandlerFunc { return watchUntil(back, noResponse) }},
+			respondBefore: func(reachableAt time.Time) http.HandlerFunc { return watchUntil(reachableAt, noResponse) }},
 	} {
-		for _, asking := range c.gateways {
-			t.Run(fmt.Sprintf("%s, %d ask together", c.name, asking), func(t *testing.T) {
+		for _, sharedBy := range c.gateways {
+			t.Run(fmt.Sprintf("%s, %d ask together", c.name, sharedBy), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					o := &outage{listener: &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})},
 						reachableAt: time.Now().Add(c.reachableAfter), dialHangs: c.dialHangs}
-					if c.down != nil {
-						o.respondBefore = c.down(o.reachableAt)
+					if c.respondBefore != nil {
+						o.respondBefore = c.respondBefore(o.reachableAt)
 					}
-					size := asking
+					size := sharedBy
 					if size == 0 {
 						size = 30
 					}
-					late := measureLearning(t, o, size, asking)
-					t.Logf("%d of %d learned, the last one %v after discovery could be reached", late.count, size, late.last)
-					if late.count != size || late.last > limit {
-						t.Errorf("%d of %d learned, the last one after %v, want all within %v", late.count, size, late.last, limit)
+					result := measureLearning(t, o, size, sharedBy)
+					t.Logf("%d of %d learned, the last one %v after discovery could be reached", result.count, size, result.last)
+					if result.count != size || result.last > limit {
+						t.Errorf("%d of %d learned, the last one after %v, want all within %v", result.count, size, result.last, limit)
 					}
 				})
 			})
@@ -135,8 +135,9 @@
 	last  time.Duration
 }
 
-// learns runs gateways before a discovery until 20 s after its return, and tells when they learned of the drain.
-func measureLearning(t *testing.T, o *outage, gateways, askingTogether int) learnResult {
+// measureLearning runs gateways until 20 s after the discovery becomes reachable, and returns how many of them learned of
+// the drain and when the last one did.
+func measureLearning(t *testing.T, o *outage, gateways, sharedBy int) learnResult {
 	server := &http.Server{Handler: o}
 	go server.Serve(o.listener)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -145,7 +146,7 @@
 	var l learnResult
 	for range gateways {
 		learned := false
-		d := &routetable.Discovery{Address: "registry:80", Gateways: askingTogether, HasList: true, From: 41,
+		d := &routetable.Discovery{Address: "registry:80", Gateways: sharedBy, HasList: true, From: 41,
 			Log: slog.New(slog.DiscardHandler), Dial: o.dial, Publish: func(table core.Table) {
 				if learned || table.Targets[0].State != control.Draining {
 					return
@@ -156,25 +157,25 @@
 				l.count++
 				l.last = max(l.last, time.Since(o.reachableAt))
 			}}
-		if askingTogether > 0 {
+		if sharedBy > 0 {
 			d.AskEvery = 10 * time.Second
 		}
 		ended.Go(func() { d.Run(ctx) })
 	}
-	time.Sleep(time.Until(o.reachableAt) + 20*time.Second) // of the bubble's time
+	time.Sleep(time.Until(o.reachableAt) + 20*time.Second) // virtual time
 	cancel()
 	ended.Wait()
 	if n := o.pendingDials.Load(); n > int64(gateways) {
 		t.Errorf("%d connections of %d gateways are still being opened", n, gateways)
 	}
-	time.Sleep(5 * time.Second) // dials outlive the calls that they were for
+	time.Sleep(5 * time.Second) // http.Transport goes on dialing after the call has ended
 	server.Close()
 	o.listener.Close()
 	return l
 }
 
-// A gateway that is sent to another discovery while servers drain learns of the drain within 4 s, also where the first
-// call there gets no answer, and while the old one stays open.
+// A gateway that is moved to another discovery learns of a drain there within 4 s, even if the first call there gets no
+// answer, and while the old discovery keeps its watch open.
 func TestMoveLearnsWithin4s(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -228,22 +229,23 @@
 	}
 }
 
-// checkFleetLearns has gateways ask one discovery together that fails their calls for 33 s, and checks that each of
-// them learns of a drain within 6 s of its return.
-func checkFleetLearns(t *testing.T, gateways int, down http.HandlerFunc) {
+// checkFleetLearns runs gateways against one discovery that fails all calls for 33 s, and checks that each gateway learns
+// of a drain within 6 s of the discovery's return.
+func checkFleetLearns(t *testing.T, gateways int, respondBefore http.HandlerFunc) {
 	t.Helper()
 	const limit = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		o := &outage{listener: &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})},
-			reachableAt: time.Now().Add(33 * time.Second), respondBefore: down}
-		late := measureLearning(t, o, gateways, gateways)
-		if late.count != gateways || late.last > limit {
-			t.Errorf("%d of %d learned, the last one after %v, want all within %v", late.count, gateways, late.last, limit)
+			reachableAt: time.Now().Add(33 * time.Second), respondBefore: respondBefore}
+		result := measureLearning(t, o, gateways, gateways)
+		if result.count != gateways || result.last > limit {
+			t.Errorf("%d of %d learned, the last one after %v, want all within %v", result.count, gateways, result.last, limit)
 		}
 	})
 }
 
-// Guards against a large fleet that learns of drains up to 20 s after the return of a discovery that answered 5xx at once.
+// Guards against a large fleet that learns of a drain as late as 20 s after the return of a discovery that answered 5xx
+// at once.
 func TestLargeFleetsLearnWithin6sOfDiscoverysReturn(t *testing.T) {
 	for _, gateways := range []int{60, 300, 900} {
 		t.Run(fmt.Sprintf("%d ask together", gateways), func(t *testing.T) {
@@ -252,13 +254,14 @@
 	}
 }
 
-// slowlyTurnsAway is a discovery whose calls wait for their turn and fail then.
+// respond503Late answers 503 after 1 s, as a discovery does whose calls fail after waiting in a queue.
 func respond503Late(w http.ResponseWriter, _ *http.Request) {
-	time.Sleep(time.Second) // of the bubble's time
+	time.Sleep(time.Second) // virtual time
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Guards against a large fleet that learns of drains late after the return of a discovery whose calls waited and failed.
+// Guards against a large fleet that learns of a drain more than 6 s after the return of a discovery whose calls failed
+// after waiting in a queue.
 func TestLargeFleetsLearnWithin6sOfACrowdedDiscoverysReturn(t *testing.T) {
 	checkFleetLearns(t, 300, respond503Late)
 }
--- a/internal/routetable/restart_test.go
+++ b/internal/routetable/restart_test.go
@@ -27,13 +27,13 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%t,"instances":[%s]}`+"\n", generation, whole, strings.Join(entries, ","))
 }
 
-// said is what an agent brings on a watch, so long after it was opened.
+// scheduled is text that an agent sends on a watch, with its delay since the watch was opened.
 type scheduled struct {
 	after time.Duration
 	text  string
 }
 
-// brings writes what is said, each at its time, and empty lines in between.
+// sendScheduled sends each text at its time, and heartbeats in between.
 func sendScheduled(w http.ResponseWriter, r *http.Request, all []scheduled) {
 	began := time.Now()
 	for {
@@ -55,9 +55,9 @@
 	}
 }
 
-// An agent that has restarted brings a whole list of a lower generation. Where discovery numbers its lists anew, what
-// drained under the old numbers is in use again once nothing has caught up with them for 30 s, on the new numbers' word;
-// an agent that is merely behind never undoes the drain, and what is told after it has caught up counts at once.
+// An agent that has restarted sends a snapshot of a lower generation. If discovery has restarted its numbering, endpoints
+// drained under the old numbering become ready again, as the new lists say, once no list has reached the old generation
+// for 30 s. An agent that is merely behind never undoes a drain, and its changes after catching up apply at once.
 func TestRestartedNumberingIsToldFromAnOlderList(t *testing.T) {
 	before := endpointList(41, true, endpoint("a", "SERVING"), endpoint("b", "SERVING"), endpoint("c", "SERVING")) +
 		endpointList(43, false, endpoint("a", "DRAINING"), endpoint("b", "DELETED"))
@@ -65,7 +65,7 @@
 	for _, c := range []struct {
 		name  string
 		after []scheduled
-		want  map[string][]string // by endpoint: the states that are told on the second watch, when they change
+		want  map[string][]string // by endpoint: the state changes published on the second watch, with their times
 	}{
 		{"numbered anew, both in use again",
 			[]scheduled{{0, endpointList(2, true, endpoint(a, "SERVING"), endpoint(b, "SERVING"), endpoint("c", "SERVING"))}},
@@ -99,7 +99,7 @@
 				got := statesOnSecondWatch(t, before, c.after)
 				for id, want := range c.want {
 					if !slices.Equal(got[id], want) {
-						t.Errorf("%s: told %q, want %q", id, got[id], want)
+						t.Errorf("%s: published %q, want %q", id, got[id], want)
 					}
 				}
 			})
@@ -107,7 +107,8 @@
 	}
 }
 
-// statesOnSecondWatch follows an agent that says one thing, resets its watch and then says another for a minute.
+// statesOnSecondWatch watches an agent that sends before, resets the connection, and sends after on the second watch. It
+// returns the state changes of each endpoint within a minute.
 func statesOnSecondWatch(t *testing.T, before string, after []scheduled) map[string][]string {
 	listener := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 	calls := 0
@@ -139,7 +140,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var ended sync.WaitGroup
 	ended.Go(func() { d.Run(ctx) })
-	time.Sleep(time.Minute) // of the bubble's time
+	time.Sleep(time.Minute) // virtual time
 	cancel()
 	ended.Wait()
 	server.Close()
