--- a/internal/forwardauth/forwardauth.go
+++ b/internal/forwardauth/forwardauth.go
@@ -1,6 +1,6 @@
-// Package forwardauth is the front for forward authentication over HTTP, after Traefik's ForwardAuth and
-// nginx's auth_request. It asks a checker before an exchange enters the core, and is asked for verdicts by
-// proxies, on the same core and quota as all else.
+// Package forwardauth is the HTTP front for forward authentication in the manner of Traefik's ForwardAuth and nginx's
+// auth_request: it asks a checker before an exchange enters the core, and gives proxies verdicts on requests, on the
+// core and quota that forwarded requests use too. It does not authenticate clients itself.
 package forwardauth
 
 import (
@@ -26,64 +26,65 @@
 	"junctionring/internal/front"
 )
 
-// forwarded are the headers that only trusted proxies are believed.
-var forwarded = []string{"X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "X-Forwarded-Method",
+// trustedHeaders are the headers that are accepted only from trusted proxies.
+var trustedHeaders = []string{"X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "X-Forwarded-Method",
 	"X-Forwarded-Uri", "X-Original-Uri", "X-Original-Method", "Forwarded", "X-Real-Ip"}
 
-// hopByHop are the headers that end at this gateway.
+// hopByHop are the headers that end at this gateway and are not passed on in either direction.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"}
 
-// Front is the handler of the front. Each request is decided under the one view that it came in under.
+// Front is the front's HTTP handler. Each request is handled entirely under the view that was current on its arrival.
 type Front struct {
 	core  *core.Core
 	proxy *httputil.ReverseProxy
-	keys  keys
+	keys  keyGuard
 	log   *slog.Logger
 
-	mu   sync.Mutex
-	view *View
-	past []*View // replaced, and still used by requests
+	mu       sync.Mutex
+	view     *View
+	replaced []*View // views that requests still use
 }
 
-// New makes the front of an operator's file.
+// New returns a front with the configuration of an operator's file.
 func New(o *config.Operator, c *core.Core, log *slog.Logger) (*Front, error) {
 	f := &Front{
-		core: c, log: log, keys: keys{known: map[string]*keyState{}},
+		core: c, log: log, keys: keyGuard{states: map[string]*keyState{}},
 		proxy: front.Proxy(&egress.RoundTripper{Core: c, RetryAfter: egress.WholeSeconds}, log),
 	}
 	var err error
-	f.view, err = f.NewView(o, places(len(o.Classes)), places(len(o.Plans)))
+	f.view, err = f.NewView(o, sequence(len(o.Classes)), sequence(len(o.Plans)))
 	return f, err
 }
 
-func places(n int) (all []int) {
+// sequence returns the numbers 0 to n-1.
+func sequence(n int) (all []int) {
 	for i := range n {
 		all = append(all, i)
 	}
 	return all
 }
 
-// visit is one request's stay, with the view that it is decided under.
-type visit struct {
+// requestHandler handles one request under one view.
+type requestHandler struct {
 	*Front
 	*View
 }
 
 // ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	v := f.enterView()
-	defer f.leaveView(v)
-	visit{f, v}.serve(w, r)
+	v := f.acquireView()
+	defer f.releaseView(v)
+	requestHandler{f, v}.serve(w, r)
 }
 
-func (f visit) serve(w http.ResponseWriter, r *http.Request) {
+func (f requestHandler) serve(w http.ResponseWriter, r *http.Request) {
 	received := time.Now()
 	if front.Chunked(r) {
 		w.Header().Set("Connection", "close")
 	}
 	if f.o.Asked.Path != "" && r.URL.Path == f.o.Asked.Path {
-		f.asked(w, r, received)
+		f.serveVerdict(w, r, received)
 		return
 	}
 	x, err := f.decode(r, received)
@@ -98,23 +99,23 @@
 	}
 	front.StartDeadline(&x, received, rest)
 	trusted := f.trusted(r)
-	origin := f.origin(r, trusted)
-	// What is checked is what is sent on: no header may say that it is something else.
+	origin := f.forwardedValues(r, trusted)
+	// The forwarded request is the one that was checked: no header may describe another one.
 	origin["X-Forwarded-Method"], origin["X-Forwarded-Uri"] = r.Method, r.RequestURI
 	ctx, cancel := context.WithDeadline(r.Context(), x.Deadline)
 	identity, refusal := f.identify(ctx, r.Header, origin, trusted)
 	cancel()
 	if refusal == nil {
-		refusal = f.enter(&x, identity)
+		refusal = f.assignSender(&x, identity)
 	}
 	if r.Context().Err() != nil {
-		panic(http.ErrAbortHandler) // the client left while it was checked: nothing is sent for it
+		panic(http.ErrAbortHandler) // the client disconnected during the check: nothing is sent
 	}
 	if refusal != nil {
 		refusal.write(w)
 		return
 	}
-	f.strip(r.Header)
+	f.stripTrustedHeaders(r.Header)
 	for name, values := range identity {
 		r.Header[name] = values
 	}
@@ -122,13 +123,13 @@
 		r.Header.Set(name, value)
 	}
 	if r.Header.Get("X-Request-ID") == "" {
-		r.Header.Set("X-Request-ID", freshID())
+		r.Header.Set("X-Request-ID", newRequestID())
 	}
-	f.carry(w, r, x, body, rest)
+	f.forward(w, r, x, body, rest)
 }
 
-// carry has an exchange carried out, a keyed one under the guard of its key.
-func (f visit) carry(w http.ResponseWriter, r *http.Request, x core.Exchange, body []byte, rest *front.Body) {
+// forward passes an exchange to the core. The key of a keyed one is guarded against running twice.
+func (f requestHandler) forward(w http.ResponseWriter, r *http.Request, x core.Exchange, body []byte, rest *front.Body) {
 	class, name := f.o.Module.Classes[x.Class], f.names.Classes[x.Class]
 	x.Class = f.classes[x.Class]
 	if class.Repeat != control.Keyed {
@@ -136,16 +137,16 @@
 		return
 	}
 	id := name + "\x00" + r.Header.Get(f.o.Identity.Account) + "\x00" + r.Header.Get("Idempotency-Key")
-	v, by, reply, ranAt := f.keys.begin(id, time.Now(), time.Duration(class.Window*float64(time.Second)))
-	switch v {
-	case running, spent:
+	status, windowEnd, reply, ranAt := f.keys.begin(id, time.Now(), time.Duration(class.Window*float64(time.Second)))
+	switch status {
+	case keyInFlight, keyExpired:
 		(&refusal{status: http.StatusConflict, retryAfter: time.Second,
 			text: "this Idempotency-Key is in use, or how it ended is in doubt"}).write(w)
 		return
-	case crowded:
+	case keyGuardFull:
 		(&refusal{status: http.StatusServiceUnavailable, retryAfter: time.Second}).write(w)
 		return
-	case served:
+	case keyReplay:
 		for name, values := range reply.Header {
 			if !slices.Contains(hopByHop, name) {
 				w.Header()[name] = values
@@ -155,24 +156,24 @@
 		w.Write(reply.Body)
 		return
 	}
-	if by.Before(x.Deadline) {
-		x.Deadline = by // later targets no longer drop a repeat
+	if windowEnd.Before(x.Deadline) {
+		x.Deadline = windowEnd // after this, targets no longer drop a repeat
 	}
-	if v == repeat && class.Group != control.GroupAll { // at another site it would run a second time
+	if status == keyRepeat && class.Group != control.GroupAll { // another site would run it a second time
 		x.Pinned, x.PinnedSite = true, ranAt
 	}
-	end := core.Answer{Kind: core.ClientGone} // unless the core is reached: nothing can have run
-	defer func() { f.keys.end(id, time.Now(), end, v == repeat) }()
-	front.Forward(f.proxy, w, r, &x, body, rest, func(a core.Answer) { end = a })
+	outcome := core.Answer{Kind: core.ClientGone} // stands if the core is not reached: nothing can have run
+	defer func() { f.keys.end(id, time.Now(), outcome, status == keyRepeat) }()
+	front.Forward(f.proxy, w, r, &x, body, rest, func(a core.Answer) { outcome = a })
 }
 
-// asked answers a proxy that asks whether a request may pass. It is the proxy that sends the request on.
-func (f visit) asked(w http.ResponseWriter, r *http.Request, received time.Time) {
+// serveVerdict answers a proxy that asks whether a request may pass. The proxy forwards the request itself.
+func (f requestHandler) serveVerdict(w http.ResponseWriter, r *http.Request, received time.Time) {
 	if !f.trusted(r) {
 		(&refusal{status: http.StatusForbidden, text: "only configured proxies may ask"}).write(w)
 		return
 	}
-	origin := f.origin(r, true)
+	origin := f.forwardedValues(r, true)
 	u, err := url.ParseRequestURI(origin["X-Forwarded-Uri"])
 	if err != nil {
 		front.Reject(w, r, &front.RequestError{Status: http.StatusBadRequest, Text: "X-Forwarded-Uri is missing or no path"})
@@ -186,12 +187,12 @@
 	x.DecisionOnly = true
 	ctx, cancel := context.WithDeadline(r.Context(), x.Deadline)
 	defer cancel()
-	identity, no := f.identify(ctx, r.Header, origin, true)
-	if no == nil {
-		no = f.enter(&x, identity)
+	identity, refused := f.identify(ctx, r.Header, origin, true)
+	if refused == nil {
+		refused = f.assignSender(&x, identity)
 	}
-	if no != nil {
-		no.write(w)
+	if refused != nil {
+		refused.write(w)
 		return
 	}
 	x.Class = f.classes[x.Class]
@@ -208,18 +209,18 @@
 	}
 }
 
-// decode reads a message but for who sent it: that is for the checker to say.
-func (f visit) decode(r *http.Request, received time.Time) (x core.Exchange, err error) {
+// decode reads everything from a request except its sender, which the checker determines.
+func (f requestHandler) decode(r *http.Request, received time.Time) (x core.Exchange, err error) {
 	if x.Class, err = f.names.Class(r); err != nil {
 		return x, err
 	}
 	x.Deadline = received.Add(f.o.Classes[x.Class].Deadline.Duration - front.Margin)
 	if text := r.Header.Get("X-Timeout"); text != "" {
-		wait, err := front.ParseTimeout(text)
+		timeout, err := front.ParseTimeout(text)
 		if err != nil {
 			return x, err
 		}
-		if by := received.Add(wait - front.Margin); by.Before(x.Deadline) {
+		if by := received.Add(timeout - front.Margin); by.Before(x.Deadline) {
 			x.Deadline = by
 		}
 	}
@@ -230,69 +231,70 @@
 	return x, err
 }
 
-// enter fills in who sent an exchange.
-func (f visit) enter(x *core.Exchange, identity http.Header) *refusal {
+// assignSender sets an exchange's customer and plan from identity.
+func (f requestHandler) assignSender(x *core.Exchange, identity http.Header) *refusal {
 	account, plan := identity.Get(f.o.Identity.Account), identity.Get(f.o.Identity.Plan)
-	place := slices.Index(f.names.Plans, plan)
+	index := slices.Index(f.names.Plans, plan)
 	switch {
-	case account != "" && place >= 0:
-		x.Plan = f.plans[place]
+	case account != "" && index >= 0:
+		x.Plan = f.plans[index]
 		h := fnv.New64a()
 		h.Write([]byte(account))
 		x.Customer = h.Sum64()
 		return nil
-	case f.checker != nil: // it let the client in, but does not say as whom
-		f.log.Error("the checker named no account, or no known plan", "plan", plan)
-		return f.closed()
+	case f.checker != nil: // the checker allowed the client without a usable identity
+		f.log.Error("checker's answer has no account or no known plan", "plan", plan)
+		return f.checkFailed()
 	case account == "":
 		return &refusal{status: http.StatusUnauthorized, text: "nobody vouches for this client"}
 	}
 	return &refusal{status: http.StatusForbidden, text: "no such plan"}
 }
 
-// trusted tells whether the peer is a configured proxy.
-func (f visit) trusted(r *http.Request) bool {
+// trusted reports whether the peer is a configured proxy.
+func (f requestHandler) trusted(r *http.Request) bool {
 	peer, err := netip.ParseAddrPort(r.RemoteAddr)
 	return err == nil && slices.ContainsFunc(f.o.TrustedProxies, func(p netip.Prefix) bool {
 		return p.Contains(peer.Addr().Unmap())
 	})
 }
 
-// origin is what the forwarded headers are to say: what a trusted proxy says, else what is seen here.
-func (f visit) origin(r *http.Request, trusted bool) map[string]string {
+// forwardedValues returns the values of the forwarded headers: those from a trusted proxy, or else those of the request
+// as received.
+func (f requestHandler) forwardedValues(r *http.Request, trusted bool) map[string]string {
 	peer, _, _ := net.SplitHostPort(r.RemoteAddr)
-	o := map[string]string{
+	values := map[string]string{
 		"X-Forwarded-Method": r.Method, "X-Forwarded-Proto": "http", "X-Forwarded-Host": r.Host,
 		"X-Forwarded-Uri": r.RequestURI, "X-Forwarded-For": peer,
 	}
 	if !trusted {
-		return o
+		return values
 	}
-	for _, said := range [][2]string{
+	for _, source := range [][2]string{
 		{"X-Forwarded-Method", "X-Original-Method"}, {"X-Forwarded-Method", "X-Forwarded-Method"},
 		{"X-Forwarded-Uri", "X-Original-Uri"}, {"X-Forwarded-Uri", "X-Forwarded-Uri"},
 		{"X-Forwarded-Proto", "X-Forwarded-Proto"}, {"X-Forwarded-Host", "X-Forwarded-Host"},
 	} {
-		if v := r.Header.Get(said[1]); v != "" {
-			o[said[0]] = v
+		if v := r.Header.Get(source[1]); v != "" {
+			values[source[0]] = v
 		}
 	}
-	if before := strings.Join(r.Header.Values("X-Forwarded-For"), ", "); before != "" {
-		o["X-Forwarded-For"] = before + ", " + peer
+	if previous := strings.Join(r.Header.Values("X-Forwarded-For"), ", "); previous != "" {
+		values["X-Forwarded-For"] = previous + ", " + peer
 	}
-	return o
+	return values
 }
 
-// strip removes what a client may not say of itself.
-func (f visit) strip(h http.Header) {
-	for _, list := range [][]string{forwarded, f.o.Checker.ResponseHeaders, {f.o.Identity.Account, f.o.Identity.Plan}} {
+// stripTrustedHeaders removes the headers that a client may not set.
+func (f requestHandler) stripTrustedHeaders(h http.Header) {
+	for _, list := range [][]string{trustedHeaders, f.o.Checker.ResponseHeaders, {f.o.Identity.Account, f.o.Identity.Plan}} {
 		for _, name := range list {
 			h.Del(name)
 		}
 	}
 }
 
-func freshID() string {
+func newRequestID() string {
 	var b [8]byte
 	rand.Read(b[:]) // does not fail
 	return hex.EncodeToString(b[:])
--- a/internal/forwardauth/forwardauth_test.go
+++ b/internal/forwardauth/forwardauth_test.go
@@ -25,19 +25,19 @@
 	"junctionring/internal/standin"
 )
 
-// tables is a stand-in table server that counts how often each move key ran. It drops no repeats itself.
-type tables struct {
+// tableServer is a stand-in table server that counts how often each key ran. It does not drop repeats itself.
+type tableServer struct {
 	*httptest.Server
 	mu   sync.Mutex
 	runs map[string]int
 	seen []http.Header
-	hold chan struct{} // not nil: an answer waits for it
+	hold chan struct{} // if not nil, answers wait until it is closed
 }
 
-func newTables(t *testing.T) *tables {
-	s := &tables{runs: map[string]int{}}
+func newTableServer(t *testing.T) *tableServer {
+	s := &tableServer{runs: map[string]int{}}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(r.Body) // a request begins once its last byte has arrived
+		body, err := io.ReadAll(r.Body) // a request runs only once its last byte has arrived
 		if err != nil {
 			return
 		}
@@ -55,32 +55,32 @@
 	return s
 }
 
-func (s *tables) total() (n int) {
+func (s *tableServer) total() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.seen)
 }
 
-func (s *tables) ran(key string) int {
+func (s *tableServer) runCount(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-// checker is a stand-in checker whose answers a test scripts.
+// checker is a stand-in checker whose answers are defined by each test.
 type checker struct {
 	*httptest.Server
-	asked chan http.Header
-	gone  chan struct{} // one for each question that the gateway gave up
+	requests  chan http.Header
+	abandoned chan struct{} // receives one value for each check that the gateway canceled
 }
 
 func newChecker(t *testing.T, answer func(w http.ResponseWriter, r *http.Request)) *checker {
-	c := &checker{asked: make(chan http.Header, 256), gone: make(chan struct{}, 256)}
+	c := &checker{requests: make(chan http.Header, 256), abandoned: make(chan struct{}, 256)}
 	c.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c.asked <- r.Header.Clone()
+		c.requests <- r.Header.Clone()
 		answer(w, r)
 		if r.Context().Err() != nil {
-			c.gone <- struct{}{}
+			c.abandoned <- struct{}{}
 		}
 	}))
 	t.Cleanup(c.Close)
@@ -93,8 +93,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// gateway starts the front of an operator's file that knows the given peers.
-func gateway(t *testing.T, checkURL, redis string, table *tables, more ...string) string {
+// startGateway starts a front with the given checker, store and table server, and returns its URL. more lists pairs of
+// old and new text to replace in the operator's file.
+func startGateway(t *testing.T, checkURL, redis string, table *tableServer, more ...string) string {
 	t.Helper()
 	text := `listen = "127.0.0.1:0"
 gateways = 2
@@ -148,8 +149,8 @@
 	return "http://" + l.Addr().String()
 }
 
-// ask sends one request and returns its answer with the body read.
-func ask(t *testing.T, method, url, key string, more ...string) (*http.Response, string) {
+// sendRequest sends one request and returns the response and its body.
+func sendRequest(t *testing.T, method, url, key string, more ...string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, url, bytes.NewReader([]byte("e2e4")))
 	if err != nil {
@@ -179,7 +180,7 @@
 	return resp, string(body)
 }
 
-func expect(t *testing.T, resp *http.Response, status int) {
+func expectStatus(t *testing.T, resp *http.Response, status int) {
 	t.Helper()
 	if resp.StatusCode != status {
 		t.Errorf("answered %d, want %d", resp.StatusCode, status)
@@ -189,21 +190,22 @@
 	}
 }
 
-// A checked move reaches a table with the checker's word on who plays, and not with the client's own.
+// A checked move reaches a table server with the identity that the checker determined, not with the one that the client
+// claims.
 func TestCheckedMoveIsServed(t *testing.T) {
-	table, store := newTables(t), newStore(t)
+	table, store := newTableServer(t), newStore(t)
 	check := newChecker(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Seat", "north")
 		allow(w, r)
 	})
-	url := gateway(t, check.URL+"/v?x=1", store.Addr(), table)
-	resp, body := ask(t, "POST", url+"/move-submit/7?turn=3", "k1",
+	url := startGateway(t, check.URL+"/v?x=1", store.Addr(), table)
+	resp, body := sendRequest(t, "POST", url+"/move-submit/7?turn=3", "k1",
 		"X-Auth-Account", "mallory", "X-Seat", "south", "X-Forwarded-Host", "club.example", "X-Forwarded-Uri", "/table-view/1", "Authorization", "Bearer b")
-	expect(t, resp, http.StatusOK)
+	expectStatus(t, resp, http.StatusOK)
 	if body != "e2e4" {
 		t.Errorf("body %q", body)
 	}
-	q := <-check.asked
+	q := <-check.requests
 	for name, want := range map[string]string{
 		"X-Forwarded-Method": "POST", "X-Forwarded-Uri": "/move-submit/7?turn=3", "X-Forwarded-Host": "club.example",
 		"X-Forwarded-Proto": "http", "X-Forwarded-For": "127.0.0.1", "Authorization": "Bearer b", "X-Auth-Account": "",
@@ -218,7 +220,7 @@
 	}
 }
 
-// Whatever becomes of the check, there is one answer, at once, and without a 2xx nothing runs.
+// However the check fails, the client gets one prompt response, and without a 2xx from the checker nothing runs.
 func TestNoVerdictFailsClosed(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -247,12 +249,12 @@
 			case <-release:
 			case <-r.Context().Done():
 			}
-			allow(w, r) // too late to count
+			allow(w, r) // after the check's timeout
 		}, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			table, store, check := newTables(t), newStore(t), newChecker(t, c.answer)
-			url := gateway(t, check.URL, store.Addr(), table)
+			table, store, check := newTableServer(t), newStore(t), newChecker(t, c.answer)
+			url := startGateway(t, check.URL, store.Addr(), table)
 			noFollow := http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 			r, _ := http.NewRequest("POST", url+"/move-submit/7", strings.NewReader("e2e4"))
 			r.Header.Set("Idempotency-Key", "k")
@@ -261,32 +263,32 @@
 				t.Fatal(err)
 			}
 			resp.Body.Close()
-			expect(t, resp, c.status)
+			expectStatus(t, resp, c.status)
 			if c.name == "401 goes back" && resp.Header.Get("WWW-Authenticate") != "Bearer" {
 				t.Error("the checker's headers are lost")
 			}
 			if c.name == "stall of 3 s" {
-				<-check.gone // the question was given up, not left running
+				<-check.abandoned // the gateway canceled the check
 			}
 			if n := table.total(); n != 0 {
 				t.Errorf("%d requests reached a table", n)
 			}
-			if n := len(check.asked); n != 1 {
+			if n := len(check.requests); n != 1 {
 				t.Errorf("the checker was asked %d times", n)
 			}
 		})
 	}
 	t.Run("unreachable", func(t *testing.T) {
-		table, check := newTables(t), newChecker(t, allow)
+		table, check := newTableServer(t), newChecker(t, allow)
 		check.Close()
-		resp, _ := ask(t, "GET", gateway(t, check.URL, newStore(t).Addr(), table)+"/table-view/1", "")
-		expect(t, resp, http.StatusServiceUnavailable)
+		resp, _ := sendRequest(t, "GET", startGateway(t, check.URL, newStore(t).Addr(), table)+"/table-view/1", "")
+		expectStatus(t, resp, http.StatusServiceUnavailable)
 	})
 }
 
-// A verdict that comes after the client has left sends nothing to a table.
+// If the client disconnects during the check, a verdict that arrives later sends nothing to a table server.
 func TestClientLeavesDuringCheck(t *testing.T) {
-	table, store, verdict := newTables(t), newStore(t), make(chan struct{})
+	table, store, verdict := newTableServer(t), newStore(t), make(chan struct{})
 	check := newChecker(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-verdict:
@@ -294,7 +296,7 @@
 		}
 		allow(w, r)
 	})
-	url := gateway(t, check.URL, store.Addr(), table, `timeout = "300ms"`, `timeout = "1900ms"`)
+	url := startGateway(t, check.URL, store.Addr(), table, `timeout = "300ms"`, `timeout = "1900ms"`)
 	ctx, leave := context.WithCancel(context.Background())
 	r, _ := http.NewRequestWithContext(ctx, "POST", url+"/move-submit/7", strings.NewReader("e2e4"))
 	r.Header.Set("Idempotency-Key", "k")
@@ -303,35 +305,35 @@
 		_, err := http.DefaultClient.Do(r)
 		done <- err
 	}()
-	<-check.asked
+	<-check.requests
 	leave()
 	if err := <-done; err == nil {
-		t.Fatal("the client did not leave")
+		t.Fatal("the client did not disconnect")
 	}
-	<-check.gone // the gateway noticed and gave the check up
+	<-check.abandoned // the gateway noticed the disconnect and canceled the check
 	close(verdict)
-	// The same key is free: nothing ran under it. This one's check passes, and it is the only one to run.
-	resp, _ := ask(t, "POST", url+"/move-submit/7", "k")
-	expect(t, resp, http.StatusOK)
-	if n := table.ran("k"); n != 1 {
+	// Nothing ran with the key, so it can be used again. This request passes its check and is the only one to run.
+	resp, _ := sendRequest(t, "POST", url+"/move-submit/7", "k")
+	expectStatus(t, resp, http.StatusOK)
+	if n := table.runCount("k"); n != 1 {
 		t.Errorf("the move ran %d times", n)
 	}
 }
 
-// Concurrent repeats of a key: one runs, each gets one answer, and a later repeat gets the first one's.
+// Of concurrent requests with one key, one runs and each gets one response. A later repeat gets the first response.
 func TestKeyRunsOnce(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	table.hold = make(chan struct{})
-	url := gateway(t, check.URL, store.Addr(), table)
+	url := startGateway(t, check.URL, store.Addr(), table)
 	const repeats = 8
 	statuses := make(chan int, repeats)
 	for range repeats {
 		go func() {
-			resp, _ := ask(t, "POST", url+"/move-submit/7", "k")
+			resp, _ := sendRequest(t, "POST", url+"/move-submit/7", "k")
 			statuses <- resp.StatusCode
 		}()
 	}
-	for range repeats - 1 { // all but the one that runs are answered while it still does
+	for range repeats - 1 { // all but the one that runs are answered while it is running
 		if s := <-statuses; s != http.StatusConflict {
 			t.Errorf("a repeat was answered %d while the key was running", s)
 		}
@@ -340,19 +342,19 @@
 	if s := <-statuses; s != http.StatusOK {
 		t.Errorf("the first was answered %d", s)
 	}
-	resp, body := ask(t, "POST", url+"/move-submit/7", "k")
-	expect(t, resp, http.StatusOK)
+	resp, body := sendRequest(t, "POST", url+"/move-submit/7", "k")
+	expectStatus(t, resp, http.StatusOK)
 	if body != "e2e4" || resp.Header.Get("Idempotent-Replayed") != "true" {
 		t.Errorf("a later repeat got %q", body)
 	}
-	if n := table.ran("k"); n != 1 {
+	if n := table.runCount("k"); n != 1 {
 		t.Errorf("the move ran %d times", n)
 	}
 }
 
-// A proxy asks for verdicts: the same quota as for what is sent on, 429 with Retry-After beyond it.
+// Verdicts for a proxy use the same quota as forwarded requests, with 429 and Retry-After beyond it.
 func TestAskedForVerdicts(t *testing.T) {
-	table, store := newTables(t), newStore(t)
+	table, store := newTableServer(t), newStore(t)
 	check := newChecker(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Authorization") == "" {
 			w.WriteHeader(http.StatusForbidden)
@@ -360,51 +362,51 @@
 		}
 		allow(w, r)
 	})
-	url := gateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 1")
+	url := startGateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 1")
 	verdict := func(more ...string) *http.Response {
-		resp, _ := ask(t, "GET", url+"/verify", "", append(more, "X-Forwarded-Method", "GET",
+		resp, _ := sendRequest(t, "GET", url+"/verify", "", append(more, "X-Forwarded-Method", "GET",
 			"X-Forwarded-Uri", "/table-view/9", "X-Quota", "units=6,spread=1,first=0")...)
 		return resp
 	}
-	expect(t, verdict(), http.StatusForbidden)
+	expectStatus(t, verdict(), http.StatusForbidden)
 	for range 3 {
 		resp := verdict("Authorization", "b")
-		expect(t, resp, http.StatusOK)
+		expectStatus(t, resp, http.StatusOK)
 		if resp.Header.Get("X-Auth-Account") != "ayumi" {
 			t.Error("no identity to copy onward")
 		}
 	}
 	resp := verdict("Authorization", "b") // 18 of 20 units are spent
-	expect(t, resp, http.StatusTooManyRequests)
+	expectStatus(t, resp, http.StatusTooManyRequests)
 	if resp.Header.Get("Retry-After") == "" {
 		t.Error("no Retry-After")
 	}
-	resp, _ = ask(t, "GET", url+"/table-view/9", "", "Authorization", "b", "X-Quota", "units=6,spread=1,first=0")
-	expect(t, resp, http.StatusTooManyRequests)
+	resp, _ = sendRequest(t, "GET", url+"/table-view/9", "", "Authorization", "b", "X-Quota", "units=6,spread=1,first=0")
+	expectStatus(t, resp, http.StatusTooManyRequests)
 	if n := table.total(); n != 0 {
 		t.Errorf("%d requests reached a table", n)
 	}
-	resp, _ = ask(t, "GET", url+"/verify", "", "X-Forwarded-Method", "GET", "X-Forwarded-Uri", "table-view")
-	expect(t, resp, http.StatusBadRequest)
+	resp, _ = sendRequest(t, "GET", url+"/verify", "", "X-Forwarded-Method", "GET", "X-Forwarded-Uri", "table-view")
+	expectStatus(t, resp, http.StatusBadRequest)
 }
 
-// Nobody but a configured proxy may ask, or be believed in what it forwards.
+// Only configured proxies may ask for verdicts and set forwarded headers.
 func TestStrangersAreNotBelieved(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
-	url := gateway(t, check.URL, store.Addr(), table, "127.0.0.0/8", "192.0.2.0/24")
-	resp, _ := ask(t, "GET", url+"/verify", "", "X-Forwarded-Method", "GET", "X-Forwarded-Uri", "/table-view/9")
-	expect(t, resp, http.StatusForbidden)
-	resp, _ = ask(t, "GET", url+"/table-view/9", "", "X-Forwarded-For", "192.0.2.9", "X-Forwarded-Uri", "/other")
-	expect(t, resp, http.StatusOK)
-	if q := <-check.asked; q.Get("X-Forwarded-For") != "127.0.0.1" || q.Get("X-Forwarded-Uri") != "/table-view/9" {
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
+	url := startGateway(t, check.URL, store.Addr(), table, "127.0.0.0/8", "192.0.2.0/24")
+	resp, _ := sendRequest(t, "GET", url+"/verify", "", "X-Forwarded-Method", "GET", "X-Forwarded-Uri", "/table-view/9")
+	expectStatus(t, resp, http.StatusForbidden)
+	resp, _ = sendRequest(t, "GET", url+"/table-view/9", "", "X-Forwarded-For", "192.0.2.9", "X-Forwarded-Uri", "/other")
+	expectStatus(t, resp, http.StatusOK)
+	if q := <-check.requests; q.Get("X-Forwarded-For") != "127.0.0.1" || q.Get("X-Forwarded-Uri") != "/table-view/9" {
 		t.Errorf("the checker was told For %q, Uri %q", q.Get("X-Forwarded-For"), q.Get("X-Forwarded-Uri"))
 	}
 }
 
-// Malformed input is answered at once, outside the core, without a question to the checker.
+// Malformed input is rejected at once, without a check and without reaching the core.
 func TestMalformedIsRejected(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
-	url := gateway(t, check.URL, store.Addr(), table)
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
+	url := startGateway(t, check.URL, store.Addr(), table)
 	for _, c := range []struct {
 		method, path, key, header, value string
 		status                           int
@@ -416,8 +418,8 @@
 		{"GET", "/table-view/1", "", "X-Quota", "units=-1,spread=1,first=0", 400},
 		{"GET", "/table-view/1", "", "X-Long", strings.Repeat("x", 32<<10), 431},
 	} {
-		resp, _ := ask(t, c.method, url+c.path, c.key, c.header, c.value)
-		expect(t, resp, c.status)
+		resp, _ := sendRequest(t, c.method, url+c.path, c.key, c.header, c.value)
+		expectStatus(t, resp, c.status)
 	}
 	r, _ := http.NewRequest("POST", url+"/move-submit/1", bytes.NewReader(make([]byte, 64<<10+1)))
 	r.Header.Set("Idempotency-Key", "k")
@@ -426,25 +428,25 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	expect(t, resp, http.StatusRequestEntityTooLarge)
-	if len(check.asked) != 0 || table.total() != 0 {
-		t.Error("something malformed went further")
+	expectStatus(t, resp, http.StatusRequestEntityTooLarge)
+	if len(check.requests) != 0 || table.total() != 0 {
+		t.Error("a malformed request reached the checker or a table server")
 	}
 }
 
-// Two gateways on one store hold one quota between them; a silent or emptied store stops neither.
+// Two gateways on one store share one quota. A silent or emptied store stops neither of them.
 func TestTwoGatewaysOneQuota(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	urls := []string{
-		gateway(t, check.URL, store.Addr(), table),
-		gateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 2\nordinal = 1"),
+		startGateway(t, check.URL, store.Addr(), table),
+		startGateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 2\nordinal = 1"),
 	}
-	// The store's word arrives beside the requests: each is sent once the one before it has been counted.
+	// The store's sums arrive asynchronously: each request is sent once the one before it has been counted.
 	const each = 4.0
 	quota := []string{"X-Quota", "units=4,spread=2,first=0"}
 	units := 0.0
 	for i := range 16 {
-		resp, _ := ask(t, "GET", urls[i%2]+"/table-view/1", "", quota...)
+		resp, _ := sendRequest(t, "GET", urls[i%2]+"/table-view/1", "", quota...)
 		switch resp.StatusCode {
 		case http.StatusOK:
 			units += each
@@ -454,43 +456,43 @@
 			t.Fatalf("answered %d", resp.StatusCode)
 		}
 	}
-	// Each alone would let in 20, both 40. A gateway may be one view behind.
+	// Each gateway alone would admit 20 units, both 40. A gateway may lack the latest sum.
 	if units < 2*each || units > 20+2*each {
-		t.Errorf("%g units were let in, of a quota of 20", units)
+		t.Errorf("%g units were admitted, of a quota of 20", units)
 	}
 	for _, life := range store.Life() {
 		if life <= 0 || life > time.Minute {
-			t.Errorf("a name lives on for %v", life)
+			t.Errorf("a key in the store expires after %v, want within a minute", life)
 		}
 	}
 	store.Empty()
-	resp, _ := ask(t, "GET", urls[0]+"/table-view/1", "", quota...)
+	resp, _ := sendRequest(t, "GET", urls[0]+"/table-view/1", "", quota...)
 	if resp.StatusCode != http.StatusTooManyRequests {
 		t.Errorf("an emptied store refilled the quota: %d", resp.StatusCode)
 	}
 	store.Silence()
-	resp, _ = ask(t, "GET", urls[1]+"/table-view/2", "", quota...)
+	resp, _ = sendRequest(t, "GET", urls[1]+"/table-view/2", "", quota...)
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
 		t.Errorf("a silent store gave %d", resp.StatusCode)
 	}
 }
 
-// A move whose end is in doubt is not run again once table servers no longer drop its repeat.
+// A move whose outcome is in doubt is not run again once table servers no longer drop its repeat.
 func TestKeyInDoubtIsNotRunAgain(t *testing.T) {
-	table, store, check := newTables(t), newStore(t), newChecker(t, allow)
+	table, store, check := newTableServer(t), newStore(t), newChecker(t, allow)
 	table.hold = make(chan struct{})
 	defer close(table.hold)
-	url := gateway(t, check.URL, store.Addr(), table, `window = "4s"`, `window = "400ms"`)
-	resp, _ := ask(t, "POST", url+"/move-submit/7", "k") // held by the table until the window has passed
-	expect(t, resp, http.StatusServiceUnavailable)
-	resp, _ = ask(t, "POST", url+"/move-submit/7", "k")
-	expect(t, resp, http.StatusConflict)
-	if n := table.ran("k"); n != 1 {
+	url := startGateway(t, check.URL, store.Addr(), table, `window = "4s"`, `window = "400ms"`)
+	resp, _ := sendRequest(t, "POST", url+"/move-submit/7", "k") // held by the table server until the window has passed
+	expectStatus(t, resp, http.StatusServiceUnavailable)
+	resp, _ = sendRequest(t, "POST", url+"/move-submit/7", "k")
+	expectStatus(t, resp, http.StatusConflict)
+	if n := table.runCount("k"); n != 1 {
 		t.Errorf("the move ran %d times", n)
 	}
-	resp, _ = ask(t, "POST", url+"/move-submit/7", "other", "X-Timeout", "300m") // another key is not held up
-	expect(t, resp, http.StatusServiceUnavailable)
-	if n := table.ran("other"); n != 1 {
+	resp, _ = sendRequest(t, "POST", url+"/move-submit/7", "other", "X-Timeout", "300m") // another key is not blocked
+	expectStatus(t, resp, http.StatusServiceUnavailable)
+	if n := table.runCount("other"); n != 1 {
 		t.Errorf("the other move ran %d times", n)
 	}
 }
@@ -512,12 +514,12 @@
 	}
 }
 
-// A long move passes on as it comes and its long answer too, checked and under its key like a short one; one beyond
-// max_body gets 413, with its length and in chunks, and no table server runs it.
+// A long move and its long answer are streamed, with the same check and key guard as a short one. A body beyond max_body
+// gets 413 if its length is declared, is refused if it comes in chunks, and no table server runs it.
 func TestLongBodyIsPassedOn(t *testing.T) {
-	table, store := newTables(t), newStore(t)
+	table, store := newTableServer(t), newStore(t)
 	check := newChecker(t, allow)
-	url := gateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 2\nmax_body = 4194304")
+	url := startGateway(t, check.URL, store.Addr(), table, "gateways = 2", "gateways = 2\nmax_body = 4194304")
 	body := bytes.Repeat([]byte("e2e4"), 1<<19)
 	post := func(key string, body io.Reader) int {
 		r, err := http.NewRequest("POST", url+"/move-submit/7", body)
@@ -531,7 +533,7 @@
 		}
 		defer resp.Body.Close()
 		if got, err := io.ReadAll(resp.Body); resp.StatusCode == 200 && (err != nil || !bytes.Equal(got, bytes.Repeat([]byte("e2e4"), 1<<19))) {
-			t.Errorf("answered with %d bytes, or others; %v", len(got), err)
+			t.Errorf("answered with %d bytes, possibly not those sent; %v", len(got), err)
 		}
 		return resp.StatusCode
 	}
@@ -543,18 +545,18 @@
 		runs   int
 	}{
 		{"k1", bytes.NewReader(body), 200, 1},
-		{"k1", bytes.NewReader(body), 409, 1}, // it has run, and its answer is not kept
+		{"k1", bytes.NewReader(body), 409, 1}, // it has run, and its response is not kept
 		{"k2", chunked(body), 200, 1},
 		{"k3", bytes.NewReader(make([]byte, 5<<20)), 413, 0},
 	} {
-		if status := post(c.key, c.body); status != c.status || table.ran(c.key) != c.runs {
-			t.Errorf("%s: answered %d, ran %d times; want %d, %d", c.key, status, table.ran(c.key), c.status, c.runs)
+		if status := post(c.key, c.body); status != c.status || table.runCount(c.key) != c.runs {
+			t.Errorf("%s: answered %d, ran %d times; want %d, %d", c.key, status, table.runCount(c.key), c.status, c.runs)
 		}
 	}
-	if status := post("k4", chunked(make([]byte, 5<<20))); status < 400 || table.ran("k4") != 0 {
-		t.Errorf("too long in chunks: answered %d, ran %d times", status, table.ran("k4"))
+	if status := post("k4", chunked(make([]byte, 5<<20))); status < 400 || table.runCount("k4") != 0 {
+		t.Errorf("too long in chunks: answered %d, ran %d times", status, table.runCount("k4"))
 	}
-	if n := len(check.asked); n > 4 {
+	if n := len(check.requests); n > 4 {
 		t.Errorf("the checker was asked %d times", n)
 	}
 }
