--- a/configdelta/configdelta_test.go
+++ b/configdelta/configdelta_test.go
@@ -107,11 +107,11 @@
 	two := publish(t, h, 2, 3, document(200, 50))
 	three := publish(t, h, 3, 3, document(300, 50, 51))
 	step := func(from, to configdelta.State, change func(*configdelta.Piece)) []configdelta.Piece {
-		pieces := configdelta.Between(&from, to, false, configdelta.MaxPieceBytes)
+		pieces := configdelta.Diff(&from, to, false, configdelta.MaxPieceBytes)
 		change(&pieces[0])
 		return pieces
 	}
-	whole := configdelta.Between(nil, three, false, 2<<10)
+	whole := configdelta.Diff(nil, three, false, 2<<10)
 	big, err := configdelta.NewPart("zz", strings.Repeat(strings.Repeat("x", 1023)+"\n", 256))
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +169,7 @@
 	h := configdelta.NewHistory(8, 2<<10)
 	one := publish(t, h, 1, 1, document(200))
 	two := publish(t, h, 2, 1, document(200, 50))
-	step := configdelta.Between(&one, two, false, configdelta.MaxPieceBytes)[0]
+	step := configdelta.Diff(&one, two, false, configdelta.MaxPieceBytes)[0]
 	bad := step
 	bad.Hash[0]++
 
@@ -185,7 +185,7 @@
 		t.Errorf("%v is held", r.Held().Ref())
 	}
 
-	whole := configdelta.Between(nil, two, false, 2<<10)
+	whole := configdelta.Diff(nil, two, false, 2<<10)
 	if _, err := r.Receive(whole[0]); err != nil {
 		t.Fatal(err)
 	}
@@ -219,7 +219,7 @@
 	if err != nil || back.Ref() != state.Ref() || back.Epoch != 4 {
 		t.Errorf("%v epoch %d, %v; want %v", back.Ref(), back.Epoch, err, state.Ref())
 	}
-	if _, err := configdelta.ParseDocument(9, []byte(document(3))); !errors.Is(err, configdelta.ErrNoParts) {
+	if _, err := configdelta.ParseDocument(9, []byte(document(3))); !errors.Is(err, configdelta.ErrNoPartMarkers) {
 		t.Errorf("a document by hand: %v", err)
 	}
 	swapped := strings.Split(string(state.Document()), "#part ")
@@ -242,7 +242,7 @@
 // A line like [[route]] in a string over several lines is none of the document's.
 func TestLinesInStringsAreNotCut(t *testing.T) {
 	text := "note = \"\"\"\n[[route]]\n" + strings.Repeat("[[route]]\nx\n", 500) + "\"\"\"\n"
-	parts, err := configdelta.Cut(text, configdelta.State{})
+	parts, err := configdelta.Partition(text, configdelta.State{})
 	if err != nil || len(parts) != 1 || parts[0].Content != text {
 		t.Errorf("%d parts, %v", len(parts), err)
 	}
@@ -253,7 +253,7 @@
 		state := configdelta.State{}
 		for number := range rapid.Int64Range(1, 6).Draw(t, "versions") {
 			text := document(rapid.IntRange(0, 120).Draw(t, "routes"), rapid.SliceOfN(rapid.IntRange(0, 120), 0, 4).Draw(t, "changed")...)
-			parts, err := configdelta.Cut(text, state)
+			parts, err := configdelta.Partition(text, state)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/configdelta/cut.go
+++ b/configdelta/cut.go
@@ -15,9 +15,9 @@
 	cutOneIn    = 4    // of the tables between, the share that ends a part
 )
 
-// Cut divides a document into parts: whole top-level [[tables]], several of one kind in a part. Parts that previous
+// Partition divides a document into parts: whole top-level [[tables]], several of one kind in a part. Parts that previous
 // has already keep their names. A document with strings over several lines is not cut.
-func Cut(document string, previous State) ([]Part, error) {
+func Partition(document string, previous State) ([]Part, error) {
 	contents := cutContents(withoutMarks(document))
 	names, err := nameParts(contents, previous.parts)
 	if err != nil {
--- a/configdelta/history.go
+++ b/configdelta/history.go
@@ -28,7 +28,7 @@
 
 // Publish adds a document as the newest version.
 func (h *History) Publish(number int64, epoch uint64, rollback bool, document string) error {
-	parts, err := Cut(document, h.Newest())
+	parts, err := Partition(document, h.Newest())
 	if err != nil {
 		return fmt.Errorf("version %d: %w", number, err)
 	}
@@ -71,7 +71,7 @@
 			continue
 		}
 		// The reader is ahead of a rollback: it may go below its number by that alone.
-		pieces := Between(&h.states[i], h.Newest(), h.rollback, h.pieceBytes)
+		pieces := Diff(&h.states[i], h.Newest(), h.rollback, h.pieceBytes)
 		h.cache[base] = pieces
 		return pieces
 	}
@@ -81,7 +81,7 @@
 // Whole is the newest version from nothing.
 func (h *History) Whole() []Piece {
 	if h.whole == nil && len(h.states) > 0 {
-		h.whole = Between(nil, h.Newest(), h.rollback, h.pieceBytes)
+		h.whole = Diff(nil, h.Newest(), h.rollback, h.pieceBytes)
 	}
 	return h.whole
 }
--- a/configdelta/increment.go
+++ b/configdelta/increment.go
@@ -30,9 +30,9 @@
 	return n
 }
 
-// Between is the increment from one state to another, in pieces of no more than pieceBytes each (a larger part
+// Diff is the increment from one state to another, in pieces of no more than pieceBytes each (a larger part
 // stands alone). A nil base stands for nothing: the pieces hold the whole state.
-func Between(base *State, to State, rollback bool, pieceBytes int) []Piece {
+func Diff(base *State, to State, rollback bool, pieceBytes int) []Piece {
 	target := Target{Number: to.Number, Rollback: rollback, Epoch: to.Epoch, Hash: to.hash, Whole: base == nil}
 	var from []Part
 	if base != nil {
--- a/configdelta/state.go
+++ b/configdelta/state.go
@@ -137,8 +137,8 @@
 	return b.Bytes()
 }
 
-// ErrNoParts says that a document does not tell its parts: it did not come from increments.
-var ErrNoParts = errors.New("the document does not tell its parts")
+// ErrNoPartMarkers says that a document does not tell its parts: it did not come from increments.
+var ErrNoPartMarkers = errors.New("the document does not tell its parts")
 
 // ParseDocument reads a state back from its document.
 func ParseDocument(number int64, document []byte) (State, error) {
@@ -154,7 +154,7 @@
 	head, rest, _ := strings.Cut(document, "\n")
 	text, ok := strings.CutPrefix(head, headerPrefix)
 	if !ok {
-		return 0, nil, ErrNoParts
+		return 0, nil, ErrNoPartMarkers
 	}
 	if epoch, err = strconv.ParseUint(text, 10, 64); err != nil {
 		return 0, nil, fmt.Errorf("epoch: %w", err)
--- a/internal/config/parts_test.go
+++ b/internal/config/parts_test.go
@@ -78,7 +78,7 @@
 				from, to := rapid.IntRange(0, len(lines)-1).Draw(t, "from"), rapid.IntRange(0, len(lines)-1).Draw(t, "to")
 				lines[from], lines[to] = lines[to], lines[from]
 			}
-			parts, err := configdelta.Cut(strings.Join(lines, ""), configdelta.State{})
+			parts, err := configdelta.Partition(strings.Join(lines, ""), configdelta.State{})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -62,7 +62,7 @@
 // withParts is a document as a stream of increments hands it over.
 func withParts(tb testing.TB, document string) string {
 	tb.Helper()
-	parts, err := configdelta.Cut(document, configdelta.State{})
+	parts, err := configdelta.Partition(document, configdelta.State{})
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/controlplane/delta_test.go
+++ b/internal/controlplane/delta_test.go
@@ -396,7 +396,7 @@
 		states[n] = h.Newest()
 	}
 	message := func(from *configdelta.State, to configdelta.State) *discovery.DeltaDiscoveryResponse {
-		m, err := controlplane.EncodePiece(configdelta.Between(from, to, false, 256<<10)[0])
+		m, err := controlplane.EncodePiece(configdelta.Diff(from, to, false, 256<<10)[0])
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -77,11 +77,11 @@
 // ErrNone says that there is no snapshot.
 var ErrNone = errors.New("there is no snapshot")
 
-// Spoilt is a file that is no whole snapshot. It was set aside.
-type Spoilt struct{ Path, Aside, Why string }
+// CorruptError is a file that is no whole snapshot. It was set aside.
+type CorruptError struct{ Path, MovedTo, Reason string }
 
-func (s *Spoilt) Error() string {
-	return fmt.Sprintf("%s is no whole snapshot (%s); it was set aside as %s", s.Path, s.Why, s.Aside)
+func (s *CorruptError) Error() string {
+	return fmt.Sprintf("%s is no whole snapshot (%s); it was set aside as %s", s.Path, s.Reason, s.MovedTo)
 }
 
 // Load reads the file whole or not at all: one that is spoilt is set aside and named. What a death left of a save
@@ -112,7 +112,7 @@
 	if err := os.Rename(path, aside); err != nil {
 		return Version{}, fmt.Errorf("%s is no whole snapshot (%s), and can't be set aside: %w", path, why, err)
 	}
-	return Version{}, &Spoilt{path, aside, why}
+	return Version{}, &CorruptError{path, aside, why}
 }
 
 // Decode reads a snapshot's bytes, or says why they are none.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -59,11 +59,11 @@
 	if err := os.WriteFile(path, whole[:len(whole)-3], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var spoilt *Spoilt
+	var spoilt *CorruptError
 	if _, err := Load(path); !errors.As(err, &spoilt) || !strings.Contains(err.Error(), path) {
 		t.Errorf("%v", err)
 	}
-	if _, err := os.Stat(spoilt.Aside); err != nil {
+	if _, err := os.Stat(spoilt.MovedTo); err != nil {
 		t.Error(err)
 	}
 	if _, err := Load(path); !errors.Is(err, ErrNone) {
