--- a/configdelta/configdelta_test.go
+++ b/configdelta/configdelta_test.go
@@ -49,8 +49,8 @@
 	r.Accept()
 }
 
-// plain is a state's document without the lines that tell its parts.
-func plain(s configdelta.State) string {
+// contentOf is a state's document without the lines that tell its parts.
+func contentOf(s configdelta.State) string {
 	var b strings.Builder
 	for _, p := range s.Parts() {
 		b.WriteString(p.Content)
@@ -74,7 +74,7 @@
 	}
 	r := configdelta.NewReader(base)
 	receive(t, r, pieces)
-	if plain(r.Held()) != document(23000, 11_111) {
+	if contentOf(r.Held()) != document(23000, 11_111) {
 		t.Error("another document came out")
 	}
 }
@@ -96,7 +96,7 @@
 	}
 	r := configdelta.NewReader(old)
 	receive(t, r, pieces)
-	if plain(r.Held()) != document(2100) {
+	if contentOf(r.Held()) != document(2100) {
 		t.Error("another document came out")
 	}
 }
@@ -207,7 +207,7 @@
 	}
 	r := configdelta.NewReader(two)
 	receive(t, r, h.From(two.Ref()))
-	if r.Held().Number != 1 || plain(r.Held()) != document(100) {
+	if r.Held().Number != 1 || contentOf(r.Held()) != document(100) {
 		t.Errorf("%v is held", r.Held().Ref())
 	}
 }
@@ -260,7 +260,7 @@
 			if state, err = configdelta.NewState(number, 1, parts); err != nil {
 				t.Fatal(err)
 			}
-			if plain(state) != text {
+			if contentOf(state) != text {
 				t.Fatalf("version %d came out as another document", number)
 			}
 			back, err := configdelta.ParseDocument(number, state.Document())
@@ -281,7 +281,7 @@
 		number, epoch := int64(0), uint64(1)
 		var stream []configdelta.Piece // sent and not yet received
 		check := func() {
-			if text, ok := published[r.Held().Ref()]; !ok || plain(r.Held()) != text {
+			if text, ok := published[r.Held().Ref()]; !ok || contentOf(r.Held()) != text {
 				t.Fatalf("%v is held, which nobody published so", r.Held().Ref())
 			}
 		}
--- a/configdelta/history.go
+++ b/configdelta/history.go
@@ -5,17 +5,17 @@
 // History is the writing end: the versions that readers may have as their base, the newest last. It is not safe
 // for concurrent use.
 type History struct {
-	keep       int // versions
-	pieceBytes int
-	states     []State
-	rollback   bool            // of the newest
-	cache      map[Ref][]Piece // to the newest, by base
-	whole      []Piece         // of the newest
+	maxVersions      int // versions
+	pieceBytes       int
+	states           []State
+	newestIsRollback bool            // of the newest
+	increments       map[Ref][]Piece // to the newest, by base
+	wholeState       []Piece         // of the newest
 }
 
 // NewHistory makes a history that keeps so many versions as bases and sends pieces of so many bytes.
-func NewHistory(keep, pieceBytes int) *History {
-	return &History{keep: max(1, keep), pieceBytes: min(max(1, pieceBytes), MaxPieceBytes), cache: map[Ref][]Piece{}}
+func NewHistory(maxVersions, pieceBytes int) *History {
+	return &History{maxVersions: max(1, maxVersions), pieceBytes: min(max(1, pieceBytes), MaxPieceBytes), increments: map[Ref][]Piece{}}
 }
 
 // Newest is the newest version; the empty state before the first.
@@ -43,17 +43,17 @@
 // Add adds a state as the newest version, as a relay has it from its own source.
 func (h *History) Add(state State, rollback bool) {
 	h.states = append(h.states, state)
-	if len(h.states) > h.keep {
-		h.states = append([]State(nil), h.states[len(h.states)-h.keep:]...)
+	if len(h.states) > h.maxVersions {
+		h.states = append([]State(nil), h.states[len(h.states)-h.maxVersions:]...)
 	}
-	h.rollback, h.cache, h.whole = rollback, map[Ref][]Piece{}, nil
+	h.newestIsRollback, h.increments, h.wholeState = rollback, map[Ref][]Piece{}, nil
 }
 
 // Forget drops all bases but the newest version.
 func (h *History) Forget() {
 	if len(h.states) > 0 {
 		h.states = append([]State(nil), h.Newest())
-		h.cache = map[Ref][]Piece{}
+		h.increments = map[Ref][]Piece{}
 	}
 }
 
@@ -63,7 +63,7 @@
 	if len(h.states) == 0 || base == h.Newest().Ref() {
 		return nil
 	}
-	if pieces, ok := h.cache[base]; ok {
+	if pieces, ok := h.increments[base]; ok {
 		return pieces
 	}
 	for i := range h.states {
@@ -71,8 +71,8 @@
 			continue
 		}
 		// The reader is ahead of a rollback: it may go below its number by that alone.
-		pieces := Diff(&h.states[i], h.Newest(), h.rollback, h.pieceBytes)
-		h.cache[base] = pieces
+		pieces := Diff(&h.states[i], h.Newest(), h.newestIsRollback, h.pieceBytes)
+		h.increments[base] = pieces
 		return pieces
 	}
 	return h.Whole()
@@ -80,8 +80,8 @@
 
 // Whole is the newest version from nothing.
 func (h *History) Whole() []Piece {
-	if h.whole == nil && len(h.states) > 0 {
-		h.whole = Diff(nil, h.Newest(), h.rollback, h.pieceBytes)
+	if h.wholeState == nil && len(h.states) > 0 {
+		h.wholeState = Diff(nil, h.Newest(), h.newestIsRollback, h.pieceBytes)
 	}
-	return h.whole
+	return h.wholeState
 }
--- a/configdelta/increment.go
+++ b/configdelta/increment.go
@@ -20,7 +20,7 @@
 }
 
 // bytes is the size of what a piece carries.
-func (p *Piece) bytes() (n int) {
+func (p *Piece) payloadBytes() (n int) {
 	for _, part := range p.Set {
 		n += len(part.Name) + len(part.Content)
 	}
@@ -38,23 +38,23 @@
 	if base != nil {
 		target.Base, from = base.Ref(), base.parts
 	}
-	set, remove := difference(from, to.parts)
+	set, remove := diffParts(from, to.parts)
 	pieces := []Piece{{}}
-	room := pieceBytes
-	next := func(size int) *Piece {
-		if size > room && room < pieceBytes {
+	remaining := pieceBytes
+	pieceFor := func(size int) *Piece {
+		if size > remaining && remaining < pieceBytes {
 			pieces = append(pieces, Piece{Index: len(pieces)})
-			room = pieceBytes
+			remaining = pieceBytes
 		}
-		room -= size
+		remaining -= size
 		return &pieces[len(pieces)-1]
 	}
 	for _, name := range remove {
-		p := next(len(name))
+		p := pieceFor(len(name))
 		p.Remove = append(p.Remove, name)
 	}
 	for _, part := range set {
-		p := next(len(part.Name) + len(part.Content))
+		p := pieceFor(len(part.Name) + len(part.Content))
 		p.Set = append(p.Set, part)
 	}
 	target.Pieces = len(pieces)
@@ -65,7 +65,7 @@
 }
 
 // difference merges two lists of parts that are sorted by name.
-func difference(from, to []Part) (set []Part, remove []string) {
+func diffParts(from, to []Part) (set []Part, remove []string) {
 	for len(from) > 0 || len(to) > 0 {
 		switch {
 		case len(to) == 0 || len(from) > 0 && from[0].Name < to[0].Name:
--- a/configdelta/reader.go
+++ b/configdelta/reader.go
@@ -17,11 +17,11 @@
 
 // assembly is an increment of which some pieces have come.
 type assembly struct {
-	target Target
-	next   int             // index of the piece that is due
-	parts  map[string]Part // the base's, changed by what has come
-	named  map[string]bool // parts that the increment has set or removed
-	bytes  int             // of all contents
+	target    Target
+	nextIndex int             // index of the piece that is due
+	parts     map[string]Part // the base's, changed by what has come
+	touched   map[string]bool // parts that the increment has set or removed
+	bytes     int             // of all contents
 }
 
 // NewReader makes a reader that holds a state: what was in force when it started, or the empty state.
@@ -42,15 +42,15 @@
 		return nil, refusal
 	}
 	if p.Index == 0 {
-		pending = r.begin(p.Target)
+		pending = r.startAssembly(p.Target)
 	}
-	if pending == nil || pending.target != p.Target || pending.next != p.Index {
+	if pending == nil || pending.target != p.Target || pending.nextIndex != p.Index {
 		return nil, refuse(p, PieceOrder, "piece %d of %d does not continue what came before", p.Index+1, p.Pieces)
 	}
 	if refusal := pending.add(p); refusal != nil {
 		return nil, refusal
 	}
-	if pending.next < p.Pieces {
+	if pending.nextIndex < p.Pieces {
 		r.pending = pending
 		return nil, nil
 	}
@@ -84,7 +84,7 @@
 	if p.Pieces > MaxPieces {
 		return refuse(p, Oversized, "%d pieces, %d are allowed", p.Pieces, MaxPieces)
 	}
-	if n := p.bytes(); n > MaxPieceBytes {
+	if n := p.payloadBytes(); n > MaxPieceBytes {
 		return refuse(p, Oversized, "a piece of %d bytes, %d are allowed", n, MaxPieceBytes)
 	}
 	if p.Epoch < r.epoch {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-func (r *Reader) begin(t Target) *assembly {
-	a := &assembly{target: t, parts: map[string]Part{}, named: map[string]bool{}}
+func (r *Reader) startAssembly(t Target) *assembly {
+	a := &assembly{target: t, parts: map[string]Part{}, touched: map[string]bool{}}
 	if t.Whole {
 		return a
 	}
@@ -118,28 +118,28 @@
 func (a *assembly) add(p Piece) error {
 	for _, name := range p.Remove {
 		old, known := a.parts[name]
-		if !known || a.named[name] {
+		if !known || a.touched[name] {
 			return refuse(p, UnknownPart, "part %s is to be removed, and is not there", name)
 		}
-		a.named[name] = true
+		a.touched[name] = true
 		a.bytes -= len(old.Content)
 		delete(a.parts, name)
 	}
 	for _, part := range p.Set {
-		if a.named[part.Name] {
+		if a.touched[part.Name] {
 			return refuse(p, Malformed, "part %s is named twice", part.Name)
 		}
 		if part.digest == (Hash{}) {
 			return refuse(p, Malformed, "part %s was not made by NewPart", part.Name)
 		}
-		a.named[part.Name] = true
+		a.touched[part.Name] = true
 		a.bytes += len(part.Content) - len(a.parts[part.Name].Content)
 		a.parts[part.Name] = part
 	}
 	if a.bytes > MaxStateBytes {
 		return refuse(p, Oversized, "a document of %d bytes, %d are allowed", a.bytes, MaxStateBytes)
 	}
-	a.next++
+	a.nextIndex++
 	return nil
 }
 
--- a/internal/deltastream/relay.go
+++ b/internal/deltastream/relay.go
@@ -23,8 +23,8 @@
 }
 
 // NewRelay makes a relay with the options of New.
-func NewRelay(keep, pieceBytes int, answered func(Answer)) *Relay {
-	return &Relay{server: New(keep, pieceBytes, answered)}
+func NewRelay(maxVersions, pieceBytes int, onAnswer func(Answer)) *Relay {
+	return &Relay{server: New(maxVersions, pieceBytes, onAnswer)}
 }
 
 // DeltaAggregatedResources implements the discovery service.
--- a/internal/deltastream/server.go
+++ b/internal/deltastream/server.go
@@ -29,13 +29,13 @@
 	history  *configdelta.History
 	changed  chan struct{} // closed when there is a newer version, or the server is stalled or goes on
 	stalled  bool
-	answered func(Answer)
+	onAnswer func(Answer)
 }
 
 // New makes a server that keeps so many versions as bases and sends pieces of so many bytes. answered is told of
 // each answer; it must not wait.
-func New(keep, pieceBytes int, answered func(Answer)) *Server {
-	return &Server{history: configdelta.NewHistory(keep, pieceBytes), changed: make(chan struct{}), answered: answered}
+func New(maxVersions, pieceBytes int, onAnswer func(Answer)) *Server {
+	return &Server{history: configdelta.NewHistory(maxVersions, pieceBytes), changed: make(chan struct{}), onAnswer: onAnswer}
 }
 
 // Publish has all readers sent a document as the next version.
@@ -45,7 +45,7 @@
 	if err := s.history.Publish(number, epoch, rollback, document); err != nil {
 		return err
 	}
-	s.wake()
+	s.notifyStreams()
 	return nil
 }
 
@@ -54,7 +54,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history.Add(state, rollback)
-	s.wake()
+	s.notifyStreams()
 }
 
 // Forget drops all bases but the newest version.
@@ -69,23 +69,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stalled = on
-	s.wake()
+	s.notifyStreams()
 }
 
-func (s *Server) wake() {
+func (s *Server) notifyStreams() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // session is one reader's stream.
 type session struct {
-	server   *Server
-	stream   discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer
-	requests chan *discovery.DeltaDiscoveryRequest
-	node     string
-	base     configdelta.Ref
-	refused  configdelta.Ref // the last version that the reader turned down: it is not sent again
-	whole    bool            // only a whole state helps
+	server          *Server
+	stream          discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer
+	requests        chan *discovery.DeltaDiscoveryRequest
+	node            string
+	base            configdelta.Ref
+	lastRefused     configdelta.Ref // the last version that the reader turned down: it is not sent again
+	needsWholeState bool            // only a whole state helps
 }
 
 // Serve serves one stream until it ends.
@@ -97,11 +97,11 @@
 	reader := &session{server: s, stream: stream, node: first.GetNode().GetId(),
 		requests: make(chan *discovery.DeltaDiscoveryRequest)}
 	if reader.base, err = controlplane.DecodeRef(first.InitialResourceVersions[controlplane.ManifestName]); err != nil {
-		reader.whole = true
+		reader.needsWholeState = true
 	}
-	go reader.receive()
+	go reader.forwardRequests()
 	for {
-		pieces, changed := reader.due()
+		pieces, changed := reader.duePieces()
 		if len(pieces) > 0 {
 			if err := reader.sendAll(pieces); err != nil {
 				return err
@@ -119,7 +119,7 @@
 }
 
 // receive hands requests on until the stream ends.
-func (r *session) receive() {
+func (r *session) forwardRequests() {
 	defer close(r.requests)
 	for {
 		request, err := r.stream.Recv()
@@ -135,15 +135,15 @@
 }
 
 // due is what the reader is to be sent now; with nothing due, what to wait for.
-func (r *session) due() ([]configdelta.Piece, <-chan struct{}) {
+func (r *session) duePieces() ([]configdelta.Piece, <-chan struct{}) {
 	s := r.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest := s.history.Newest().Ref()
 	switch {
-	case s.stalled || newest == r.refused:
+	case s.stalled || newest == r.lastRefused:
 		return nil, s.changed
-	case r.whole:
+	case r.needsWholeState:
 		return s.history.Whole(), s.changed
 	}
 	return s.history.From(r.base), s.changed
@@ -159,23 +159,23 @@
 		if err := r.stream.Send(message); err != nil {
 			return err
 		}
-		answer, err := r.answerTo(message.Nonce)
+		answer, err := r.waitForAnswer(message.Nonce)
 		if err != nil {
 			return err
 		}
 		if answer.ErrorDetail != nil {
-			r.turnedDown(piece, answer)
+			r.handleRefusal(piece, answer)
 			return nil
 		}
 	}
 	target := pieces[0].Target
-	r.base, r.whole = configdelta.Ref{Number: target.Number, Hash: target.Hash}, false
-	r.server.answered(Answer{Node: r.node, Number: target.Number})
+	r.base, r.needsWholeState = configdelta.Ref{Number: target.Number, Hash: target.Hash}, false
+	r.server.onAnswer(Answer{Node: r.node, Number: target.Number})
 	return nil
 }
 
 // answerTo waits for the answer to one message.
-func (r *session) answerTo(nonce string) (*discovery.DeltaDiscoveryRequest, error) {
+func (r *session) waitForAnswer(nonce string) (*discovery.DeltaDiscoveryRequest, error) {
 	for request := range r.requests {
 		if request.ResponseNonce == nonce {
 			return request, nil
@@ -186,11 +186,11 @@
 
 // turnedDown decides what follows a refusal: the whole state, once, where reader and server do not mean the same
 // base; else the next version.
-func (r *session) turnedDown(piece configdelta.Piece, answer *discovery.DeltaDiscoveryRequest) {
+func (r *session) handleRefusal(piece configdelta.Piece, answer *discovery.DeltaDiscoveryRequest) {
 	if codes.Code(answer.ErrorDetail.Code) == codes.FailedPrecondition && !piece.Whole {
-		r.whole = true
+		r.needsWholeState = true
 		return
 	}
-	r.refused = configdelta.Ref{Number: piece.Number, Hash: piece.Hash}
-	r.server.answered(Answer{Node: r.node, Number: piece.Number, Reason: answer.ErrorDetail.Message})
+	r.lastRefused = configdelta.Ref{Number: piece.Number, Hash: piece.Hash}
+	r.server.onAnswer(Answer{Node: r.node, Number: piece.Number, Reason: answer.ErrorDetail.Message})
 }
--- a/internal/deltastream/server_test.go
+++ b/internal/deltastream/server_test.go
@@ -32,8 +32,8 @@
 	stream discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 }
 
-// open begins a stream of a reader that holds a base.
-func open(t *testing.T, s *deltastream.Server, base configdelta.Ref) *reader {
+// openStream begins a stream of a reader that holds a base.
+func openStream(t *testing.T, s *deltastream.Server, base configdelta.Ref) *reader {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,7 +86,7 @@
 	r.send(request)
 }
 
-func text(changed int) string {
+func document(changed int) string {
 	var b strings.Builder
 	for i := range 100 {
 		fmt.Fprintf(&b, "[[route]]\npath = \"/resource-%d/*\"\nclass = \"%v\"\n", i, i == changed)
@@ -98,37 +98,37 @@
 // an acknowledgement the next change alone.
 func TestWhatFollowsAnAnswer(t *testing.T) {
 	var answers []deltastream.Answer
-	told := make(chan struct{}, 16)
+	notified := make(chan struct{}, 16)
 	s := deltastream.New(8, 64<<10, func(a deltastream.Answer) {
 		answers = append(answers, a)
-		told <- struct{}{}
+		notified <- struct{}{}
 	})
 	publish := func(number int64) {
 		t.Helper()
-		if err := s.Publish(number, 1, false, text(int(number))); err != nil {
+		if err := s.Publish(number, 1, false, document(int(number))); err != nil {
 			t.Fatal(err)
 		}
 	}
 	publish(1)
-	r := open(t, s, configdelta.Ref{Number: 9}) // no base that the server knows
+	r := openStream(t, s, configdelta.Ref{Number: 9}) // no base that the server knows
 	r.expect(1, true, codes.OK)
-	<-told
+	<-notified
 	publish(2)
 	r.expect(2, false, codes.FailedPrecondition)
 	r.expect(2, true, codes.FailedPrecondition)
-	<-told
+	<-notified
 	publish(3)
 	r.expect(3, true, codes.OK)
-	<-told
+	<-notified
 	publish(4)
 	r.expect(4, false, codes.InvalidArgument)
-	<-told
+	<-notified
 	publish(5)
 	r.expect(5, false, codes.Aborted)
-	<-told
+	<-notified
 	publish(6)
 	r.expect(6, false, codes.OK)
-	<-told
+	<-notified
 	for i, want := range []string{"", "refused by the test", "", "refused by the test", "refused by the test", ""} {
 		if answers[i].Number != int64(i+1) || answers[i].Reason != want {
 			t.Errorf("answer %d: %+v", i, answers[i])
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	format = "junctionring-snapshot 1" // the first word of the first line, and the format's number
-	most   = 64 << 20                  // bytes of a content
+	headerPrefix    = "junctionring-snapshot 1" // the first word of the first line, and the format's number
+	maxContentBytes = 64 << 20                  // bytes of a content
 )
 
 // Version is what is kept.
@@ -53,7 +53,7 @@
 			os.Remove(f.Name())
 		}
 	}()
-	head := fmt.Sprintf("%s %d %016x %d\n", format, v.Number, checksum(v), len(v.Content))
+	head := fmt.Sprintf("%s %d %016x %d\n", headerPrefix, v.Number, checksum(v), len(v.Content))
 	if _, err = f.Write(append([]byte(head), v.Content...)); err != nil {
 		return err
 	}
@@ -66,12 +66,12 @@
 	if err = os.Rename(f.Name(), path); err != nil {
 		return err
 	}
-	folder, err := os.Open(dir)
+	dirFile, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer dirFile.Close()
+	return dirFile.Sync()
 }
 
 // ErrNone says that there is no snapshot.
@@ -87,8 +87,8 @@
 // Load reads the file whole or not at all: one that is spoilt is set aside and named. What a death left of a save
 // that was under way is removed.
 func Load(path string) (Version, error) {
-	if left, err := filepath.Glob(path + ".new-*"); err == nil {
-		for _, name := range left {
+	if leftovers, err := filepath.Glob(path + ".new-*"); err == nil {
+		for _, name := range leftovers {
 			os.Remove(name)
 		}
 	}
@@ -100,38 +100,38 @@
 		return Version{}, err
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, most+4096))
+	raw, err := io.ReadAll(io.LimitReader(f, maxContentBytes+4096))
 	if err != nil {
 		return Version{}, err
 	}
-	v, why := Decode(raw)
-	if why == "" {
+	v, reason := Decode(raw)
+	if reason == "" {
 		return v, nil
 	}
-	aside := path + ".spoilt"
-	if err := os.Rename(path, aside); err != nil {
-		return Version{}, fmt.Errorf("%s is no whole snapshot (%s), and can't be set aside: %w", path, why, err)
+	movedTo := path + ".spoilt"
+	if err := os.Rename(path, movedTo); err != nil {
+		return Version{}, fmt.Errorf("%s is no whole snapshot (%s), and can't be set aside: %w", path, reason, err)
 	}
-	return Version{}, &CorruptError{path, aside, why}
+	return Version{}, &CorruptError{path, movedTo, reason}
 }
 
 // Decode reads a snapshot's bytes, or says why they are none.
-func Decode(raw []byte) (v Version, why string) {
+func Decode(raw []byte) (v Version, reason string) {
 	line, content, ok := bytes.Cut(raw, []byte("\n"))
 	if !ok || len(line) > 200 {
 		return v, "it has no first line"
 	}
-	rest, ok := strings.CutPrefix(string(line), format+" ")
+	rest, ok := strings.CutPrefix(string(line), headerPrefix+" ")
 	if !ok {
 		return v, "it is of another format"
 	}
-	words := strings.Fields(rest)
-	if len(words) != 3 {
+	fields := strings.Fields(rest)
+	if len(fields) != 3 {
 		return v, "its first line is cut"
 	}
-	number, err1 := strconv.ParseInt(words[0], 10, 64)
-	digest, err2 := strconv.ParseUint(words[1], 16, 64)
-	size, err3 := strconv.Atoi(words[2])
+	number, err1 := strconv.ParseInt(fields[0], 10, 64)
+	digest, err2 := strconv.ParseUint(fields[1], 16, 64)
+	size, err3 := strconv.Atoi(fields[2])
 	switch {
 	case errors.Join(err1, err2, err3) != nil || number < 0:
 		return v, "its first line holds no numbers"
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -27,8 +27,8 @@
 			t.Errorf("version %d: %d, %v", n, got.Number, err)
 		}
 	}
-	if left, _ := filepath.Glob(path + "*"); len(left) != 1 {
-		t.Errorf("left behind: %v", left)
+	if files, _ := filepath.Glob(path + "*"); len(files) != 1 {
+		t.Errorf("left behind: %v", files)
 	}
 }
 
@@ -52,18 +52,18 @@
 	cases = append(cases, append(bytes.Clone(whole), 'x'))
 	for i, c := range cases {
 		// Only what says the same in other letters (a digest in capitals) may pass.
-		if v, why := Decode(c); why == "" && (v.Number != 7 || !bytes.Equal(v.Content, []byte("listen = 1\nplan = 2\n"))) {
+		if v, reason := Decode(c); reason == "" && (v.Number != 7 || !bytes.Equal(v.Content, []byte("listen = 1\nplan = 2\n"))) {
 			t.Fatalf("case %d is taken: %+v", i, v)
 		}
 	}
 	if err := os.WriteFile(path, whole[:len(whole)-3], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var spoilt *CorruptError
-	if _, err := Load(path); !errors.As(err, &spoilt) || !strings.Contains(err.Error(), path) {
+	var corrupt *CorruptError
+	if _, err := Load(path); !errors.As(err, &corrupt) || !strings.Contains(err.Error(), path) {
 		t.Errorf("%v", err)
 	}
-	if _, err := os.Stat(spoilt.MovedTo); err != nil {
+	if _, err := os.Stat(corrupt.MovedTo); err != nil {
 		t.Error(err)
 	}
 	if _, err := Load(path); !errors.Is(err, ErrNone) {
@@ -95,15 +95,15 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		said := make(chan string, 1)
+		output := make(chan string, 1)
 		go func() {
 			b := new(bytes.Buffer)
 			b.ReadFrom(out)
-			said <- b.String()
+			output <- b.String()
 		}()
 		time.Sleep(time.Duration(20+7*(round%40)) * time.Millisecond) // any moment will do
 		cmd.Process.Kill()
-		text := <-said
+		text := <-output
 		cmd.Wait()
 		saved := int64(0)
 		for line := range strings.Lines(text) {
@@ -143,8 +143,8 @@
 	f.Add([]byte("junctionring-snapshot 1 3 0000000000000000 1\nx"))
 	f.Add([]byte("junctionring-snapshot 1 3 ef46db3751d8e999 0\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		v, why := Decode(raw)
-		if why == "" && !bytes.HasSuffix(raw, v.Content) {
+		v, reason := Decode(raw)
+		if reason == "" && !bytes.HasSuffix(raw, v.Content) {
 			t.Error("a content that is not there")
 		}
 	})
