--- a/configdelta/configdelta_test.go
+++ b/configdelta/configdelta_test.go
@@ -12,7 +12,7 @@
 	"junctionring/configdelta"
 )
 
-// document is a document with so many routes; those named in changed have another class.
+// document returns a document with the given number of routes. The routes in changed have another class.
 func document(routes int, changed ...int) string {
 	var b strings.Builder
 	b.WriteString("trusted_proxies = [\"127.0.0.0/8\"]\n[[class]]\nname = \"view\"\n[[plan]]\nname = \"club\"\n")
@@ -34,7 +34,7 @@
 	return h.Newest()
 }
 
-// receive hands pieces to a reader and has the version accepted.
+// receive passes pieces to a reader and accepts the version.
 func receive(t testing.TB, r *configdelta.Reader, pieces []configdelta.Piece) {
 	t.Helper()
 	for i, p := range pieces {
@@ -43,13 +43,13 @@
 			t.Fatal(err)
 		}
 		if (state != nil) != (i == len(pieces)-1) {
-			t.Fatalf("piece %d of %d: whole is %v", i+1, len(pieces), state != nil)
+			t.Fatalf("piece %d of %d: the version is complete: %v", i+1, len(pieces), state != nil)
 		}
 	}
 	r.Accept()
 }
 
-// contentOf is a state's document without the lines that tell its parts.
+// contentOf returns a state's document without the lines that mark its parts.
 func contentOf(s configdelta.State) string {
 	var b strings.Builder
 	for _, p := range s.Parts() {
@@ -70,12 +70,12 @@
 		}
 	}
 	if len(pieces) != 1 || sent > 8<<10 {
-		t.Errorf("%d pieces, %d bytes of a document of %d", len(pieces), sent, base.Bytes())
+		t.Errorf("the increment has %d pieces with %d bytes, for a document of %d bytes", len(pieces), sent, base.Bytes())
 	}
 	r := configdelta.NewReader(base)
 	receive(t, r, pieces)
 	if contentOf(r.Held()) != document(23000, 11_111) {
-		t.Error("another document came out")
+		t.Error("the reader's document differs from the published one")
 	}
 }
 
@@ -83,7 +83,7 @@
 	const pieceBytes = 16 << 10
 	h := configdelta.NewHistory(1, pieceBytes)
 	old := publish(t, h, 1, 1, document(2000))
-	publish(t, h, 2, 1, document(2100)) // version 1 is no base any more
+	publish(t, h, 2, 1, document(2100)) // version 1 is no longer kept as a base
 	pieces := h.From(old.Ref())
 	for i, p := range pieces {
 		size := 0
@@ -91,13 +91,13 @@
 			size += len(part.Name) + len(part.Content)
 		}
 		if size > pieceBytes || !p.Whole {
-			t.Errorf("piece %d holds %d bytes, whole %v", i, size, p.Whole)
+			t.Errorf("piece %d has %d bytes, whole %v", i, size, p.Whole)
 		}
 	}
 	r := configdelta.NewReader(old)
 	receive(t, r, pieces)
 	if contentOf(r.Held()) != document(2100) {
-		t.Error("another document came out")
+		t.Error("the reader's document differs from the published one")
 	}
 }
 
@@ -157,14 +157,14 @@
 			}
 			r.Accept() // there is nothing to accept
 			if r.Held().Ref() != two.Ref() {
-				t.Errorf("%v is held", r.Held().Ref())
+				t.Errorf("the reader holds %v", r.Held().Ref())
 			}
 			receive(t, r, step(two, three, nothing))
 		})
 	}
 }
 
-// A refused piece takes what waited for a verdict, or for its next piece, with it.
+// A refused piece must discard a version that waits for Accept, and an increment that waits for its next piece.
 func TestRefusedPieceEndsWhatWasUnderWay(t *testing.T) {
 	h := configdelta.NewHistory(8, 2<<10)
 	one := publish(t, h, 1, 1, document(200))
@@ -178,11 +178,11 @@
 		t.Fatal(state, err)
 	}
 	if _, err := r.Receive(bad); err == nil {
-		t.Fatal("taken")
+		t.Fatal("a piece with a wrong hash was accepted")
 	}
 	r.Accept()
 	if r.Held().Ref() != one.Ref() {
-		t.Errorf("%v is held", r.Held().Ref())
+		t.Errorf("the reader holds %v", r.Held().Ref())
 	}
 
 	whole := configdelta.Diff(nil, two, false, 2<<10)
@@ -190,10 +190,10 @@
 		t.Fatal(err)
 	}
 	if _, err := r.Receive(bad); err == nil {
-		t.Fatal("taken")
+		t.Fatal("a piece with a wrong hash was accepted")
 	}
 	if _, err := r.Receive(whole[1]); err == nil {
-		t.Error("an increment went on after a refusal")
+		t.Error("an increment continued after a refusal")
 	}
 	receive(t, r, whole)
 }
@@ -208,7 +208,7 @@
 	r := configdelta.NewReader(two)
 	receive(t, r, h.From(two.Ref()))
 	if r.Held().Number != 1 || contentOf(r.Held()) != document(100) {
-		t.Errorf("%v is held", r.Held().Ref())
+		t.Errorf("the reader holds %v", r.Held().Ref())
 	}
 }
 
@@ -220,26 +220,26 @@
 		t.Errorf("%v epoch %d, %v; want %v", back.Ref(), back.Epoch, err, state.Ref())
 	}
 	if _, err := configdelta.ParseDocument(9, []byte(document(3))); !errors.Is(err, configdelta.ErrNoPartMarkers) {
-		t.Errorf("a document by hand: %v", err)
+		t.Errorf("a document without part lines: %v", err)
 	}
 	swapped := strings.Split(string(state.Document()), "#part ")
 	swapped[1], swapped[2] = swapped[2], swapped[1]
 	if _, err := configdelta.ParseDocument(9, []byte(strings.Join(swapped, "#part "))); err == nil {
-		t.Error("parts out of order were read")
+		t.Error("a document with parts out of order was parsed")
 	}
 }
 
-// An operator may publish what a gateway shows.
+// An operator may publish a document that a gateway returned, with the lines that mark its parts.
 func TestDocumentWithPartsIsPublishedAgain(t *testing.T) {
 	h := configdelta.NewHistory(8, 64<<10)
 	one := publish(t, h, 1, 1, document(300))
 	two := publish(t, h, 2, 1, string(one.Document()))
 	if two.Hash() != one.Hash() {
-		t.Error("the same document came out as another")
+		t.Error("publishing a state's document again changed its hash")
 	}
 }
 
-// A line like [[route]] in a string over several lines is none of the document's.
+// A line such as [[route]] in a multi-line string is not a table header.
 func TestLinesInStringsAreNotCut(t *testing.T) {
 	text := "note = \"\"\"\n[[route]]\n" + strings.Repeat("[[route]]\nx\n", 500) + "\"\"\"\n"
 	parts, err := configdelta.Partition(text, configdelta.State{})
@@ -261,7 +261,7 @@
 				t.Fatal(err)
 			}
 			if contentOf(state) != text {
-				t.Fatalf("version %d came out as another document", number)
+				t.Fatalf("version %d: the parts do not form the published document", number)
 			}
 			back, err := configdelta.ParseDocument(number, state.Document())
 			if err != nil || back.Ref() != state.Ref() {
@@ -271,8 +271,9 @@
 	})
 }
 
-// Any sequence of versions, losses, repeats, reconnects, resets, refusals and replaced writers: what is held is
-// always one whole published version, and once the stream is left alone it is the newest.
+// After any sequence of versions, lost and repeated pieces, forgotten bases, reconnects, restarts, refusals and
+// replaced writers, the reader holds exactly one complete published version, and reaches the newest one when the
+// stream is no longer disturbed.
 func TestAnySequenceEndsAtTheWholeDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := configdelta.NewHistory(rapid.IntRange(1, 5).Draw(t, "keep"), rapid.SampledFrom([]int{600, 2000, 100_000}).Draw(t, "piece bytes"))
@@ -282,7 +283,7 @@
 		var stream []configdelta.Piece // sent and not yet received
 		check := func() {
 			if text, ok := published[r.Held().Ref()]; !ok || contentOf(r.Held()) != text {
-				t.Fatalf("%v is held, which nobody published so", r.Held().Ref())
+				t.Fatalf("the reader holds %v, which was not published with this content", r.Held().Ref())
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -353,7 +354,7 @@
 		r.Accept()
 		check()
 		if number > 0 && r.Held().Ref() != h.Newest().Ref() {
-			t.Fatalf("%v is held at the end, %v is the newest", r.Held().Ref(), h.Newest().Ref())
+			t.Fatalf("the reader holds %v at the end, the newest version is %v", r.Held().Ref(), h.Newest().Ref())
 		}
 	})
 }
--- a/configdelta/cut.go
+++ b/configdelta/cut.go
@@ -7,16 +7,17 @@
 	"strings"
 )
 
-// How documents are cut. Where a part ends depends on what its lines say and not on how many came before, so that
-// a table that is added or removed changes the parts beside it only.
+// Part boundaries are content-defined: whether a part ends at a table depends on the table's lines and not on the
+// number of tables before it, so that adding or removing a table changes only the neighbouring parts.
 const (
-	minPartBytes    = 512  // a part is not ended before
-	maxGroupedBytes = 4096 // and ends here wherever a table does
-	boundaryDivisor = 4    // of the tables between, the share that ends a part
+	minPartBytes    = 512  // below this size, a table's content does not end a part
+	maxGroupedBytes = 4096 // tables are not grouped into a part beyond this size
+	boundaryDivisor = 4    // between the two sizes, one in this many tables ends a part
 )
 
-// Partition divides a document into parts: whole top-level [[tables]], several of one kind in a part. Parts that previous
-// has already keep their names. A document with strings over several lines is not cut.
+// Partition divides a document into parts. A part consists of whole top-level array tables ([[table]]) of one kind, or
+// of the lines before the first of them. Parts that previous already has keep their names. A document with multi-line
+// strings becomes a single part.
 func Partition(document string, previous State) ([]Part, error) {
 	contents := partitionContents(stripMarkers(document))
 	names, err := assignNames(contents, previous.parts)
@@ -32,7 +33,8 @@
 	return parts, nil
 }
 
-// withoutMarks is a document that tells its parts without the lines that do so; any other is returned as it is.
+// stripMarkers removes the lines that mark the parts of a document. A document that SplitDocument cannot read is
+// returned unchanged.
 func stripMarkers(document string) string {
 	_, parts, err := SplitDocument(document)
 	if err != nil {
@@ -45,13 +47,13 @@
 	return b.String()
 }
 
-// cutContents divides a document at the lines that begin a top-level array table.
+// partitionContents divides a document at headers of top-level array tables and returns the contents of its parts.
 func partitionContents(document string) (contents []string) {
 	if document != "" && !strings.HasSuffix(document, "\n") {
 		document += "\n"
 	}
 	if strings.Contains(document, `"""`) || strings.Contains(document, "'''") {
-		return []string{document} // a line in such a string is none of the document's
+		return []string{document} // a line of such a string may look like a table header
 	}
 	part, partHeader := "", ""
 	for document != "" {
@@ -72,7 +74,8 @@
 	return contents
 }
 
-// tableEnd is where the first table of a document ends: before the next line like [[route]].
+// firstTableEnd returns the offset at which the first table of a document ends: that of the next line such as
+// [[route]], or the document's length.
 func firstTableEnd(document string) int {
 	for offset := 0; ; {
 		newline := strings.IndexByte(document[offset:], '\n')
@@ -87,13 +90,15 @@
 	}
 }
 
+// isPartBoundary reports whether a part that has reached its minimum size ends after a table.
 func isPartBoundary(table string) bool {
 	sum := sha256.Sum256([]byte(table))
 	return binary.BigEndian.Uint32(sum[:])%boundaryDivisor == 0
 }
 
-// nameParts gives contents their names, rising in order. A content that previous has keeps its name; others take
-// the names of those whose place they took, or new ones between their neighbours'.
+// assignNames returns the names of contents, in ascending order. A content that previous already has keeps its name.
+// Others reuse the names of the parts that they replace, or get new names between those of their neighbours. If there
+// are too few names between two neighbours, all parts get new names.
 func assignNames(contents []string, previous []Part) ([]string, error) {
 	matches := matchParts(contents, previous)
 	names := make([]string, len(contents))
@@ -107,7 +112,7 @@
 		for end < len(contents) && matches[end] < 0 {
 			end++
 		}
-		first, last := 0, len(previous) // the previous parts whose place this run takes
+		first, last := 0, len(previous) // the previous parts that this run replaces
 		if start > 0 {
 			first = matches[start-1] + 1
 		}
@@ -122,8 +127,8 @@
 	return names, nil
 }
 
-// nameRun names a run of new contents that stands where the previous parts from first to last stood. It is false
-// where there are too few names between the neighbours.
+// assignRunNames names a run of new contents that replaces previous[first:last]. It returns false if there are too few
+// names between the neighbours, or if a neighbour's name is not a formatted key.
 func assignRunNames(names []string, previous []Part, first, last int) bool {
 	reused := min(len(names), last-first)
 	for i := range reused {
@@ -151,10 +156,11 @@
 	return true
 }
 
+// nameAll returns new names for all parts, evenly spaced over the range of keys.
 func nameAll(count int) ([]string, error) {
 	names := make([]string, count)
 	if !assignRunNames(names, nil, 0, 0) {
-		return nil, fmt.Errorf("%d parts can't be named", count)
+		return nil, fmt.Errorf("cannot assign names to %d parts", count)
 	}
 	return names, nil
 }
@@ -169,7 +175,8 @@
 	return key, err == nil && formatKey(key) == name
 }
 
-// match tells for each content the previous part that it is, rising, or -1.
+// matchParts returns for each content the index of the previous part with the same content, or -1. The indexes of
+// matched parts are in ascending order.
 func matchParts(contents []string, previous []Part) []int {
 	matches := make([]int, len(contents))
 	start, end := 0, len(contents)
--- a/configdelta/history.go
+++ b/configdelta/history.go
@@ -2,23 +2,25 @@
 
 import "fmt"
 
-// History is the writing end: the versions that readers may have as their base, the newest last. It is not safe
-// for concurrent use.
+// History is the writer's side of a stream of increments: the versions that readers may have as their base. It is
+// not safe for concurrent use.
 type History struct {
-	maxVersions      int // versions
-	pieceBytes       int
-	states           []State
-	newestIsRollback bool            // of the newest
-	increments       map[Ref][]Piece // to the newest, by base
-	wholeState       []Piece         // of the newest
+	maxVersions      int     // kept as bases
+	pieceBytes       int     // maximum size of a piece with more than one part
+	states           []State // newest last
+	newestIsRollback bool
+	increments       map[Ref][]Piece // to the newest version, by base
+	wholeState       []Piece         // the newest version as an increment without a base; nil until requested
 }
 
-// NewHistory makes a history that keeps so many versions as bases and sends pieces of so many bytes.
+// NewHistory returns a history that keeps up to maxVersions versions as bases and divides increments into pieces of up
+// to pieceBytes bytes. It keeps at least one version, and limits pieceBytes to between 1 and MaxPieceBytes.
 func NewHistory(maxVersions, pieceBytes int) *History {
-	return &History{maxVersions: max(1, maxVersions), pieceBytes: min(max(1, pieceBytes), MaxPieceBytes), increments: map[Ref][]Piece{}}
+	return &History{maxVersions: max(1, maxVersions), pieceBytes: min(max(1, pieceBytes), MaxPieceBytes),
+		increments: map[Ref][]Piece{}}
 }
 
-// Newest is the newest version; the empty state before the first.
+// Newest returns the newest version, or the empty state if there is none yet.
 func (h *History) Newest() State {
 	if len(h.states) == 0 {
 		return State{}
@@ -26,7 +28,7 @@
 	return h.states[len(h.states)-1]
 }
 
-// Publish adds a document as the newest version.
+// Publish divides a document into parts and adds it as the newest version.
 func (h *History) Publish(number int64, epoch uint64, rollback bool, document string) error {
 	parts, err := Partition(document, h.Newest())
 	if err != nil {
@@ -40,7 +42,7 @@
 	return nil
 }
 
-// Add adds a state as the newest version, as a relay has it from its own source.
+// Add adds a state as the newest version. A relay uses it for the states that it receives from its own source.
 func (h *History) Add(state State, rollback bool) {
 	h.states = append(h.states, state)
 	if len(h.states) > h.maxVersions {
@@ -49,7 +51,7 @@
 	h.newestIsRollback, h.increments, h.wholeState = rollback, map[Ref][]Piece{}, nil
 }
 
-// Forget drops all bases but the newest version.
+// Forget removes all bases except the newest version.
 func (h *History) Forget() {
 	if len(h.states) > 0 {
 		h.states = append([]State(nil), h.Newest())
@@ -57,8 +59,8 @@
 	}
 }
 
-// From is the increment from a base to the newest version, several changes in one; from a base that is not known,
-// the whole state. None is due (nil) before the first version and to a reader that holds the newest.
+// From returns one increment that contains all changes from a base to the newest version, or the whole state if the
+// base is unknown. It returns nil if there is no version yet or if the base is the newest version.
 func (h *History) From(base Ref) []Piece {
 	if len(h.states) == 0 || base == h.Newest().Ref() {
 		return nil
@@ -70,7 +72,7 @@
 		if h.states[i].Ref() != base {
 			continue
 		}
-		// The reader is ahead of a rollback: it may go below its number by that alone.
+		// The reader may hold a higher number than a rollback. Only the rollback flag lets it accept a lower one.
 		pieces := Diff(&h.states[i], h.Newest(), h.newestIsRollback, h.pieceBytes)
 		h.increments[base] = pieces
 		return pieces
@@ -78,7 +80,7 @@
 	return h.Whole()
 }
 
-// Whole is the newest version from nothing.
+// Whole returns the newest version as an increment that needs no base.
 func (h *History) Whole() []Piece {
 	if h.wholeState == nil && len(h.states) > 0 {
 		h.wholeState = Diff(nil, h.Newest(), h.newestIsRollback, h.pieceBytes)
--- a/configdelta/increment.go
+++ b/configdelta/increment.go
@@ -1,14 +1,14 @@
 package configdelta
 
-// Target describes the version that an increment leads to. It is the same in all pieces of an increment.
+// Target describes the version that an increment produces. It is the same in all pieces of an increment.
 type Target struct {
 	Number   int64
-	Rollback bool // it may take the place of a version with a higher number
+	Rollback bool // the version may replace one with a higher number
 	Epoch    uint64
 	Hash     Hash
-	Base     Ref  // the state that the increment starts from
-	Whole    bool // it starts from nothing; Base is not looked at
-	Pieces   int  // that the increment consists of
+	Base     Ref  // the state that the increment applies to
+	Whole    bool // the increment contains the whole state; Base is ignored
+	Pieces   int  // number of pieces in the increment
 }
 
 // Piece is one message of an increment.
@@ -19,7 +19,7 @@
 	Remove []string
 }
 
-// bytes is the size of what a piece carries.
+// payloadBytes returns the total size of the names and contents in a piece.
 func (p *Piece) payloadBytes() (n int) {
 	for _, part := range p.Set {
 		n += len(part.Name) + len(part.Content)
@@ -30,8 +30,8 @@
 	return n
 }
 
-// Diff is the increment from one state to another, in pieces of no more than pieceBytes each (a larger part
-// stands alone). A nil base stands for nothing: the pieces hold the whole state.
+// Diff returns the increment from one state to another, in pieces of at most pieceBytes each (a larger part gets a
+// piece of its own). With a nil base, the pieces contain the whole state.
 func Diff(base *State, to State, rollback bool, pieceBytes int) []Piece {
 	target := Target{Number: to.Number, Rollback: rollback, Epoch: to.Epoch, Hash: to.hash, Whole: base == nil}
 	var from []Part
@@ -64,7 +64,7 @@
 	return pieces
 }
 
-// difference merges two lists of parts that are sorted by name.
+// diffParts compares two lists of parts, both sorted by name, in one pass.
 func diffParts(from, to []Part) (set []Part, remove []string) {
 	for len(from) > 0 || len(to) > 0 {
 		switch {
--- a/configdelta/reader.go
+++ b/configdelta/reader.go
@@ -6,35 +6,36 @@
 	"slices"
 )
 
-// Reader is the reading end of a stream of increments. It holds the last good state; a version that is being
-// received, or that waits for its verdict, stands beside it. It is not safe for concurrent use.
+// Reader is the receiving side of a stream of increments. It holds the last accepted state, and keeps a version that
+// is incomplete or waits for Accept or Reject separate from it. It is not safe for concurrent use.
 type Reader struct {
 	held      State
-	epoch     uint64 // the highest of a writer that was heard of
+	epoch     uint64 // highest epoch of a writer whose version was received in full
 	pending   *assembly
-	candidate *State
+	candidate *State // complete, waits for Accept or Reject
 }
 
-// assembly is an increment of which some pieces have come.
+// assembly is an increment of which some pieces have been received.
 type assembly struct {
 	target    Target
-	nextIndex int             // index of the piece that is due
-	parts     map[string]Part // the base's, changed by what has come
+	nextIndex int             // index of the next expected piece
+	parts     map[string]Part // the parts of the base with the received changes applied
 	touched   map[string]bool // parts that the increment has set or removed
 	bytes     int             // of all contents
 }
 
-// NewReader makes a reader that holds a state: what was in force when it started, or the empty state.
+// NewReader returns a reader that holds a state: the one in force when the reader starts, or the empty state.
 func NewReader(held State) *Reader { return &Reader{held: held, epoch: held.Epoch} }
 
-// Held is the last state that was accepted.
+// Held returns the last accepted state.
 func (r *Reader) Held() State { return r.held }
 
-// Disconnected forgets what was under way when a stream ended. The state held stays.
+// Disconnected discards an incomplete or not yet accepted version after a stream has ended. The held state remains.
 func (r *Reader) Disconnected() { r.pending, r.candidate = nil, nil }
 
-// Receive takes one piece in. Once all pieces of a version have come it returns the version, which is held after
-// Accept; before, it returns nil. An error is a *Refusal, and what had come of the increment is forgotten.
+// Receive processes one piece. With the last piece of an increment it returns the new version, which Accept makes the
+// held state; before that it returns nil. An error is a *Refusal, and discards the pieces received so far. Each call
+// discards a version that still waits for Accept or Reject.
 func (r *Reader) Receive(p Piece) (*State, error) {
 	pending := r.pending
 	r.pending, r.candidate = nil, nil
@@ -66,17 +67,17 @@
 	return &state, nil
 }
 
-// Accept makes the version that Receive returned the one held: it is in force.
+// Accept makes the version that Receive returned the held state, because it is now in force.
 func (r *Reader) Accept() {
 	if r.candidate != nil {
 		r.held, r.candidate = *r.candidate, nil
 	}
 }
 
-// Reject drops the version that Receive returned: it was turned down.
+// Reject discards the version that Receive returned, because its content was rejected.
 func (r *Reader) Reject() { r.candidate = nil }
 
-// checkTarget refuses a piece by its own size and by the version that it leads to.
+// checkTarget returns a refusal if a piece exceeds a limit or if the reader cannot accept the version it produces.
 func (r *Reader) checkTarget(p Piece) error {
 	if p.Pieces < 1 || p.Index < 0 || p.Index >= p.Pieces {
 		return refuse(p, Malformed, "piece %d of %d", p.Index+1, p.Pieces)
@@ -102,6 +103,7 @@
 	return nil
 }
 
+// startAssembly returns an assembly with the held parts, or with none if the increment contains the whole state.
 func (r *Reader) startAssembly(t Target) *assembly {
 	a := &assembly{target: t, parts: map[string]Part{}, touched: map[string]bool{}}
 	if t.Whole {
@@ -114,7 +116,7 @@
 	return a
 }
 
-// add takes the parts of a piece in. A part may be named once in an increment.
+// add applies the changes of a piece. An increment may name each part only once.
 func (a *assembly) add(p Piece) error {
 	for _, name := range p.Remove {
 		old, known := a.parts[name]
--- a/configdelta/refusal.go
+++ b/configdelta/refusal.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Reason is why a reader refused a piece of an increment.
+// Reason is the reason for which a reader refused a piece of an increment.
 type Reason int
 
-// The reasons.
+// Reasons for a refusal.
 const (
-	WrongBase   Reason = iota + 1 // it starts from another state than the one held
-	WrongHash                     // what it leads to is not what was announced
-	OutOfOrder                    // its number is not above the one held, and it is no rollback
-	Duplicate                     // it leads to the state that is held already
-	PieceOrder                    // a piece that does not continue the one before
-	UnknownPart                   // it removes a part that the base does not have
-	Malformed                     // it can't be read: truncated, or with a part that is none
-	Oversized                     // it is beyond a bound
-	OldEpoch                      // its writer was replaced by a later one
+	WrongBase   Reason = iota + 1 // the increment applies to a state other than the held one
+	WrongHash                     // the resulting state does not have the announced hash
+	OutOfOrder                    // the version is neither above the held one nor a rollback
+	Duplicate                     // the reader already holds the version
+	PieceOrder                    // the piece does not continue the previous one
+	UnknownPart                   // the increment removes a part that the base does not have
+	Malformed                     // the piece cannot be decoded: it is truncated or has an invalid part
+	Oversized                     // the piece or the resulting state exceeds a limit
+	OldEpoch                      // a later writer has replaced the one that sent the piece
 )
 
 func (r Reason) String() string {
@@ -27,7 +27,7 @@
 	return names[r]
 }
 
-// Refusal is the error of a piece that was refused. The state held is as it was before.
+// Refusal is the error for a refused piece. A refusal does not change the held state.
 type Refusal struct {
 	Reason Reason
 	Number int64 // of the version that was refused
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("increment to version %d refused, %v: %s", r.Number, r.Reason, r.Detail)
 }
 
-// NeedsWholeState tells whether only a whole state can mend the refusal: reader and writer do not mean the same
-// base. After any other one the reader waits for the next version.
+// NeedsWholeState reports whether only a whole state can resolve the refusal, because reader and writer disagree about
+// the base. After any other refusal the reader waits for the next version.
 func (r *Refusal) NeedsWholeState() bool {
 	switch r.Reason {
 	case WrongBase, WrongHash, PieceOrder, UnknownPart, Malformed:
--- a/configdelta/state.go
+++ b/configdelta/state.go
@@ -1,7 +1,7 @@
-// Package configdelta decides on configuration versions that travel as increments: a document is a list of named
-// parts, an increment names the state it starts from and the parts that it sets and removes, and a reader takes a
-// version only whole, from the base it holds, with the hash that was announced. It does no I/O, reads no clock,
-// starts no goroutine, and never judges what a configuration says: that is done by whoever is handed the document.
+// Package configdelta describes configuration versions as increments: a document is a list of named parts, an
+// increment names its base state and the parts that it sets and removes, and a reader accepts a version only if it is
+// complete, applies to the state that the reader holds, and has the announced hash. It does no I/O, reads no clock,
+// starts no goroutine, and does not validate the configuration, which is left to the recipient of the document.
 package configdelta
 
 import (
@@ -16,17 +16,17 @@
 	"strings"
 )
 
-// Bounds of what is held and sent, in bytes where not said otherwise.
+// Limits for states and messages, in bytes unless stated otherwise.
 const (
-	MaxStateBytes = 8 << 20   // of a document
-	MaxPartBytes  = 256 << 10 // of one part's content
-	MaxPieceBytes = 512 << 10 // of one piece, as a reader takes it
+	MaxStateBytes = 8 << 20   // size of a document
+	MaxPartBytes  = 256 << 10 // content of one part
+	MaxPieceBytes = 512 << 10 // size of one piece that a reader accepts
 	MaxPieces     = 1024      // pieces of one increment
-	MaxNameBytes  = 64        // of a part's name
+	MaxNameBytes  = 64        // length of a part's name
 )
 
-// The comment lines by which a document tells its parts, so that a reader that finds one on disk has its state
-// back. To a reader of TOML they mean nothing.
+// Comment lines that mark the parts of a document, so that a reader can restore its state from a document on disk. A
+// TOML parser ignores them.
 const (
 	headerPrefix = "#increments 1 epoch="
 	partPrefix   = "#part "
@@ -37,7 +37,7 @@
 
 func (h Hash) String() string { return hex.EncodeToString(h[:8]) }
 
-// Ref names a state that an increment starts from.
+// Ref identifies the state that an increment applies to.
 type Ref struct {
 	Number int64
 	Hash   Hash
@@ -45,14 +45,14 @@
 
 func (r Ref) String() string { return fmt.Sprintf("version %d (%v)", r.Number, r.Hash) }
 
-// Part is a named piece of a document. Parts are in the order of their names.
+// Part is a named section of a document. The parts of a document are sorted by name.
 type Part struct {
 	Name    string
-	Content string // whole lines
-	digest  Hash   // of Content
+	Content string // complete lines
+	digest  Hash   // SHA-256 of Content
 }
 
-// NewPart makes a part, or says why it can't be one.
+// NewPart returns a part, or an error if the name or the content is not allowed.
 func NewPart(name, content string) (Part, error) {
 	switch {
 	case name == "" || len(name) > MaxNameBytes || strings.Trim(name, "0123456789abcdefghijklmnopqrstuvwxyz.-") != "":
@@ -67,19 +67,19 @@
 	return Part{Name: name, Content: content, digest: sha256.Sum256([]byte(content))}, nil
 }
 
-// Digest is the SHA-256 of the part's content.
+// Digest returns the SHA-256 of the part's content.
 func (p Part) Digest() Hash { return p.digest }
 
-// State is a whole version. It is never changed after it was made; its zero value is the empty state.
+// State is a complete version. It is immutable; its zero value is the empty state.
 type State struct {
 	Number int64
 	Epoch  uint64 // of the writer that published it
-	parts  []Part // by name, rising
+	parts  []Part // sorted by name
 	hash   Hash
 	bytes  int // of all contents
 }
 
-// NewState makes a state of parts in any order.
+// NewState returns a state with the given parts, which may be in any order.
 func NewState(number int64, epoch uint64, parts []Part) (State, error) {
 	sorted := slices.SortedFunc(slices.Values(parts), func(a, b Part) int { return cmp.Compare(a.Name, b.Name) })
 	s := State{Number: number, Epoch: epoch, parts: sorted}
@@ -96,7 +96,7 @@
 	return s, nil
 }
 
-// hashOf is zero for no parts, as in the zero value of State.
+// hashOf returns the hash of a list of parts. It is zero for no parts, as in the zero value of State.
 func hashOf(parts []Part) (sum Hash) {
 	if len(parts) == 0 {
 		return sum
@@ -111,19 +111,19 @@
 	return sum
 }
 
-// Ref names the state as the base of an increment.
+// Ref identifies the state as the base of an increment.
 func (s State) Ref() Ref { return Ref{s.Number, s.hash} }
 
-// Hash is the hash of the state's content.
+// Hash returns the hash of the state's parts.
 func (s State) Hash() Hash { return s.hash }
 
-// Bytes is the size of the content.
+// Bytes returns the total size of the parts' contents.
 func (s State) Bytes() int { return s.bytes }
 
-// Parts are the state's parts in order, not to be changed.
+// Parts returns the state's parts, sorted by name. The caller must not modify them.
 func (s State) Parts() []Part { return s.parts }
 
-// Document is the state as one document, with the lines that tell its parts.
+// Document returns the state as one document, with the lines that mark its parts.
 func (s State) Document() []byte {
 	var b bytes.Buffer
 	b.Grow(s.bytes + len(s.parts)*(len(partPrefix)+MaxNameBytes/2) + 64)
@@ -137,10 +137,10 @@
 	return b.Bytes()
 }
 
-// ErrNoPartMarkers says that a document does not tell its parts: it did not come from increments.
+// ErrNoPartMarkers reports a document without lines that mark its parts: it was not built from increments.
 var ErrNoPartMarkers = errors.New("the document does not tell its parts")
 
-// ParseDocument reads a state back from its document.
+// ParseDocument restores a state from its document.
 func ParseDocument(number int64, document []byte) (State, error) {
 	epoch, parts, err := SplitDocument(string(document))
 	if err != nil {
@@ -149,7 +149,7 @@
 	return NewState(number, epoch, parts)
 }
 
-// SplitDocument reads the parts of a document, in order.
+// SplitDocument returns the writer's epoch and the parts that are marked in a document, in order.
 func SplitDocument(document string) (epoch uint64, parts []Part, err error) {
 	head, rest, _ := strings.Cut(document, "\n")
 	text, ok := strings.CutPrefix(head, headerPrefix)
--- a/internal/deltastream/relay.go
+++ b/internal/deltastream/relay.go
@@ -11,9 +11,9 @@
 	"junctionring/internal/controlplane"
 )
 
-// Relay serves the readers of a zone with what one upstream stream brings, so that a control service sends each
-// increment once to a zone. To the upstream's client it is a gateway that takes every whole version: what a version
-// says is judged by the gateways behind it.
+// Relay serves the readers of a zone from one upstream stream, so that a control service sends each increment only
+// once to a zone. To the client of the upstream stream it is a gateway that accepts every complete version; the
+// gateways behind the relay validate the content.
 type Relay struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	server *Server
@@ -22,7 +22,7 @@
 	state configdelta.State
 }
 
-// NewRelay makes a relay with the options of New.
+// NewRelay returns a relay. The parameters are those of New.
 func NewRelay(maxVersions, pieceBytes int, onAnswer func(Answer)) *Relay {
 	return &Relay{server: New(maxVersions, pieceBytes, onAnswer)}
 }
@@ -57,7 +57,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if number != r.state.Number {
-		return nil, errors.New("the relay has another version")
+		return nil, errors.New("the relay holds a different version")
 	}
 	return r.state.Document(), nil
 }
--- a/internal/deltastream/server.go
+++ b/internal/deltastream/server.go
@@ -1,6 +1,6 @@
-// Package deltastream is the serving end of configuration increments over Envoy's published incremental discovery
-// service (delta ADS, v3). It owns the streams: what each reader holds, which piece is out, and what was answered.
-// Which increment leads where is decided in package configdelta; where versions come from is the caller's affair.
+// Package deltastream serves configuration increments over Envoy's incremental discovery service (delta ADS, v3), and
+// tracks for each stream which state the reader holds, which piece was sent and how the reader answered. It does not
+// compute increments, which package configdelta does, and does not decide where versions come from.
 package deltastream
 
 import (
@@ -16,29 +16,29 @@
 
 var errStreamEnded = errors.New("the reader ended its stream")
 
-// Answer is what a reader said of a version.
+// Answer is a reader's answer to a version.
 type Answer struct {
 	Node   string
 	Number int64
-	Reason string // empty: it is in force there
+	Reason string // empty if the version is in force at the reader
 }
 
-// Server serves increments to any number of readers. Its methods may be called from anywhere.
+// Server serves increments to any number of readers. It is safe for concurrent use.
 type Server struct {
 	mu       sync.Mutex
 	history  *configdelta.History
-	changed  chan struct{} // closed when there is a newer version, or the server is stalled or goes on
+	changed  chan struct{} // closed when a version is added or Stall is called, and then replaced
 	stalled  bool
 	onAnswer func(Answer)
 }
 
-// New makes a server that keeps so many versions as bases and sends pieces of so many bytes. answered is told of
-// each answer; it must not wait.
+// New returns a server that keeps up to maxVersions versions as bases and sends pieces of up to pieceBytes bytes. It
+// calls onAnswer for each answer to a version; onAnswer must not block.
 func New(maxVersions, pieceBytes int, onAnswer func(Answer)) *Server {
 	return &Server{history: configdelta.NewHistory(maxVersions, pieceBytes), changed: make(chan struct{}), onAnswer: onAnswer}
 }
 
-// Publish has all readers sent a document as the next version.
+// Publish adds a document as the next version to send to all readers.
 func (s *Server) Publish(number int64, epoch uint64, rollback bool, document string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Add has all readers sent a state as the next version.
+// Add adds a state as the next version to send to all readers.
 func (s *Server) Add(state configdelta.State, rollback bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,14 +57,14 @@
 	s.notifyStreams()
 }
 
-// Forget drops all bases but the newest version.
+// Forget removes all bases except the newest version.
 func (s *Server) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history.Forget()
 }
 
-// Stall keeps the streams open and sends nothing until it is called with false.
+// Stall with true stops sending increments, but keeps the streams open, until it is called with false.
 func (s *Server) Stall(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,20 +72,21 @@
 	s.notifyStreams()
 }
 
+// notifyStreams wakes the streams that wait for a change. The caller holds s.mu.
 func (s *Server) notifyStreams() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// session is one reader's stream.
+// session is the stream of one reader.
 type session struct {
 	server          *Server
 	stream          discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer
 	requests        chan *discovery.DeltaDiscoveryRequest
 	node            string
 	base            configdelta.Ref
-	lastRefused     configdelta.Ref // the last version that the reader turned down: it is not sent again
-	needsWholeState bool            // only a whole state helps
+	lastRefused     configdelta.Ref // last version that the reader refused; it is not sent again
+	needsWholeState bool            // the next increment must contain the whole state
 }
 
 // Serve serves one stream until it ends.
@@ -110,7 +111,7 @@
 		}
 		select {
 		case <-changed:
-		case _, open := <-reader.requests: // an answer to nothing, or the end
+		case _, open := <-reader.requests: // an answer that nothing waits for, or the end of the stream
 			if !open {
 				return nil
 			}
@@ -118,7 +119,7 @@
 	}
 }
 
-// receive hands requests on until the stream ends.
+// forwardRequests passes received requests to r.requests until the stream ends.
 func (r *session) forwardRequests() {
 	defer close(r.requests)
 	for {
@@ -134,7 +135,7 @@
 	}
 }
 
-// due is what the reader is to be sent now; with nothing due, what to wait for.
+// duePieces returns the pieces to send now, if any, and a channel that is closed at the next change.
 func (r *session) duePieces() ([]configdelta.Piece, <-chan struct{}) {
 	s := r.server
 	s.mu.Lock()
@@ -149,7 +150,7 @@
 	return s.history.From(r.base), s.changed
 }
 
-// sendAll sends the pieces of one increment, each once the one before was answered.
+// sendAll sends the pieces of one increment, each after the previous one was answered.
 func (r *session) sendAll(pieces []configdelta.Piece) error {
 	for _, piece := range pieces {
 		message, err := controlplane.EncodePiece(piece)
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// answerTo waits for the answer to one message.
+// waitForAnswer waits for the reader's answer to one message.
 func (r *session) waitForAnswer(nonce string) (*discovery.DeltaDiscoveryRequest, error) {
 	for request := range r.requests {
 		if request.ResponseNonce == nonce {
@@ -184,8 +185,8 @@
 	return nil, errStreamEnded
 }
 
-// turnedDown decides what follows a refusal: the whole state, once, where reader and server do not mean the same
-// base; else the next version.
+// handleRefusal determines what is sent after a refusal: the whole state, once, if reader and server disagree about
+// the base, otherwise the next version.
 func (r *session) handleRefusal(piece configdelta.Piece, answer *discovery.DeltaDiscoveryRequest) {
 	if codes.Code(answer.ErrorDetail.Code) == codes.FailedPrecondition && !piece.Whole {
 		r.needsWholeState = true
--- a/internal/deltastream/server_test.go
+++ b/internal/deltastream/server_test.go
@@ -26,13 +26,13 @@
 	return s.server.Serve(stream)
 }
 
-// reader is one stream whose answers a test gives.
+// reader is the client side of one stream. The test determines its answers.
 type reader struct {
 	t      *testing.T
 	stream discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 }
 
-// openStream begins a stream of a reader that holds a base.
+// openStream opens a stream for a reader that holds a base.
 func openStream(t *testing.T, s *deltastream.Server, base configdelta.Ref) *reader {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 	}
 }
 
-// expect receives a piece that leads to a version, and answers it with a code.
+// expect receives a piece of the given version and answers it with a status code.
 func (r *reader) expect(number int64, whole bool, code codes.Code) {
 	r.t.Helper()
 	m, err := r.stream.Recv()
@@ -94,8 +94,8 @@
 	return b.String()
 }
 
-// What follows an answer: after a refusal of the base the whole state, once; after any other the next version; after
-// an acknowledgement the next change alone.
+// After a refusal of the base, the server must send the whole state, once; after any other refusal, the next version;
+// after an acknowledgement, only the next change.
 func TestWhatFollowsAnAnswer(t *testing.T) {
 	var answers []deltastream.Answer
 	notified := make(chan struct{}, 16)
@@ -110,7 +110,7 @@
 		}
 	}
 	publish(1)
-	r := openStream(t, s, configdelta.Ref{Number: 9}) // no base that the server knows
+	r := openStream(t, s, configdelta.Ref{Number: 9}) // a base that the server does not know
 	r.expect(1, true, codes.OK)
 	<-notified
 	publish(2)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,5 @@
-// Package snapshot keeps the last good configuration version on disk: one file, replaced as a whole. It owns the
-// file's form and the order of writes that makes a death at any moment leave the old one or the new one. It never
-// judges the content.
+// Package snapshot keeps the last good configuration version on disk in one file, whose format and order of writes
+// ensure that a crash at any moment leaves either the old version or the new one. It does not validate the content.
 package snapshot
 
 import (
@@ -18,20 +17,20 @@
 )
 
 const (
-	headerPrefix    = "junctionring-snapshot 1" // the first word of the first line, and the format's number
-	maxContentBytes = 64 << 20                  // bytes of a content
+	headerPrefix    = "junctionring-snapshot 1" // first word of the first line, and the format's version
+	maxContentBytes = 64 << 20                  // limit for a content that Load reads
 )
 
-// Version is what is kept.
+// Version is a numbered configuration version.
 type Version struct {
 	Number  int64
 	Content []byte
 }
 
-// Digest is the checksum of a content: what tells two contents of one number apart.
+// Digest returns the checksum of a content. It distinguishes two contents with the same number.
 func Digest(content []byte) uint64 { return xxhash.Sum64(content) }
 
-// checksum covers the number, too: a content under another number is another version.
+// checksum covers the number as well: the same content under another number is another version.
 func checksum(v Version) uint64 {
 	d := xxhash.New()
 	fmt.Fprintln(d, v.Number)
@@ -39,8 +38,8 @@
 	return d.Sum64()
 }
 
-// Save replaces the file at path: a temporary file beside it, fsync, rename, fsync of the folder. After an error
-// the old file stands.
+// Save replaces the file at path: it writes and syncs a temporary file in the same directory, renames it, and syncs
+// the directory. After an error before or in the rename, the old file remains.
 func Save(path string, v Version) (err error) {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, filepath.Base(path)+".new-*")
@@ -74,18 +73,18 @@
 	return dirFile.Sync()
 }
 
-// ErrNone says that there is no snapshot.
+// ErrNone reports that there is no snapshot file.
 var ErrNone = errors.New("there is no snapshot")
 
-// CorruptError is a file that is no whole snapshot. It was set aside.
+// CorruptError reports a file that is not a complete snapshot. The file has been renamed to MovedTo.
 type CorruptError struct{ Path, MovedTo, Reason string }
 
 func (s *CorruptError) Error() string {
-	return fmt.Sprintf("%s is no whole snapshot (%s); it was set aside as %s", s.Path, s.Reason, s.MovedTo)
+	return fmt.Sprintf("snapshot %s is corrupt (%s); it was renamed to %s", s.Path, s.Reason, s.MovedTo)
 }
 
-// Load reads the file whole or not at all: one that is spoilt is set aside and named. What a death left of a save
-// that was under way is removed.
+// Load reads a snapshot and verifies that it is complete. It renames a corrupt file and returns a *CorruptError, and
+// removes the temporary files of interrupted saves.
 func Load(path string) (Version, error) {
 	if leftovers, err := filepath.Glob(path + ".new-*"); err == nil {
 		for _, name := range leftovers {
@@ -110,35 +109,35 @@
 	}
 	movedTo := path + ".spoilt"
 	if err := os.Rename(path, movedTo); err != nil {
-		return Version{}, fmt.Errorf("%s is no whole snapshot (%s), and can't be set aside: %w", path, reason, err)
+		return Version{}, fmt.Errorf("snapshot %s is corrupt (%s) and cannot be renamed: %w", path, reason, err)
 	}
 	return Version{}, &CorruptError{path, movedTo, reason}
 }
 
-// Decode reads a snapshot's bytes, or says why they are none.
+// Decode decodes the contents of a snapshot file, or returns the reason why they are not a complete snapshot.
 func Decode(raw []byte) (v Version, reason string) {
 	line, content, ok := bytes.Cut(raw, []byte("\n"))
 	if !ok || len(line) > 200 {
-		return v, "it has no first line"
+		return v, "missing or overlong header line"
 	}
 	rest, ok := strings.CutPrefix(string(line), headerPrefix+" ")
 	if !ok {
-		return v, "it is of another format"
+		return v, "unknown format"
 	}
 	fields := strings.Fields(rest)
 	if len(fields) != 3 {
-		return v, "its first line is cut"
+		return v, "wrong number of fields in the header line"
 	}
 	number, err1 := strconv.ParseInt(fields[0], 10, 64)
 	digest, err2 := strconv.ParseUint(fields[1], 16, 64)
 	size, err3 := strconv.Atoi(fields[2])
 	switch {
 	case errors.Join(err1, err2, err3) != nil || number < 0:
-		return v, "its first line holds no numbers"
+		return v, "invalid number in the header line"
 	case size != len(content):
-		return v, fmt.Sprintf("%d bytes where %d are due", len(content), size)
+		return v, fmt.Sprintf("content has %d bytes, header line says %d", len(content), size)
 	case checksum(Version{number, content}) != digest:
-		return v, "its checksum does not fit"
+		return v, "checksum mismatch"
 	}
 	return Version{number, content}, ""
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -16,7 +16,7 @@
 func TestSaveAndLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config")
 	if _, err := Load(path); !errors.Is(err, ErrNone) {
-		t.Errorf("none: %v", err)
+		t.Errorf("Load without a file: %v", err)
 	}
 	for n := range int64(3) {
 		want := Version{n, bytes.Repeat([]byte{byte(n)}, int(n)*1000)}
@@ -28,11 +28,12 @@
 		}
 	}
 	if files, _ := filepath.Glob(path + "*"); len(files) != 1 {
-		t.Errorf("left behind: %v", files)
+		t.Errorf("files after saving: %v", files)
 	}
 }
 
-// Cut anywhere or changed anywhere it is no snapshot, is named, set aside, and a start goes on without.
+// A file that is truncated or altered at any byte must not decode to another version. Load reports a truncated file and
+// renames it, and the next Load finds no snapshot.
 func TestSpoiltIsSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config")
 	if err := Save(path, Version{7, []byte("listen = 1\nplan = 2\n")}); err != nil {
@@ -51,9 +52,9 @@
 	}
 	cases = append(cases, append(bytes.Clone(whole), 'x'))
 	for i, c := range cases {
-		// Only what says the same in other letters (a digest in capitals) may pass.
+		// An altered file may decode only to the same version, for example with a checksum in capital letters.
 		if v, reason := Decode(c); reason == "" && (v.Number != 7 || !bytes.Equal(v.Content, []byte("listen = 1\nplan = 2\n"))) {
-			t.Fatalf("case %d is taken: %+v", i, v)
+			t.Fatalf("case %d was decoded: %+v", i, v)
 		}
 	}
 	if err := os.WriteFile(path, whole[:len(whole)-3], 0o600); err != nil {
@@ -67,22 +68,22 @@
 		t.Error(err)
 	}
 	if _, err := Load(path); !errors.Is(err, ErrNone) {
-		t.Errorf("then: %v", err)
+		t.Errorf("Load after the corrupt file was renamed: %v", err)
 	}
 }
 
 func TestFolderThatCantBeWritten(t *testing.T) {
 	if err := Save(filepath.Join(t.TempDir(), "none", "config"), Version{1, nil}); err == nil {
-		t.Error("saved nowhere")
+		t.Error("Save to a missing directory succeeded")
 	}
 }
 
-// A program that is killed while it saves, at any moment, leaves the last version that it said was saved, or a
-// newer one. TestMain's child is that program.
+// A process that is killed at any moment while it saves must leave the last version that it reported as saved, or a
+// newer one. TestChild is that process.
 func TestKilledWhileSaving(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config")
 	rounds := 20
-	if n, err := strconv.Atoi(os.Getenv("SNAPSHOT_ROUNDS")); err == nil { // the measurement takes 200
+	if n, err := strconv.Atoi(os.Getenv("SNAPSHOT_ROUNDS")); err == nil { // 200 for a measurement
 		rounds = n
 	}
 	for round := range rounds {
@@ -101,7 +102,7 @@
 			b.ReadFrom(out)
 			output <- b.String()
 		}()
-		time.Sleep(time.Duration(20+7*(round%40)) * time.Millisecond) // any moment will do
+		time.Sleep(time.Duration(20+7*(round%40)) * time.Millisecond) // kills at a different moment in each round
 		cmd.Process.Kill()
 		text := <-output
 		cmd.Wait()
@@ -117,7 +118,7 @@
 			continue
 		}
 		if err != nil || v.Number < saved {
-			t.Fatalf("round %d: version %d, %v; %d was saved", round, v.Number, err, saved)
+			t.Fatalf("round %d: loaded version %d, %v; version %d was reported as saved", round, v.Number, err, saved)
 		}
 	}
 }
@@ -145,7 +146,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		v, reason := Decode(raw)
 		if reason == "" && !bytes.HasSuffix(raw, v.Content) {
-			t.Error("a content that is not there")
+			t.Error("the decoded content is not the end of the input")
 		}
 	})
 }
