--- a/internal/deltastream/server_test.go
+++ b/internal/deltastream/server_test.go
@@ -26,14 +26,14 @@
 	return s.server.Serve(stream)
 }
 
-// reader is one stream whose answers a test gives.
+// reader is the client side of one stream. The test determines its answers.
 type reader struct {
 	t      *testing.T
 	stream discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 }
 
-// open begins a stream of a reader that holds a base.
-func open(t *testing.T, s *deltastream.Server, base configdelta.Ref) *reader {
+// openStream opens a stream for a reader that holds a base.
+func openStream(t *testing.T, s *deltastream.Server, base configdelta.Ref) *reader {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// expect receives a piece that leads to a version, and answers it with a code.
+// expect receives a piece of the given version and answers it with a status code.
 func (r *reader) expect(number int64, whole bool, code codes.Code) {
 	r.t.Helper()
 	m, err := r.stream.Recv()
@@ -86,7 +86,7 @@
 	r.send(request)
 }
 
-func text(changed int) string {
+func document(changed int) string {
 	var b strings.Builder
 	for i := range 100 {
 		fmt.Fprintf(&b, "[[route]]\npath = \"/resource-%d/*\"\nclass = \"%v\"\n", i, i == changed)
@@ -94,41 +94,41 @@
 	return b.String()
 }
 
-// What follows an answer: after a refusal of the base the whole state, once; after any other the next version; after
-// an acknowledgement the next change alone.
+// After a refusal of the base, the server must send the whole state, once; after any other refusal, the next version;
+// after an acknowledgement, only the next change.
 func TestWhatFollowsAnAnswer(t *testing.T) {
 	var answers []deltastream.Answer
-	told := make(chan struct{}, 16)
+	notified := make(chan struct{}, 16)
 	s := deltastream.New(8, 64<<10, func(a deltastream.Answer) {
 		answers = append(answers, a)
-		told <- struct{}{}
+		notified <- struct{}{}
 	})
 	publish := func(number int64) {
 		t.Helper()
-		if err := s.Publish(number, 1, false, text(int(number))); err != nil {
+		if err := s.Publish(number, 1, false, document(int(number))); err != nil {
 			t.Fatal(err)
 		}
 	}
 	publish(1)
-	r := open(t, s, configdelta.Ref{Number: 9}) // no base that the server knows
+	r := openStream(t, s, configdelta.Ref{Number: 9}) // a base that the server does not know
 	r.expect(1, true, codes.OK)
-	<-told
+	<-notified
 	publish(2)
 	r.expect(2, false, codes.FailedPrecondition)
 	r.expect(2, true, codes.FailedPrecondition)
-	<-told
+	<-notified
 	publish(3)
 	r.expect(3, true, codes.OK)
-	<-told
+	<-notified
 	publish(4)
 	r.expect(4, false, codes.InvalidArgument)
-	<-told
+	<-notified
 	publish(5)
 	r.expect(5, false, codes.Aborted)
-	<-told
+	<-notified
 	publish(6)
 	r.expect(6, false, codes.OK)
-	<-told
+	<-notified
 	for i, want := range []string{"", "refused by the test", "", "refused by the test", "refused by the test", ""} {
 		if answers[i].Number != int64(i+1) || answers[i].Reason != want {
 			t.Errorf("answer %d: %+v", i, answers[i])
