--- a/internal/ingress/drain_test.go
+++ b/internal/ingress/drain_test.go
@@ -15,48 +15,48 @@
 // A server that a whole list leaves out is gone, though it still answers: what is out is finished, and nothing new comes
 // to it from the moment the list is taken.
 func TestAbsentFromAWholeListGetsNothingNew(t *testing.T) {
-	const later = 40
-	absent, left := newPeer(t), newPeer(t)
+	const laterRequests = 40
+	absent, listed := newTestServer(t), newTestServer(t)
 	address, c := start(t, fleet(), absent)
 	request := func(i int) string {
-		return strings.Replace(view, "9b1f03aa5c7e2d41", fmt.Sprintf("9b1f03aa5c7e%04d", i), 1)
+		return strings.Replace(viewRequest, "9b1f03aa5c7e2d41", fmt.Sprintf("9b1f03aa5c7e%04d", i), 1)
 	}
 	one := dial(t, address)
 	io.WriteString(one, request(1))
-	out := <-absent.got
-	c.Routes(table(control.Ready, left))
+	pending := <-absent.requests
+	c.Routes(table(control.Ready, listed))
 	c.Settle()
-	absent.answer(out, ok)
-	one.served(t)
+	absent.answer(pending, okAnswer)
+	one.expectOK(t)
 	go func() {
-		for r := range left.got {
-			left.answer(r, ok)
+		for r := range listed.requests {
+			listed.answer(r, okAnswer)
 		}
 	}()
 	served := 0
-	for i := range later { // a machine that is short may have some refused
+	for i := range laterRequests { // a machine that is short may have some refused
 		client := dial(t, address)
-		if resp, _ := client.ask(t, request(100+i)); resp.StatusCode == 200 {
+		if resp, _ := client.roundTrip(t, request(100+i)); resp.StatusCode == 200 {
 			served++
 		}
 	}
 	if served == 0 {
 		t.Error("the server that is left serves nothing")
 	}
-	if n := len(absent.got); n > 0 {
-		t.Errorf("%d of %d later requests went to the server that is gone", n, later)
+	if n := len(absent.requests); n > 0 {
+		t.Errorf("%d of %d later requests went to the server that is gone", n, laterRequests)
 	}
 }
 
 // What waits for a connection to a server that a whole list leaves out is not sent there.
 func TestQueuedSendIsDroppedWhenAWholeListLeavesItsServerOut(t *testing.T) {
-	absent := newPeer(t)
+	absent := newTestServer(t)
 	f := egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1})
 	address, c := start(t, f, absent)
 	one, two := dial(t, address), dial(t, address)
-	io.WriteString(one, view)
-	out := <-absent.got // it holds the only connection
-	io.WriteString(two, strings.Replace(view, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", 1))
+	io.WriteString(one, viewRequest)
+	pending := <-absent.requests // it holds the only connection
+	io.WriteString(two, strings.Replace(viewRequest, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", 1))
 	waiting := make(chan int, 1)
 	go func() {
 		resp, err := http.ReadResponse(two.in, nil)
@@ -71,9 +71,9 @@
 	if status := <-waiting; status != 503 {
 		t.Errorf("the request that waited was answered %d", status)
 	}
-	absent.answer(out, ok)
-	one.served(t)
-	if len(absent.got) > 0 {
+	absent.answer(pending, okAnswer)
+	one.expectOK(t)
+	if len(absent.requests) > 0 {
 		t.Error("a server that is gone got something new")
 	}
 }
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -28,25 +28,25 @@
 type gateway struct {
 	address string
 	core    *core.Core
-	figures *telemetry.Figures
+	metrics *telemetry.Figures
 }
 
 // stage holds the request of a client at one point of its way. hold sends the message on the client's connection and
 // returns once it is held there, with what releases it and with the peers that must not see it.
 type stage struct {
 	name string
-	hold func(t *testing.T, leaver *client, message string) (g gateway, release func(), peers []*peer)
+	hold func(t *testing.T, leavingClient *client, message string) (g gateway, release func(), servers []*testServer)
 }
 
 // limitedFleet has so many connections in all.
-func limitedFleet(conns int) *egress.Fleet {
+func fleetWithConns(conns int) *egress.Fleet {
 	return egress.NewFleet(egress.Options{ConnectTimeout: 5 * time.Second, ConnIdle: time.Minute, Conns: conns})
 }
 
-func startGateway(t *testing.T, fleet *egress.Fleet, settings control.Settings, totals core.Counter, peers ...*peer) gateway {
-	figures := telemetry.New("svc")
-	address, c, _ := startSettings(t, 64, fleet, figures, settings, totals, peers...)
-	return gateway{address, c, figures}
+func startGateway(t *testing.T, fleet *egress.Fleet, settings control.Settings, quotaCounter core.Counter, servers ...*testServer) gateway {
+	metrics := telemetry.New("svc")
+	address, c, _ := startWithSettings(t, 64, fleet, metrics, settings, quotaCounter, servers...)
+	return gateway{address, c, metrics}
 }
 
 // connect gives a client that was made before its gateway its connection.
@@ -55,7 +55,7 @@
 }
 
 // lineCounter is a counter that answers no call before it is released.
-func lineCounter(t *testing.T) (address string, called chan struct{}, release func()) {
+func blockingCounter(t *testing.T) (address string, called chan struct{}, release func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -68,13 +68,13 @@
 			if err != nil {
 				return
 			}
-			go answerCalls(c, called, released)
+			go serveCounterCalls(c, called, released)
 		}
 	}()
 	return l.Addr().String(), called, sync.OnceFunc(func() { close(released) })
 }
 
-func answerCalls(c net.Conn, called chan<- struct{}, released <-chan struct{}) {
+func serveCounterCalls(c net.Conn, called chan<- struct{}, released <-chan struct{}) {
 	defer c.Close()
 	in := bufio.NewScanner(c)
 	for in.Scan() {
@@ -89,45 +89,45 @@
 }
 
 // holdForCounter holds a first request of a customer of whom only the counter can tell.
-func holdForCounter(t *testing.T, leaver *client, message string) (gateway, func(), []*peer) {
+func holdForCounter(t *testing.T, leavingClient *client, message string) (gateway, func(), []*testServer) {
 	settings := defaultSettings()
 	settings.Gateways = 100
 	settings.Plans[0] = control.Plan{Rate: 2, Burst: 6, Worth: 1, OverCost: 1}
 	settings.Counter = control.CounterInfo{Allowed: true, Timeout: 0.7}
-	address, called, release := lineCounter(t)
+	address, called, release := blockingCounter(t)
 	line := counter.NewLineClient(address, 700*time.Millisecond)
 	go line.Run(t.Context())
-	p := newPeer(t)
-	g := startGateway(t, limitedFleet(16), settings, line, p)
-	leaver.connect(t, g.address)
-	io.WriteString(leaver, strings.Replace(message, "spread=1", "spread=4", 1))
+	p := newTestServer(t)
+	g := startGateway(t, fleetWithConns(16), settings, line, p)
+	leavingClient.connect(t, g.address)
+	io.WriteString(leavingClient, strings.Replace(message, "spread=1", "spread=4", 1))
 	<-called
-	return g, release, []*peer{p}
+	return g, release, []*testServer{p}
 }
 
 // holdBetweenAttempts holds a request whose first attempt was turned away, and whose second waits for a connection: that
 // of the only server which is ready by then does not come up.
-func holdBetweenAttempts(t *testing.T, leaver *client, message string) (gateway, func(), []*peer) {
-	one, two := newPeer(t), newFullPeer(t)
-	g := startGateway(t, limitedFleet(16), defaultSettings(), uncounted{}, one)
-	leaver.connect(t, g.address)
-	io.WriteString(leaver, message)
-	first := <-one.got
-	g.core.Routes(mixed(one, control.Draining, two, control.Ready))
+func holdBetweenAttempts(t *testing.T, leavingClient *client, message string) (gateway, func(), []*testServer) {
+	one, two := newTestServer(t), newTestServerWithFullBacklog(t)
+	g := startGateway(t, fleetWithConns(16), defaultSettings(), rejectingCounter{}, one)
+	leavingClient.connect(t, g.address)
+	io.WriteString(leavingClient, message)
+	first := <-one.requests
+	g.core.Routes(tableWithStates(one, control.Draining, two, control.Ready))
 	g.core.Settle()
 	one.answer(first, "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
-	two.awaitHandshake(t)
-	return g, func() { go two.accept() }, []*peer{one, two}
+	two.awaitPendingHandshake(t)
+	return g, func() { go two.acceptConns() }, []*testServer{one, two}
 }
 
-func mixed(one *peer, oneState control.MemberState, two *peer, twoState control.MemberState) core.Table {
+func tableWithStates(one *testServer, oneState control.MemberState, two *testServer, twoState control.MemberState) core.Table {
 	all := table(oneState, one)
 	all.Targets = append(all.Targets, table(twoState, two).Targets...)
 	return all
 }
 
 // newFullPeer is a server whose connections do not come up before it accepts: the queue of its listener is full.
-func newFullPeer(t *testing.T) *peer {
+func newTestServerWithFullBacklog(t *testing.T) *testServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -142,51 +142,51 @@
 		t.Fatal(err)
 	}
 	dial(t, l.Addr().String())
-	return &peer{l, make(chan *received, 64), make(chan net.Conn, 64)}
+	return &testServer{l, make(chan *receivedRequest, 64), make(chan net.Conn, 64)}
 }
 
 // holdWhileDialling holds a request whose connection does not come up.
-func holdWhileDialling(t *testing.T, leaver *client, message string) (gateway, func(), []*peer) {
-	p := newFullPeer(t)
-	g := startGateway(t, limitedFleet(16), defaultSettings(), uncounted{}, p)
-	leaver.connect(t, g.address)
-	io.WriteString(leaver, message)
-	p.awaitHandshake(t)
-	return g, func() { go p.accept() }, []*peer{p}
+func holdWhileDialling(t *testing.T, leavingClient *client, message string) (gateway, func(), []*testServer) {
+	p := newTestServerWithFullBacklog(t)
+	g := startGateway(t, fleetWithConns(16), defaultSettings(), rejectingCounter{}, p)
+	leavingClient.connect(t, g.address)
+	io.WriteString(leavingClient, message)
+	p.awaitPendingHandshake(t)
+	return g, func() { go p.acceptConns() }, []*testServer{p}
 }
 
 // awaitHandshake waits until a connection to the server is being opened, and does not come up.
-func (p *peer) awaitHandshake(t *testing.T) {
+func (p *testServer) awaitPendingHandshake(t *testing.T) {
 	t.Helper()
-	look := time.NewTicker(5 * time.Millisecond)
-	defer look.Stop()
-	opening := fmt.Sprintf(":%04X 02 ", p.Addr().(*net.TCPAddr).Port) // the far port, and the state SYN_SENT
-	for late := time.Now().Add(10 * time.Second); ; <-look.C {
+	poll := time.NewTicker(5 * time.Millisecond)
+	defer poll.Stop()
+	synSent := fmt.Sprintf(":%04X 02 ", p.Addr().(*net.TCPAddr).Port) // the far port, and the state SYN_SENT
+	for deadline := time.Now().Add(10 * time.Second); ; <-poll.C {
 		text, err := os.ReadFile("/proc/self/net/tcp")
 		if err != nil {
 			t.Fatal("the kernel's list of connections cannot be read: ", err)
 		}
-		if strings.Contains(string(text), opening) {
+		if strings.Contains(string(text), synSent) {
 			return
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			t.Fatal("no connection is being opened")
 		}
 	}
 }
 
 // holdForConnection holds a request that waits for the only connection.
-func holdForConnection(t *testing.T, leaver *client, message string) (gateway, func(), []*peer) {
-	p := newPeer(t)
-	g := startGateway(t, limitedFleet(1), defaultSettings(), uncounted{}, p)
-	occupant := dial(t, g.address)
-	io.WriteString(occupant, numbered(view, 1000))
-	held := <-p.got
-	leaver.connect(t, g.address)
-	io.WriteString(leaver, message)
-	holds(t, g.figures, 2)
+func holdForConnection(t *testing.T, leavingClient *client, message string) (gateway, func(), []*testServer) {
+	p := newTestServer(t)
+	g := startGateway(t, fleetWithConns(1), defaultSettings(), rejectingCounter{}, p)
+	busyClient := dial(t, g.address)
+	io.WriteString(busyClient, withID(viewRequest, 1000))
+	held := <-p.requests
+	leavingClient.connect(t, g.address)
+	io.WriteString(leavingClient, message)
+	awaitHeldRequests(t, g.metrics, 2)
 	g.core.Settle()
-	return g, func() { p.answer(held, ok) }, []*peer{p}
+	return g, func() { p.answer(held, okAnswer) }, []*testServer{p}
 }
 
 // reload gives each class other rules, as SIGHUP does.
@@ -221,11 +221,11 @@
 	t.Run("stages", func(t *testing.T) {
 		for _, stage := range stages {
 			for _, reload := range reloads {
-				for _, leaving := range leavings {
-					for _, message := range []string{view, move} {
-						t.Run(fmt.Sprintf("%s, %s, %s, %s", stage.name, reload.name, leaving.name, message[:4]), func(t *testing.T) {
+				for _, disconnect := range disconnects {
+					for _, message := range []string{viewRequest, moveRequest} {
+						t.Run(fmt.Sprintf("%s, %s, %s, %s", stage.name, reload.name, disconnect.name, message[:4]), func(t *testing.T) {
 							t.Parallel()
-							sent := leavesAt(t, stage, reload.before, reload.after, leaving.leave, message)
+							sent := attemptsAfterDisconnect(t, stage, reload.before, reload.after, disconnect.run, message)
 							mu.Lock()
 							defer mu.Unlock()
 							left++
@@ -240,44 +240,44 @@
 }
 
 // leavesAt counts the attempts that are made for a client which leaves while its request is held.
-func leavesAt(t *testing.T, stage stage, reloadBefore, reloadAfter bool, leave func(*net.TCPConn), message string) (begun int) {
-	leaver := &client{}
-	g, release, peers := stage.hold(t, leaver, numbered(message, 3))
-	held := g.figures.Concurrent.Load()
+func attemptsAfterDisconnect(t *testing.T, stage stage, reloadBefore, reloadAfter bool, disconnect func(*net.TCPConn), message string) (begun int) {
+	leavingClient := &client{}
+	g, release, servers := stage.hold(t, leavingClient, withID(message, 3))
+	held := g.metrics.Concurrent.Load()
 	if reloadBefore {
 		g.reload()
 	}
-	leave(leaver.Conn.(*net.TCPConn))
-	holds(t, g.figures, held-1)
+	disconnect(leavingClient.Conn.(*net.TCPConn))
+	awaitHeldRequests(t, g.metrics, held-1)
 	if reloadAfter {
 		g.reload()
 	}
 	g.core.Settle()
 	release()
-	return nextIsAnothers(t, g, peers)
+	return attemptsBeforeNextRequest(t, g, servers)
 }
 
 // nextIsAnothers has another client ask until a server sees its request, and counts those that are seen before it. One
 // whose time is up before its connection is there is answered, and sent anew.
-func nextIsAnothers(t *testing.T, g gateway, peers []*peer) (begun int) {
+func attemptsBeforeNextRequest(t *testing.T, g gateway, servers []*testServer) (begun int) {
 	next := dial(t, g.address)
 	answered := make(chan error)
 	for n := 4; ; n++ {
-		io.WriteString(next, strings.Replace(numbered(view, n), "b4d65521", "b4d65522", 1))
+		io.WriteString(next, strings.Replace(withID(viewRequest, n), "b4d65521", "b4d65522", 1))
 		go func() {
 			_, err := http.ReadResponse(next.in, nil)
 			answered <- err
 		}()
-		for seen := true; seen; {
-			var r *received
+		for waiting := true; waiting; {
+			var r *receivedRequest
 			select {
-			case r = <-peers[0].got:
-			case r = <-peers[len(peers)-1].got:
+			case r = <-servers[0].requests:
+			case r = <-servers[len(servers)-1].requests:
 			case err := <-answered:
 				if err != nil {
 					t.Fatal(err)
 				}
-				seen = false
+				waiting = false
 				continue
 			}
 			if r.Header.Get("X-Request-ID") == fmt.Sprint("id", n) {
@@ -293,26 +293,26 @@
 }
 
 // closes notes when each client has closed its connection, and how much later an attempt began for it.
-type closes struct {
-	mu       sync.Mutex
-	at       map[string]time.Time
-	attempts int
-	late     []time.Duration // of each attempt that began after the close
+type disconnectLog struct {
+	mu           sync.Mutex
+	closedAt     map[string]time.Time
+	attempts     int
+	lateAttempts []time.Duration // of each attempt that began after the close
 }
 
-func (c *closes) close(conn net.Conn, id string) {
+func (c *disconnectLog) close(conn net.Conn, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at[id] = time.Now()
+	c.closedAt[id] = time.Now()
 	conn.Close()
 }
 
-func (c *closes) attempt(id string) {
+func (c *disconnectLog) recordAttempt(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.attempts++
-	if at, gone := c.at[id]; gone {
-		c.late = append(c.late, time.Since(at))
+	if at, closed := c.closedAt[id]; closed {
+		c.lateAttempts = append(c.lateAttempts, time.Since(at))
 	}
 }
 
@@ -321,58 +321,58 @@
 // holds a goroutine up for meanwhile.
 func TestAttemptsBeginNoLaterThanTheClose(t *testing.T) {
 	const clients, requests = 10, 100
-	seen := &closes{at: map[string]time.Time{}}
-	peers := []*peer{newPeer(t), newPeer(t), newPeer(t)}
-	for _, p := range peers {
-		go seen.serve(p)
+	events := &disconnectLog{closedAt: map[string]time.Time{}}
+	servers := []*testServer{newTestServer(t), newTestServer(t), newTestServer(t)}
+	for _, p := range servers {
+		go events.answerAtRandom(p)
 	}
-	g := startGateway(t, limitedFleet(6), defaultSettings(), uncounted{}, peers...)
+	g := startGateway(t, fleetWithConns(6), defaultSettings(), rejectingCounter{}, servers...)
 	stop, stalled := make(chan struct{}), make(chan time.Duration, 1)
 	go longestStall(stop, stalled)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range clients {
-		all.Go(func() {
+		wg.Go(func() {
 			for n := range requests {
-				seen.leaveEarly(t, g.address, i*requests+n)
+				events.requestAndDisconnect(t, g.address, i*requests+n)
 			}
 		})
 	}
-	all.Go(func() {
+	wg.Go(func() {
 		for range 20 {
 			g.reload()
 		}
 	})
-	all.Wait()
+	wg.Wait()
 	close(stop)
-	holds(t, g.figures, 0)
+	awaitHeldRequests(t, g.metrics, 0)
 	stall := <-stalled
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	lateness := make([]time.Duration, len(seen.at)) // 0 for a client with no attempt after its close
-	copy(lateness, seen.late)
-	slices.Sort(lateness)
-	over := 0
-	for _, late := range lateness {
-		if late > 100*time.Millisecond+stall {
-			over++
+	events.mu.Lock()
+	defer events.mu.Unlock()
+	delays := make([]time.Duration, len(events.closedAt)) // 0 for a client with no attempt after its close
+	copy(delays, events.lateAttempts)
+	slices.Sort(delays)
+	tooLate := 0
+	for _, delay := range delays {
+		if delay > 100*time.Millisecond+stall {
+			tooLate++
 		}
 	}
 	t.Logf("%d clients left, %d attempts, %d begun after the close, %d of %d over 0.1 s; lateness p99 %v, max %v (longest stall of this machine %v)",
-		len(seen.at), seen.attempts, len(seen.late), over, len(seen.at), lateness[len(lateness)*99/100], lateness[len(lateness)-1], stall)
-	if over > 0 {
-		t.Errorf("%d attempts began more than 0.1 s after the client had gone", over)
+		len(events.closedAt), events.attempts, len(events.lateAttempts), tooLate, len(events.closedAt), delays[len(delays)*99/100], delays[len(delays)-1], stall)
+	if tooLate > 0 {
+		t.Errorf("%d attempts began more than 0.1 s after the client had gone", tooLate)
 	}
 }
 
 // leaveEarly sends one request and leaves at some time of its way.
-func (c *closes) leaveEarly(t *testing.T, address string, n int) {
+func (c *disconnectLog) requestAndDisconnect(t *testing.T, address string, n int) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	id := fmt.Sprintf("leaver%d", n)
-	text := strings.Replace(view, "9b1f03aa5c7e2d41", id, 1)
+	text := strings.Replace(viewRequest, "9b1f03aa5c7e2d41", id, 1)
 	io.WriteString(conn, strings.Replace(text, "b4d65521", fmt.Sprintf("%08x", n), 1))
 	conn.SetReadDeadline(time.Now().Add(time.Duration(rand.IntN(30)) * time.Millisecond))
 	conn.Read(make([]byte, 1)) // until an answer or the time to go
@@ -380,9 +380,9 @@
 }
 
 // serve answers most messages after some milliseconds, turns away or fails some, and leaves a few without an answer.
-func (c *closes) serve(p *peer) {
-	for r := range p.got {
-		c.attempt(r.Header.Get("X-Request-ID"))
+func (c *disconnectLog) answerAtRandom(p *testServer) {
+	for r := range p.requests {
+		c.recordAttempt(r.Header.Get("X-Request-ID"))
 		switch rand.IntN(20) {
 		case 0:
 			p.answer(r, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
@@ -394,22 +394,22 @@
 				r.conn.Close()
 			}()
 		default:
-			time.AfterFunc(time.Duration(rand.IntN(20))*time.Millisecond, func() { p.answer(r, ok) })
+			time.AfterFunc(time.Duration(rand.IntN(20))*time.Millisecond, func() { p.answer(r, okAnswer) })
 		}
 	}
 }
 
 // longestStall measures, until stop is closed, by how much the machine at most overran a wait of a millisecond.
-func longestStall(stop <-chan struct{}, longest chan<- time.Duration) {
-	tick := time.NewTimer(time.Millisecond)
-	var most time.Duration
+func longestStall(stop <-chan struct{}, result chan<- time.Duration) {
+	timer := time.NewTimer(time.Millisecond)
+	var longestSoFar time.Duration
 	for began := time.Now(); ; began = time.Now() {
-		tick.Reset(time.Millisecond)
+		timer.Reset(time.Millisecond)
 		select {
-		case <-tick.C:
-			most = max(most, time.Since(began)-time.Millisecond)
+		case <-timer.C:
+			longestSoFar = max(longestSoFar, time.Since(began)-time.Millisecond)
 		case <-stop:
-			longest <- most
+			result <- longestSoFar
 			return
 		}
 	}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -23,68 +23,68 @@
 )
 
 // uncounted is a counter that takes nothing in.
-type uncounted struct{}
+type rejectingCounter struct{}
 
-func (uncounted) Add(uint64, float64, time.Duration, func(control.Status, float64)) bool {
+func (rejectingCounter) Add(uint64, float64, time.Duration, func(control.Status, float64)) bool {
 	return false
 }
 
 // peer is a table server whose every message and answer a test scripts.
-type peer struct {
+type testServer struct {
 	net.Listener
-	got  chan *received
-	open chan net.Conn // every connection, as it comes
+	requests chan *receivedRequest
+	conns    chan net.Conn // every connection, as it comes
 }
 
-type received struct {
+type receivedRequest struct {
 	*http.Request
 	body string
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func newPeer(t testing.TB) *peer {
+func newTestServer(t testing.TB) *testServer {
 	l, err := net.Listen("tcp", net.JoinHostPort(standin.Loopback(), "0"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{l, make(chan *received, 64), make(chan net.Conn, 64)}
+	p := &testServer{l, make(chan *receivedRequest, 64), make(chan net.Conn, 64)}
 	t.Cleanup(func() { l.Close() })
-	go p.accept()
+	go p.acceptConns()
 	return p
 }
 
 // accept takes connections until the listener is closed.
-func (p *peer) accept() {
+func (p *testServer) acceptConns() {
 	for {
 		c, err := p.Accept()
 		if err != nil {
 			return
 		}
-		p.open <- c
-		go p.read(c, bufio.NewReader(c))
+		p.conns <- c
+		go p.readRequest(c, bufio.NewReader(c))
 	}
 }
 
 // read takes one message in; answer reads the next one.
-func (p *peer) read(c net.Conn, in *bufio.Reader) {
+func (p *testServer) readRequest(c net.Conn, in *bufio.Reader) {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return
 	}
 	b, _ := io.ReadAll(r.Body)
-	p.got <- &received{r, string(b), c, in}
+	p.requests <- &receivedRequest{r, string(b), c, in}
 }
 
-func (p *peer) answer(r *received, text string) {
+func (p *testServer) answer(r *receivedRequest, text string) {
 	io.WriteString(r.conn, text)
-	go p.read(r.conn, r.in)
+	go p.readRequest(r.conn, r.in)
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Board: 7\r\n\r\nhere"
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Board: 7\r\n\r\nhere"
 
 // closed waits until the gateway has closed the connection of a message.
-func (r *received) closed(t *testing.T) {
+func (r *receivedRequest) awaitClosed(t *testing.T) {
 	t.Helper()
 	r.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := r.in.ReadByte(); err == nil {
@@ -95,32 +95,32 @@
 }
 
 // start runs core, egress and front round the peers and returns the front's address.
-func start(t testing.TB, fleet *egress.Fleet, peers ...*peer) (string, *core.Core) {
+func start(t testing.TB, fleet *egress.Fleet, servers ...*testServer) (string, *core.Core) {
 	t.Helper()
-	address, c, _ := startServer(t, 64, fleet, peers...)
+	address, c, _ := startServer(t, 64, fleet, servers...)
 	return address, c
 }
 
 // startServer is start with so many slots for clients.
-func startServer(t testing.TB, most int, fleet *egress.Fleet, peers ...*peer) (string, *core.Core, *front.Server) {
+func startServer(t testing.TB, maxConns int, fleet *egress.Fleet, servers ...*testServer) (string, *core.Core, *front.Server) {
 	t.Helper()
-	return startCounted(t, most, fleet, nil, peers...)
+	return startWithMetrics(t, maxConns, fleet, nil, servers...)
 }
 
 // startCounted is startServer with figures; nil: none.
-func startCounted(t testing.TB, most int, fleet *egress.Fleet, figures *telemetry.Figures, peers ...*peer) (string, *core.Core, *front.Server) {
+func startWithMetrics(t testing.TB, maxConns int, fleet *egress.Fleet, metrics *telemetry.Figures, servers ...*testServer) (string, *core.Core, *front.Server) {
 	t.Helper()
-	return startLimited(t, most, fleet, figures, limits, peers...)
+	return startWithLimits(t, maxConns, fleet, metrics, limits, servers...)
 }
 
 var limits = control.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 1}
 
 // startLimited is startCounted with other limits on what a gateway may do.
-func startLimited(t testing.TB, most int, fleet *egress.Fleet, figures *telemetry.Figures, limits control.Limits, peers ...*peer) (string, *core.Core, *front.Server) {
+func startWithLimits(t testing.TB, maxConns int, fleet *egress.Fleet, metrics *telemetry.Figures, limits control.Limits, servers ...*testServer) (string, *core.Core, *front.Server) {
 	t.Helper()
 	settings := defaultSettings()
 	settings.Limits = limits
-	return startSettings(t, most, fleet, figures, settings, uncounted{}, peers...)
+	return startWithSettings(t, maxConns, fleet, metrics, settings, rejectingCounter{}, servers...)
 }
 
 // defaultSettings have a class of each kind of repeat, and no counter.
@@ -139,31 +139,31 @@
 }
 
 // startSettings is startCounted with settings and a counter of the test's own.
-func startSettings(t testing.TB, most int, fleet *egress.Fleet, figures *telemetry.Figures, settings control.Settings, totals core.Counter, peers ...*peer) (string, *core.Core, *front.Server) {
+func startWithSettings(t testing.TB, maxConns int, fleet *egress.Fleet, metrics *telemetry.Figures, settings control.Settings, quotaCounter core.Counter, servers ...*testServer) (string, *core.Core, *front.Server) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	c, err := core.New(settings, 1, fleet, totals, log)
+	c, err := core.New(settings, 1, fleet, quotaCounter, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var taken *atomic.Int64
-	if figures != nil {
-		figures.Classes([]string{"table-view", "move-submit"})
-		c.SetMetrics(figures)
-		taken = &figures.Concurrent
+	var concurrent *atomic.Int64
+	if metrics != nil {
+		metrics.Classes([]string{"table-view", "move-submit"})
+		c.SetMetrics(metrics)
+		concurrent = &metrics.Concurrent
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go c.Run(ctx)
-	c.Routes(table(control.Ready, peers...))
+	c.Routes(table(control.Ready, servers...))
 	names := &front.Names{Classes: []string{"table-view", "move-submit", "stake"}, Plans: []string{"club"},
 		Repeats: []control.Repeat{control.Safe, control.Keyed, control.Unsafe}, Gateways: settings.Gateways, MaxUnits: 6}
-	s := front.NewServer(ingress.Platform(names, c, log), front.MaxHeader, taken, log)
+	s := front.NewServer(ingress.Platform(names, c, log), front.MaxHeader, concurrent, log)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.MarkReady()
-	go s.Serve(l, most)
+	go s.Serve(l, maxConns)
 	t.Cleanup(func() {
 		cancel()
 		l.Close()
@@ -171,9 +171,9 @@
 	return l.Addr().String(), c, s
 }
 
-func table(state control.MemberState, peers ...*peer) core.Table {
+func table(state control.MemberState, servers ...*testServer) core.Table {
 	t := core.Table{Kind: control.Snapshot}
-	for _, p := range peers {
+	for _, p := range servers {
 		t.Targets = append(t.Targets, core.Target{
 			Member: control.Member{Server: p.Addr().String(), State: state}, Address: p.Addr().String()})
 	}
@@ -204,8 +204,8 @@
 const headers = "Host: origin.svc\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Plan: club\r\n" +
 	"Cookie: account=00000000b4d65521\r\nX-Timeout: 3000m\r\nX-Quota: units=2,spread=1,first=0\r\n"
 
-const view = "GET /table-view/3?seat=2 HTTP/1.1\r\n" + headers + "\r\n"
-const move = "POST /move-submit/3 HTTP/1.1\r\n" + headers + "Idempotency-Key: k1\r\nContent-Length: 4\r\n\r\ne2e4"
+const viewRequest = "GET /table-view/3?seat=2 HTTP/1.1\r\n" + headers + "\r\n"
+const moveRequest = "POST /move-submit/3 HTTP/1.1\r\n" + headers + "Idempotency-Key: k1\r\nContent-Length: 4\r\n\r\ne2e4"
 
 func (c *client) read(t testing.TB) (*http.Response, string) {
 	t.Helper()
@@ -220,7 +220,7 @@
 	return resp, string(body)
 }
 
-func (c *client) ask(t *testing.T, message string) (*http.Response, string) {
+func (c *client) roundTrip(t *testing.T, message string) (*http.Response, string) {
 	t.Helper()
 	io.WriteString(c, message)
 	return c.read(t)
@@ -228,22 +228,22 @@
 
 // learn has the gateway see that the targets answer different requests differently: until it has seen some answers it
 // uses no connection for different requests.
-func (c *client) learn(t testing.TB, p *peer) {
+func (c *client) teachDistinctAnswers(t testing.TB, p *testServer) {
 	t.Helper()
 	for range 10 {
-		n := learnt.Add(1)
-		io.WriteString(c, strings.Replace(view, "seat=2", fmt.Sprintf("seat=%d", 10+n), 1))
-		p.answer(<-p.got, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n%08d", n))
+		n := taughtAnswers.Add(1)
+		io.WriteString(c, strings.Replace(viewRequest, "seat=2", fmt.Sprintf("seat=%d", 10+n), 1))
+		p.answer(<-p.requests, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n%08d", n))
 		if resp, body := c.read(t); resp.StatusCode != 200 || body != fmt.Sprintf("%08d", n) {
 			t.Errorf("answered %d %q", resp.StatusCode, body)
 		}
 	}
 }
 
-var learnt atomic.Int64 // requests of learn, so that none is like another
+var taughtAnswers atomic.Int64 // requests of learn, so that none is like another
 
 // served reads an answer that must be the target's ok.
-func (c *client) served(t testing.TB) {
+func (c *client) expectOK(t testing.TB) {
 	t.Helper()
 	if resp, body := c.read(t); resp.StatusCode != 200 || body != "here" {
 		t.Errorf("answered %d %q", resp.StatusCode, body)
@@ -252,13 +252,13 @@
 
 // What a target answers reaches the client unchanged; what passes on is the client's, with the time left.
 func TestServesUnchanged(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	c := dial(t, address)
-	c.learn(t, p)
-	before := len(p.open)
-	io.WriteString(c, move)
-	r := <-p.got
+	c.teachDistinctAnswers(t, p)
+	before := len(p.conns)
+	io.WriteString(c, moveRequest)
+	r := <-p.requests
 	if r.Method != "POST" || r.URL.Path != "/move-submit/3" || r.body != "e2e4" ||
 		r.Header.Get("Idempotency-Key") != "k1" || r.Header.Get("X-Request-ID") != "9b1f03aa5c7e2d41" {
 		t.Errorf("the target got %s %s %q %v", r.Method, r.URL, r.body, r.Header)
@@ -266,42 +266,42 @@
 	if left, err := front.ParseTimeout(r.Header.Get("X-Timeout")); err != nil || left >= 3*time.Second {
 		t.Errorf("the time left is said to be %v (%v)", left, err)
 	}
-	p.answer(r, ok)
+	p.answer(r, okAnswer)
 	resp, body := c.read(t)
 	if resp.StatusCode != 200 || body != "here" || resp.Header.Get("X-Board") != "7" {
 		t.Errorf("the client got %d %q", resp.StatusCode, body)
 	}
-	io.WriteString(c, view)
-	r = <-p.got
+	io.WriteString(c, viewRequest)
+	r = <-p.requests
 	if r.URL.RequestURI() != "/table-view/3?seat=2" {
 		t.Errorf("the target got %s", r.URL.RequestURI())
 	}
-	p.answer(r, strings.Replace(ok, "here", "away", 1))
+	p.answer(r, strings.Replace(okAnswer, "here", "away", 1))
 	if _, body := c.read(t); body != "away" {
 		t.Errorf("the client got %q", body)
 	}
-	c.learn(t, p)
-	if n := len(p.open); n != before {
+	c.teachDistinctAnswers(t, p)
+	if n := len(p.conns); n != before {
 		t.Errorf("%d connections to the target before exchanges in a row, and %d after", before, n)
 	}
 }
 
 // A cut answer is not passed on as if it were whole, and one attempt ends before the next one goes out.
 func TestCutAnswerIsNotServed(t *testing.T) {
-	p, q := newPeer(t), newPeer(t)
+	p, q := newTestServer(t), newTestServer(t)
 	address, _ := start(t, fleet(), p, q)
 	c := dial(t, address)
-	io.WriteString(c, view)
+	io.WriteString(c, viewRequest)
 	for range 3 {
-		var r *received
+		var r *receivedRequest
 		select {
-		case r = <-p.got:
-		case r = <-q.got:
+		case r = <-p.requests:
+		case r = <-q.requests:
 		}
-		if len(p.got)+len(q.got) > 0 {
+		if len(p.requests)+len(q.requests) > 0 {
 			t.Error("two attempts are out at once")
 		}
-		io.WriteString(r.conn, ok[:len(ok)-2])
+		io.WriteString(r.conn, okAnswer[:len(okAnswer)-2])
 		r.conn.Close()
 	}
 	if resp, body := c.read(t); resp.StatusCode != 503 || body != "" || resp.Header.Get("Retry-After") == "" {
@@ -311,23 +311,23 @@
 
 // A target that closed an idle connection gets the next exchange on a new one, once: no hidden resend.
 func TestStaleConnectionIsNotWrittenTo(t *testing.T) {
-	for name, next := range map[string]string{"another": move, "the same": view} {
+	for name, next := range map[string]string{"another": moveRequest, "the same": viewRequest} {
 		t.Run(name, func(t *testing.T) {
-			p := newPeer(t)
+			p := newTestServer(t)
 			address, _ := start(t, fleet(), p)
 			c := dial(t, address)
-			io.WriteString(c, view)
-			r := <-p.got
-			io.WriteString(r.conn, ok)
+			io.WriteString(c, viewRequest)
+			r := <-p.requests
+			io.WriteString(r.conn, okAnswer)
 			c.read(t)
 			r.conn.Close() // on loopback the end is there before the next message is
 			io.WriteString(c, next)
-			p.answer(<-p.got, ok)
+			p.answer(<-p.requests, okAnswer)
 			if resp, _ := c.read(t); resp.StatusCode != 200 {
 				t.Errorf("answered %d", resp.StatusCode)
 			}
-			if len(p.got) != 0 || len(p.open) != 2 {
-				t.Errorf("%d more messages, %d connections", len(p.got), len(p.open))
+			if len(p.requests) != 0 || len(p.conns) != 2 {
+				t.Errorf("%d more messages, %d connections", len(p.requests), len(p.conns))
 			}
 		})
 	}
@@ -336,17 +336,17 @@
 // A reset of a reused connection with a keyed exchange on it is told to the module, not hidden: at most one
 // attempt is out, and the next goes out only after the first has ended.
 func TestResetIsNotHidden(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	c := dial(t, address)
-	io.WriteString(c, move)
-	p.answer(<-p.got, ok)
+	io.WriteString(c, moveRequest)
+	p.answer(<-p.requests, okAnswer)
 	c.read(t)
-	io.WriteString(c, move)
-	r := <-p.got
+	io.WriteString(c, moveRequest)
+	r := <-p.requests
 	r.conn.(*net.TCPConn).SetLinger(0)
 	r.conn.Close()
-	p.answer(<-p.got, ok) // within its window the class permits a repeat
+	p.answer(<-p.requests, okAnswer) // within its window the class permits a repeat
 	if resp, _ := c.read(t); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
@@ -354,55 +354,55 @@
 
 // A silent target: the client has its one answer by its deadline, and the attempt is given up by closing.
 func TestAnswersByTheDeadline(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	c := dial(t, address)
-	message := strings.Replace(move, "3000m", "1000m", 1)
+	message := strings.Replace(moveRequest, "3000m", "1000m", 1)
 	sent := time.Now()
-	resp, _ := c.ask(t, message)
+	resp, _ := c.roundTrip(t, message)
 	if took := time.Since(sent); took < 500*time.Millisecond {
 		t.Errorf("given up after %v of 1 s", took)
 	}
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("answered %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	(<-p.got).closed(t)
+	(<-p.requests).awaitClosed(t)
 }
 
 // A client that leaves has its attempt called off at once.
 func TestClientLeaves(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	c := dial(t, address)
-	io.WriteString(c, view)
-	r := <-p.got
+	io.WriteString(c, viewRequest)
+	r := <-p.requests
 	c.Close()
-	r.closed(t)
+	r.awaitClosed(t)
 }
 
 // A program that must end sheds what it still holds: the client has its answer, the attempt is called off.
 func TestShedAtTheEnd(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, core := start(t, fleet(), p)
 	c := dial(t, address)
-	io.WriteString(c, view)
-	r := <-p.got
+	io.WriteString(c, viewRequest)
+	r := <-p.requests
 	core.Shed()
 	if resp, _ := c.read(t); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
-	r.closed(t)
+	r.awaitClosed(t)
 }
 
 // What waits for a connection to a target that starts to drain is not sent there.
 func TestQueuedSendIsDroppedOnDrain(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	f := egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1})
 	address, c := start(t, f, p)
 	one, two := dial(t, address), dial(t, address)
-	io.WriteString(one, view)
-	r := <-p.got // it holds the only connection
-	io.WriteString(two, strings.Replace(view, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", 1))
+	io.WriteString(one, viewRequest)
+	r := <-p.requests // it holds the only connection
+	io.WriteString(two, strings.Replace(viewRequest, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", 1))
 	other := make(chan int, 1)
 	go func() {
 		resp, err := http.ReadResponse(two.in, nil)
@@ -417,18 +417,18 @@
 	if status := <-other; status != 503 {
 		t.Errorf("the queued exchange was answered %d", status)
 	}
-	p.answer(r, ok) // what was out is finished
+	p.answer(r, okAnswer) // what was out is finished
 	if resp, _ := one.read(t); resp.StatusCode != 200 {
 		t.Errorf("the held exchange was answered %d", resp.StatusCode)
 	}
-	if len(p.got) != 0 {
+	if len(p.requests) != 0 {
 		t.Error("a draining target got something new")
 	}
 }
 
 // Each kind of malformed message gets a 4xx at once; no target hears of it.
 func TestMalformed(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	for _, c := range []struct {
 		name, old, new string
@@ -468,27 +468,27 @@
 		{"two lengths", "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5", 400},
 		{"length below zero", "Content-Length: 4", "Content-Length: -4", 400},
 		{"no length", "Content-Length: 4\r\n", "", 411},
-		{"body on a safe class", move, strings.Replace(view, "\r\n\r\n", "\r\nContent-Length: 4\r\n\r\ne2e4", 1), 400},
+		{"body on a safe class", moveRequest, strings.Replace(viewRequest, "\r\n\r\n", "\r\nContent-Length: 4\r\n\r\ne2e4", 1), 400},
 		{"key", "Idempotency-Key: k1\r\n", "", 400},
 		{"id", "X-Request-ID", "X-Other-ID", 400},
 		{"body", "Content-Length: 4", "Content-Length: 33554433", 413},
 		{"headers", "X-Plan", "X-Long: " + strings.Repeat("x", 32<<10) + "\r\nX-Plan", 431},
 	} {
 		sent := dial(t, address)
-		resp, _ := sent.ask(t, strings.Replace(move, c.old, c.new, 1))
+		resp, _ := sent.roundTrip(t, strings.Replace(moveRequest, c.old, c.new, 1))
 		if resp.StatusCode != c.status {
 			t.Errorf("%s: answered %d, want %d", c.name, resp.StatusCode, c.status)
 		}
-		sent.closedBy(t, 20*time.Second, c.name)
+		sent.awaitClosed(t, 20*time.Second, c.name)
 	}
-	if len(p.open) != 0 {
+	if len(p.conns) != 0 {
 		t.Error("a target was called")
 	}
 }
 
 // A probe brings the target's load report, by the fields that the settings name.
 func TestProbeBringsTheLoad(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	f := egress.NewFleet(egress.Options{ConnectTimeout: 5 * time.Second, ConnIdle: time.Minute, Conns: 4,
 		LoadFields: []string{"q", "rif"}})
 	f.Update(table(control.Ready, p))
@@ -500,7 +500,7 @@
 	if !f.Probe(p.Addr().String(), 0, func(s control.Status, load []float64) { got <- probed{s, load} }) {
 		t.Fatal("the target is not known")
 	}
-	r := <-p.got
+	r := <-p.requests
 	if r.Method != "GET" || r.URL.Path != "/stats" {
 		t.Errorf("probed by %s %s", r.Method, r.URL.Path)
 	}
@@ -511,7 +511,7 @@
 	for _, report := range []string{`{"inflight":7}`, `{"inflight":7,"queue":-1}`, `{"inflight":7,"queue":"2"}`,
 		`{"inflight":7,"queue":1e999}`, `{"inflight":7,"queue":null}`, `[7,2]`, `{"inflight":7,"queue":2`} {
 		f.Probe(p.Addr().String(), 0, func(s control.Status, load []float64) { got <- probed{s, load} })
-		p.answer(<-p.got, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(report), report))
+		p.answer(<-p.requests, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(report), report))
 		if a := <-got; a.status != control.OK || a.load != nil {
 			t.Errorf("%s was read as %+v", report, a)
 		}
@@ -523,12 +523,12 @@
 }
 
 // closedBy waits until the gateway has ended a connection, with an answer first or without.
-func (c *client) closedBy(t *testing.T, patience time.Duration, who string) {
+func (c *client) awaitClosed(t *testing.T, limit time.Duration, label string) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(limit))
 	if _, err := io.Copy(io.Discard, c.in); err != nil {
 		if e, timeout := err.(net.Error); timeout && e.Timeout() {
-			t.Errorf("%s: the connection stays open", who)
+			t.Errorf("%s: the connection stays open", label)
 		}
 	}
 }
@@ -537,17 +537,17 @@
 // rested longest makes room, and the one that asked last is still served on its connection.
 func TestRestingConnectionsMakeRoom(t *testing.T) {
 	address, _, _ := startServer(t, 8, fleet())
-	stay := make([]*client, 8)
-	for i := range stay {
-		stay[i] = dial(t, address)
-		stay[i].ask(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")
+	idle := make([]*client, 8)
+	for i := range idle {
+		idle[i] = dial(t, address)
+		idle[i].roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n")
 	}
-	one := dial(t, address)
-	if resp, _ := one.ask(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"); resp.StatusCode != 200 {
+	newClient := dial(t, address)
+	if resp, _ := newClient.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
-	stay[0].closedBy(t, 20*time.Second, "the longest at rest")
-	if resp, _ := stay[7].ask(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"); resp.StatusCode != 200 {
+	idle[0].awaitClosed(t, 20*time.Second, "the longest at rest")
+	if resp, _ := idle[7].roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"); resp.StatusCode != 200 {
 		t.Errorf("the last to ask was answered %d", resp.StatusCode)
 	}
 }
@@ -563,48 +563,48 @@
 			io.WriteString(silent[i], "GET /table-view/3 HTTP/1.1\r\nX-Half: ")
 		}
 	}
-	if resp, _ := dial(t, address).ask(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"); resp.StatusCode != 200 {
+	if resp, _ := dial(t, address).roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 	for _, c := range silent {
-		c.closedBy(t, 8*time.Second, "a silent client")
+		c.awaitClosed(t, 8*time.Second, "a silent client")
 	}
 }
 
 // A request that is hidden in the chunked body of another, behind a length that says otherwise, is not passed
 // on; nor is one that follows on the same connection.
 func TestHiddenRequestIsNotPassedOn(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	c := dial(t, address)
-	io.WriteString(c, strings.Replace(move, "Content-Length: 4\r\n\r\ne2e4",
-		"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 1)+view)
-	r := <-p.got
+	io.WriteString(c, strings.Replace(moveRequest, "Content-Length: 4\r\n\r\ne2e4",
+		"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 1)+viewRequest)
+	r := <-p.requests
 	if r.body != "" || r.URL.Path != "/move-submit/3" {
 		t.Errorf("the target got %s with %q", r.URL.Path, r.body)
 	}
-	p.answer(r, ok)
+	p.answer(r, okAnswer)
 	if resp, _ := c.read(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
 	}
-	c.closedBy(t, 20*time.Second, "the connection with the hidden request")
-	if len(p.got) != 0 {
+	c.awaitClosed(t, 20*time.Second, "the connection with the hidden request")
+	if len(p.requests) != 0 {
 		t.Error("the hidden request was passed on")
 	}
 }
 
 // A chunked body, in pieces, is taken whole and passed on with its length; the answer closes the connection.
 func TestChunkedBodyIsTaken(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	c := dial(t, address)
-	io.WriteString(c, strings.Replace(move, "Content-Length: 4\r\n\r\ne2e4",
+	io.WriteString(c, strings.Replace(moveRequest, "Content-Length: 4\r\n\r\ne2e4",
 		"Transfer-Encoding: chunked\r\n\r\n2\r\ne2\r\n2;x=1\r\ne4\r\n0\r\nX-Trailer: 1\r\n\r\n", 1))
-	r := <-p.got
+	r := <-p.requests
 	if r.body != "e2e4" || r.ContentLength != 4 || len(r.TransferEncoding) != 0 {
 		t.Errorf("the target got %q, length %d, %v", r.body, r.ContentLength, r.TransferEncoding)
 	}
-	p.answer(r, ok)
+	p.answer(r, okAnswer)
 	if resp, body := c.read(t); resp.StatusCode != 200 || body != "here" || !resp.Close {
 		t.Errorf("answered %d %q, close %v", resp.StatusCode, body, resp.Close)
 	}
@@ -613,33 +613,33 @@
 // An id that is open belongs to the client that sent it: another's request with it is turned away, and is
 // served once the first has its answer.
 func TestOpenIDIsNotTakenTwice(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	one := dial(t, address)
-	io.WriteString(one, view)
-	r := <-p.got
-	if resp, _ := dial(t, address).ask(t, view); resp.StatusCode != 409 {
+	io.WriteString(one, viewRequest)
+	r := <-p.requests
+	if resp, _ := dial(t, address).roundTrip(t, viewRequest); resp.StatusCode != 409 {
 		t.Errorf("the second was answered %d", resp.StatusCode)
 	}
-	p.answer(r, ok)
+	p.answer(r, okAnswer)
 	if resp, _ := one.read(t); resp.StatusCode != 200 {
 		t.Errorf("the first was answered %d", resp.StatusCode)
 	}
-	if len(p.got) != 0 {
+	if len(p.requests) != 0 {
 		t.Error("a target got both")
 	}
 }
 
 // A body that never comes whole holds its slot for no longer than a bad client is owed.
 func TestHalfABodyIsRejected(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	c := dial(t, address)
-	if resp, _ := c.ask(t, strings.TrimSuffix(move, "e4")); resp.StatusCode != 400 {
+	if resp, _ := c.roundTrip(t, strings.TrimSuffix(moveRequest, "e4")); resp.StatusCode != 400 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
-	c.closedBy(t, 20*time.Second, "half a body")
-	if len(p.open) != 0 {
+	c.awaitClosed(t, 20*time.Second, "half a body")
+	if len(p.conns) != 0 {
 		t.Error("a target was called")
 	}
 }
@@ -664,7 +664,7 @@
 // A spoilt answer is a failed attempt that may have run: its connection is closed, and what the class permits to
 // run again is served by another attempt, on another connection.
 func TestSpoiltAnswerIsNotServed(t *testing.T) {
-	for name, spoilt := range map[string]string{
+	for name, malformed := range map[string]string{
 		"noise":             "\x00\xfe\x81 nothing of use\r\n\r\n",
 		"status":            "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nhere",
 		"head without end":  "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: and more\r\n", 4000),
@@ -677,16 +677,16 @@
 		"chunks":            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhere\r\nzz\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPeer(t)
+			p := newTestServer(t)
 			address, _ := start(t, fleet(), p)
 			c := dial(t, address)
-			io.WriteString(c, view)
-			r := <-p.got
+			io.WriteString(c, viewRequest)
+			r := <-p.requests
 			r.conn.SetWriteDeadline(time.Now().Add(10 * time.Second))
-			io.WriteString(r.conn, spoilt) // and the connection stays open
-			p.answer(<-p.got, ok)
-			c.served(t)
-			r.closed(t)
+			io.WriteString(r.conn, malformed) // and the connection stays open
+			p.answer(<-p.requests, okAnswer)
+			c.expectOK(t)
+			r.awaitClosed(t)
 		})
 	}
 }
@@ -697,24 +697,24 @@
 	const other = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
 	long := strings.Repeat("x", 9000) // past what one read takes in: the rest stays in the socket
 	for name, c := range map[string]struct{ text, body string }{
-		"1xx in front":         {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + ok, "here"},
-		"another behind":       {ok + other, "here"},
+		"1xx in front":         {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + okAnswer, "here"},
+		"another behind":       {okAnswer + other, "here"},
 		"another, not read in": {"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + long + other, long},
-		"noise behind":         {ok + "\x00\x01", "here"},
+		"noise behind":         {okAnswer + "\x00\x01", "here"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPeer(t)
+			p := newTestServer(t)
 			address, core := start(t, egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1}), p)
 			one, two := dial(t, address), dial(t, address)
-			io.WriteString(one, view)
-			r := <-p.got
-			io.WriteString(two, strings.Replace(view, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", 1))
+			io.WriteString(one, viewRequest)
+			r := <-p.requests
+			io.WriteString(two, strings.Replace(viewRequest, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", 1))
 			core.Settle()
 			p.answer(r, c.text)
 			if resp, body := one.read(t); resp.StatusCode != 200 || body != c.body {
 				t.Errorf("the first was answered %d %.20q", resp.StatusCode, body)
 			}
-			p.answer(<-p.got, ok)
+			p.answer(<-p.requests, okAnswer)
 			if resp, body := two.read(t); resp.StatusCode != 200 || body != "here" {
 				t.Errorf("the second was answered %d %.20q", resp.StatusCode, body)
 			}
@@ -726,15 +726,15 @@
 // have, without closing them; in the end each answer says that it is the connection's last.
 func TestDrainServesOnOpenConnections(t *testing.T) {
 	const ready = "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _, s := startServer(t, 8, fleet(), p)
 	c := dial(t, address)
-	c.ask(t, ready)
+	c.roundTrip(t, ready)
 	serving, closing := make(chan error, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { serving <- s.Drain(ctx, time.Now().Add(time.Hour), time.Now().Add(time.Hour)) }()
 	for {
-		resp, _ := c.ask(t, ready)
+		resp, _ := c.roundTrip(t, ready)
 		if resp.Close {
 			t.Fatal("a connection is closed as the drain begins")
 		}
@@ -742,17 +742,17 @@
 			break
 		}
 	}
-	io.WriteString(c, view)
-	p.answer(<-p.got, ok)
+	io.WriteString(c, viewRequest)
+	p.answer(<-p.requests, okAnswer)
 	if resp, _ := c.read(t); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("while it drains: answered %d, closed %t", resp.StatusCode, resp.Close)
 	}
 	go func() { closing <- s.Drain(ctx, time.Now(), time.Now().Add(time.Hour)) }()
 	for closed := false; !closed; {
-		resp, _ := c.ask(t, ready)
+		resp, _ := c.roundTrip(t, ready)
 		closed = resp.Close
 	}
-	c.closedBy(t, 20*time.Second, "a connection with its last answer")
+	c.awaitClosed(t, 20*time.Second, "a connection with its last answer")
 	cancel()
 	<-serving
 	<-closing
@@ -762,25 +762,25 @@
 // client would send the next one as the connection is closed at rest, when no way in may be left.
 func TestHeldAcrossTheCloseIsAnsweredAsTheLast(t *testing.T) {
 	const ready = "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"
-	for _, message := range []string{view, move} {
-		p := newPeer(t)
+	for _, message := range []string{viewRequest, moveRequest} {
+		p := newTestServer(t)
 		address, _, s := startServer(t, 8, fleet(), p)
 		c, other := dial(t, address), dial(t, address)
-		other.ask(t, ready)
+		other.roundTrip(t, ready)
 		io.WriteString(c, message)
-		held := <-p.got
+		held := <-p.requests
 		ctx, cancel := context.WithCancel(context.Background())
 		drained := make(chan error, 1)
 		go func() { drained <- s.Drain(ctx, time.Now(), time.Now().Add(time.Hour)) }()
 		for closing := false; !closing; {
-			resp, _ := other.ask(t, ready)
+			resp, _ := other.roundTrip(t, ready)
 			closing = resp.Close
 		}
-		p.answer(held, ok)
+		p.answer(held, okAnswer)
 		if resp, body := c.read(t); resp.StatusCode != 200 || body != "here" || !resp.Close {
 			t.Errorf("answered %d %q, as the last: %t", resp.StatusCode, body, resp.Close)
 		}
-		c.closedBy(t, 20*time.Second, "a connection with its last answer")
+		c.awaitClosed(t, 20*time.Second, "a connection with its last answer")
 		cancel()
 		<-drained
 	}
@@ -788,20 +788,20 @@
 
 // The target of a request is passed on to the letter, be it one that a reader of queries or paths would write anew.
 func TestTargetIsPassedOnToTheLetter(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	c := dial(t, address)
 	for _, target := range []string{
 		"/table-view/3?a;b=1", "/table-view/3?a=%zz&b", "/table-view/3?b=2&a=1;", "/table-view/3?", "/table-view/a%2Fb%41?x=%41+%20",
 		"/table-view//3/../4/./?&&=", "/table-view/席?q=席", "/table-view/3?" + strings.Repeat("a&", 2000),
 	} {
-		io.WriteString(c, strings.Replace(view, "/table-view/3?seat=2", target, 1))
-		r := <-p.got
+		io.WriteString(c, strings.Replace(viewRequest, "/table-view/3?seat=2", target, 1))
+		r := <-p.requests
 		if r.RequestURI != target {
 			t.Errorf("%.60q came as %.60q", target, r.RequestURI)
 		}
-		p.answer(r, ok)
-		c.served(t)
+		p.answer(r, okAnswer)
+		c.expectOK(t)
 	}
 }
 
@@ -813,7 +813,7 @@
 		"/答え/1": 0, "/%E7%AD%94%E3%81%88/1": 0, "/Ask_2.x/1": 1, "/a%41/1": 2, "/Größe/1?q": 3, "/Gr%C3%B6%C3%9Fe": 3,
 		"/%e7%ad%94%e3%81%88": -1, "/%41sk_2.x": -1, "/aA/1": -1, "/Ask%5F2.x": -1, "/": -1, "/答%E3%81%88": 0,
 	} {
-		text := strings.NewReplacer("/table-view/3?seat=2", target, "X-Plan: club", "X-Plan: Gäst, Plus;1").Replace(view)
+		text := strings.NewReplacer("/table-view/3?seat=2", target, "X-Plan: club", "X-Plan: Gäst, Plus;1").Replace(viewRequest)
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			t.Fatal(target, err)
--- a/internal/ingress/leaving_test.go
+++ b/internal/ingress/leaving_test.go
@@ -15,19 +15,19 @@
 )
 
 // holds waits until the front holds so many requests.
-func holds(t *testing.T, figures *telemetry.Figures, n int64) {
+func awaitHeldRequests(t *testing.T, metrics *telemetry.Figures, n int64) {
 	t.Helper()
-	for late := time.Now().Add(10 * time.Second); figures.Concurrent.Load() != n; runtime.Gosched() {
-		if time.Now().After(late) {
-			t.Fatalf("%d requests are held, want %d", figures.Concurrent.Load(), n)
+	for deadline := time.Now().Add(10 * time.Second); metrics.Concurrent.Load() != n; runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Fatalf("%d requests are held, want %d", metrics.Concurrent.Load(), n)
 		}
 	}
 }
 
 // leavings are the ways in which a client leaves that has sent a whole request.
-var leavings = []struct {
-	name  string
-	leave func(c *net.TCPConn)
+var disconnects = []struct {
+	name string
+	run  func(c *net.TCPConn)
 }{
 	{"end", func(c *net.TCPConn) { c.Close() }},
 	{"reset", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
@@ -35,9 +35,9 @@
 	{"a byte, then end", func(c *net.TCPConn) { io.WriteString(c, "G"); c.Close() }},
 	{"a byte, then reset", func(c *net.TCPConn) { io.WriteString(c, "G"); c.SetLinger(0); c.Close() }},
 	{"a byte, then half-close", func(c *net.TCPConn) { io.WriteString(c, "G"); c.CloseWrite() }},
-	{"a whole request more, then end", func(c *net.TCPConn) { io.WriteString(c, numbered(view, 900)); c.Close() }},
+	{"a whole request more, then end", func(c *net.TCPConn) { io.WriteString(c, withID(viewRequest, 900)); c.Close() }},
 	{"a large part of one more, then end", func(c *net.TCPConn) {
-		io.WriteString(c, strings.Replace(numbered(move, 901), "Content-Length: 4", "Content-Length: 60000", 1)+strings.Repeat("x", 30000))
+		io.WriteString(c, strings.Replace(withID(moveRequest, 901), "Content-Length: 4", "Content-Length: 60000", 1)+strings.Repeat("x", 30000))
 		c.Close()
 	}},
 	{"empty lines, then end", func(c *net.TCPConn) { io.WriteString(c, "\r\n\r\n"); c.Close() }},
@@ -49,44 +49,44 @@
 func TestWhoLeftIsNotSentOn(t *testing.T) {
 	uncancelled := limits
 	uncancelled.Cancel = false
-	whoLeftIsNotSentOn(t, "called off", limits)
-	whoLeftIsNotSentOn(t, "not called off", uncancelled)
+	checkQueuedRequestIsDropped(t, "called off", limits)
+	checkQueuedRequestIsDropped(t, "not called off", uncancelled)
 }
 
-func whoLeftIsNotSentOn(t *testing.T, name string, limits control.Limits) {
+func checkQueuedRequestIsDropped(t *testing.T, name string, limits control.Limits) {
 	n := 0
-	for _, leaving := range leavings {
+	for _, disconnect := range disconnects {
 		for _, reused := range []bool{false, true} {
-			for _, message := range []string{view, move} {
+			for _, message := range []string{viewRequest, moveRequest} {
 				n++
-				t.Run(fmt.Sprintf("%s, %s, reused %t, %s", name, leaving.name, reused, message[:4]), func(t *testing.T) {
-					p := newPeer(t)
-					figures := telemetry.New("svc")
-					address, c, _ := startLimited(t, 64, egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1}), figures, limits, p)
-					leaver := dial(t, address)
+				t.Run(fmt.Sprintf("%s, %s, reused %t, %s", name, disconnect.name, reused, message[:4]), func(t *testing.T) {
+					p := newTestServer(t)
+					metrics := telemetry.New("svc")
+					address, c, _ := startWithLimits(t, 64, egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1}), metrics, limits, p)
+					leavingClient := dial(t, address)
 					if reused {
-						io.WriteString(leaver, numbered(view, 1))
-						p.answer(<-p.got, ok)
-						leaver.served(t)
+						io.WriteString(leavingClient, withID(viewRequest, 1))
+						p.answer(<-p.requests, okAnswer)
+						leavingClient.expectOK(t)
 					}
-					holds(t, figures, 0)
-					occupant := dial(t, address)
-					io.WriteString(occupant, numbered(view, 2))
-					held := <-p.got // it has the only connection
-					io.WriteString(leaver, numbered(message, 3))
-					holds(t, figures, 2)
+					awaitHeldRequests(t, metrics, 0)
+					busyClient := dial(t, address)
+					io.WriteString(busyClient, withID(viewRequest, 2))
+					held := <-p.requests // it has the only connection
+					io.WriteString(leavingClient, withID(message, 3))
+					awaitHeldRequests(t, metrics, 2)
 					c.Settle()
-					leaving.leave(leaver.Conn.(*net.TCPConn))
-					holds(t, figures, 1)
-					p.answer(held, ok)
-					occupant.served(t)
-					io.WriteString(occupant, numbered(view, 4))
-					next := <-p.got
+					disconnect.run(leavingClient.Conn.(*net.TCPConn))
+					awaitHeldRequests(t, metrics, 1)
+					p.answer(held, okAnswer)
+					busyClient.expectOK(t)
+					io.WriteString(busyClient, withID(viewRequest, 4))
+					next := <-p.requests
 					if id := next.Header.Get("X-Request-ID"); id != "id4" {
 						t.Errorf("request %s was sent on: %s %s, %v", id, next.Method, next.RequestURI, next.Header)
 					}
-					p.answer(next, ok)
-					occupant.served(t)
+					p.answer(next, okAnswer)
+					busyClient.expectOK(t)
 				})
 			}
 		}
@@ -96,22 +96,22 @@
 
 // One whose attempt is out has that called off, however it leaves, and no second one is made.
 func TestWhoLeftIsCalledOff(t *testing.T) {
-	for _, leaving := range leavings {
-		t.Run(leaving.name, func(t *testing.T) {
-			one, two := newPeer(t), newPeer(t)
-			figures := telemetry.New("svc")
-			address, _, _ := startCounted(t, 64, fleet(), figures, one, two)
+	for _, disconnect := range disconnects {
+		t.Run(disconnect.name, func(t *testing.T) {
+			one, two := newTestServer(t), newTestServer(t)
+			metrics := telemetry.New("svc")
+			address, _, _ := startWithMetrics(t, 64, fleet(), metrics, one, two)
 			c := dial(t, address)
-			io.WriteString(c, view)
-			var r *received
+			io.WriteString(c, viewRequest)
+			var r *receivedRequest
 			select {
-			case r = <-one.got:
-			case r = <-two.got:
+			case r = <-one.requests:
+			case r = <-two.requests:
 			}
-			leaving.leave(c.Conn.(*net.TCPConn))
-			r.closed(t)
-			holds(t, figures, 0)
-			if len(one.got)+len(two.got) > 0 {
+			disconnect.run(c.Conn.(*net.TCPConn))
+			r.awaitClosed(t)
+			awaitHeldRequests(t, metrics, 0)
+			if len(one.requests)+len(two.requests) > 0 {
 				t.Error("another attempt was made for a client that has left")
 			}
 		})
@@ -120,17 +120,17 @@
 
 // One that leaves within its body was never whole, and goes nowhere.
 func TestWhoLeavesWithinTheBody(t *testing.T) {
-	for _, leaving := range leavings[:3] {
-		t.Run(leaving.name, func(t *testing.T) {
-			p := newPeer(t)
-			figures := telemetry.New("svc")
-			address, _, _ := startCounted(t, 64, fleet(), figures, p)
+	for _, disconnect := range disconnects[:3] {
+		t.Run(disconnect.name, func(t *testing.T) {
+			p := newTestServer(t)
+			metrics := telemetry.New("svc")
+			address, _, _ := startWithMetrics(t, 64, fleet(), metrics, p)
 			c := dial(t, address)
-			io.WriteString(c, move[:len(move)-2])
-			holds(t, figures, 1)
-			leaving.leave(c.Conn.(*net.TCPConn))
-			holds(t, figures, 0)
-			if len(p.got)+len(p.open) > 0 {
+			io.WriteString(c, moveRequest[:len(moveRequest)-2])
+			awaitHeldRequests(t, metrics, 1)
+			disconnect.run(c.Conn.(*net.TCPConn))
+			awaitHeldRequests(t, metrics, 0)
+			if len(p.requests)+len(p.conns) > 0 {
 				t.Error("half a request was sent on")
 			}
 		})
--- a/internal/ingress/long_test.go
+++ b/internal/ingress/long_test.go
@@ -16,7 +16,7 @@
 )
 
 // text is a body of so many bytes in which no two places look alike.
-func text(n int) string {
+func distinctBytes(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
 		fmt.Fprintf(&b, "%d,", i)
@@ -25,7 +25,7 @@
 }
 
 // chunks frames a body in pieces of a size, with what chunked bodies may hold besides.
-func chunks(body string, size int) string {
+func chunkedBody(body string, size int) string {
 	var b strings.Builder
 	for ; body != ""; body = body[min(size, len(body)):] {
 		piece := body[:min(size, len(body))]
@@ -37,22 +37,22 @@
 // A long answer passes on as it comes, whatever frames it: its beginning reaches the client while the rest is not
 // sent yet, and all of it arrives unchanged. One with a stated end leaves both connections for the next request.
 func TestLongAnswers(t *testing.T) {
-	body := text(3 << 20)
+	body := distinctBytes(3 << 20)
 	for name, c := range map[string]struct {
 		head, framed string
 		kept         bool
 	}{
 		"length":         {fmt.Sprintf("Content-Length: %d\r\n", len(body)), body, true},
-		"chunked":        {"Transfer-Encoding: chunked\r\nTrailer: X-Trailer\r\n", chunks(body, 1000), true},
+		"chunked":        {"Transfer-Encoding: chunked\r\nTrailer: X-Trailer\r\n", chunkedBody(body, 1000), true},
 		"until the end":  {"Connection: close\r\n", body, false},
 		"no word of end": {"", body, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPeer(t)
+			p := newTestServer(t)
 			address, _ := start(t, fleet(), p)
 			client := dial(t, address)
-			io.WriteString(client, view)
-			r := <-p.got
+			io.WriteString(client, viewRequest)
+			r := <-p.requests
 			first := len(c.framed) / 2
 			go io.WriteString(r.conn, "HTTP/1.1 200 OK\r\n"+c.head+"\r\n"+c.framed[:first])
 			resp, err := http.ReadResponse(client.in, nil)
@@ -76,14 +76,14 @@
 			if !c.kept {
 				return
 			}
-			go p.read(r.conn, r.in)
-			io.WriteString(client, view)
-			if again := <-p.got; again.conn != r.conn {
+			go p.readRequest(r.conn, r.in)
+			io.WriteString(client, viewRequest)
+			if again := <-p.requests; again.conn != r.conn {
 				t.Error("the connection to the target is not used again")
 			} else {
-				p.answer(again, ok)
+				p.answer(again, okAnswer)
 			}
-			client.served(t)
+			client.expectOK(t)
 		})
 	}
 }
@@ -91,19 +91,19 @@
 // A long answer that the target cuts, spoils or makes too long looks cut to the client, counts as failed, and is not
 // asked for again.
 func TestLongAnswerIsCut(t *testing.T) {
-	half := text(1 << 20)
+	half := distinctBytes(1 << 20)
 	for name, answer := range map[string]string{
 		"length":  "Content-Length: 2097152\r\n\r\n" + half,
-		"chunked": "Transfer-Encoding: chunked\r\n\r\n" + strings.TrimSuffix(chunks(half, 5000), "0\r\nX-Trailer: 1\r\n\r\n"),
-		"spoilt":  "Transfer-Encoding: chunked\r\n\r\n" + strings.Replace(chunks(half, 5000), "0\r\nX", "zz\r\nX", 1),
+		"chunked": "Transfer-Encoding: chunked\r\n\r\n" + strings.TrimSuffix(chunkedBody(half, 5000), "0\r\nX-Trailer: 1\r\n\r\n"),
+		"spoilt":  "Transfer-Encoding: chunked\r\n\r\n" + strings.Replace(chunkedBody(half, 5000), "0\r\nX", "zz\r\nX", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPeer(t)
-			figures := telemetry.New("svc")
-			address, _, _ := startCounted(t, 64, fleet(), figures, p)
+			p := newTestServer(t)
+			metrics := telemetry.New("svc")
+			address, _, _ := startWithMetrics(t, 64, fleet(), metrics, p)
 			client := dial(t, address)
-			io.WriteString(client, view)
-			r := <-p.got
+			io.WriteString(client, viewRequest)
+			r := <-p.requests
 			go func() {
 				io.WriteString(r.conn, "HTTP/1.1 200 OK\r\n"+answer)
 				r.conn.Close()
@@ -115,10 +115,10 @@
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
 				t.Errorf("%d bytes look like a whole answer", n)
 			}
-			if n := figures.Class(0); n.Error.Load() != 1 || n.Success.Load() != 0 {
+			if n := metrics.Class(0); n.Error.Load() != 1 || n.Success.Load() != 0 {
 				t.Errorf("counted: %d served, %d failed", n.Success.Load(), n.Error.Load())
 			}
-			if len(p.got) != 0 {
+			if len(p.requests) != 0 {
 				t.Error("it was asked for again")
 			}
 		})
@@ -128,12 +128,12 @@
 // A client that does not read holds its target back, and nothing is kept for it here beyond what sockets hold; when
 // it leaves, the target's connection ends.
 func TestLongAnswerWaitsForItsReader(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	client := dial(t, address)
 	client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	io.WriteString(client, view)
-	r := <-p.got
+	io.WriteString(client, viewRequest)
+	r := <-p.requests
 	const all = 32 << 20
 	wrote := make(chan int, 1)
 	go func() {
@@ -152,33 +152,33 @@
 		t.Errorf("%d bytes of %d were taken for a client that reads nothing", n, all)
 	}
 	client.Close()
-	r.closed(t)
+	r.awaitClosed(t)
 }
 
 // A long body passes on as it comes, with its length or in chunks, and with its time running from its last byte.
 func TestLongBodies(t *testing.T) {
-	body := text(3 << 20)
+	body := distinctBytes(3 << 20)
 	for name, c := range map[string]struct {
 		head, framed string
 		length       int64
 	}{
 		"length":   {fmt.Sprintf("Content-Length: %d", len(body)), body, int64(len(body))},
 		"expected": {fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d", len(body)), body, int64(len(body))},
-		"chunked":  {"Transfer-Encoding: chunked", chunks(body, 700), -1},
+		"chunked":  {"Transfer-Encoding: chunked", chunkedBody(body, 700), -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPeer(t)
+			p := newTestServer(t)
 			address, _ := start(t, fleet(), p)
 			client := dial(t, address)
-			io.WriteString(client, strings.Replace(strings.TrimSuffix(move, "e2e4"), "Content-Length: 4", c.head, 1))
+			io.WriteString(client, strings.Replace(strings.TrimSuffix(moveRequest, "e2e4"), "Content-Length: 4", c.head, 1))
 			io.WriteString(client, c.framed[:len(c.framed)/2])
-			<-p.open // it is sent on before the rest has come
+			<-p.conns // it is sent on before the rest has come
 			io.WriteString(client, c.framed[len(c.framed)/2:])
-			r := <-p.got
+			r := <-p.requests
 			if r.body != body || r.ContentLength != c.length || r.Header.Get("X-Timeout") != "2995m" || r.Header.Get("Expect") != "" {
 				t.Errorf("the target got %d bytes (length %d), %v", len(r.body), r.ContentLength, r.Header)
 			}
-			p.answer(r, ok)
+			p.answer(r, okAnswer)
 			resp, body := client.read(t)
 			for resp.StatusCode == http.StatusContinue {
 				resp, body = client.read(t)
@@ -189,8 +189,8 @@
 			if resp.Close {
 				return // behind chunks something may hide
 			}
-			io.WriteString(client, numbered(view, 2))
-			p.answer(<-p.got, ok)
+			io.WriteString(client, withID(viewRequest, 2))
+			p.answer(<-p.requests, okAnswer)
 			if resp, _ := client.read(t); resp.StatusCode != 200 {
 				t.Errorf("the next request was answered %d", resp.StatusCode)
 			}
@@ -201,8 +201,8 @@
 // What becomes of a long body that does not get through: the client is told, no target gets a last byte, and nothing
 // is sent twice. A target that cannot be reached is none of that: nothing was taken from the client yet.
 func TestLongBodyFails(t *testing.T) {
-	head := strings.Replace(strings.TrimSuffix(move, "e2e4"), "Content-Length: 4", "Content-Length: 3145728", 1)
-	body := text(3 << 20)
+	head := strings.Replace(strings.TrimSuffix(moveRequest, "e2e4"), "Content-Length: 4", "Content-Length: 3145728", 1)
+	body := distinctBytes(3 << 20)
 	for name, c := range map[string]struct {
 		client func(c *client)     // after the first megabyte
 		target func(conn net.Conn) // on the connection
@@ -210,7 +210,7 @@
 		"the client stops":      {func(c *client) {}, nil},
 		"the client ends":       {func(c *client) { c.Conn.(*net.TCPConn).CloseWrite() }, nil},
 		"the target leaves":     {func(c *client) { io.WriteString(c, body[1<<20:]) }, func(conn net.Conn) { conn.Close() }},
-		"the target turns away": {func(c *client) { io.WriteString(c, body[1<<20:]) }, func(conn net.Conn) { io.WriteString(conn, full); conn.Close() }},
+		"the target turns away": {func(c *client) { io.WriteString(c, body[1<<20:]) }, func(conn net.Conn) { io.WriteString(conn, notProcessedAnswer); conn.Close() }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -218,7 +218,7 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			address, _ := start(t, fleet(), &peer{Listener: l})
+			address, _ := start(t, fleet(), &testServer{Listener: l})
 			opened := make(chan net.Conn, 16)
 			go func() {
 				for {
@@ -261,16 +261,16 @@
 			t.Fatal(err)
 		}
 		gone.Close()
-		p := newPeer(t)
-		address, _ := start(t, fleet(), &peer{Listener: gone}, p)
+		p := newTestServer(t)
+		address, _ := start(t, fleet(), &testServer{Listener: gone}, p)
 		for range 4 { // each may be sent to the one that is not there first
 			client := dial(t, address)
 			io.WriteString(client, head+body)
-			r := <-p.got
+			r := <-p.requests
 			if r.body != body {
 				t.Errorf("the target that is there got %d bytes", len(r.body))
 			}
-			p.answer(r, ok)
+			p.answer(r, okAnswer)
 			if resp, _ := client.read(t); resp.StatusCode != 200 {
 				t.Errorf("answered %d", resp.StatusCode)
 			}
@@ -278,15 +278,15 @@
 	})
 }
 
-const full = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+const notProcessedAnswer = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
 // A short answer whose length is not said is not held back either while it is slow to come.
 func TestSlowAnswerIsPassedOn(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	client := dial(t, address)
-	io.WriteString(client, view)
-	r := <-p.got
+	io.WriteString(client, viewRequest)
+	r := <-p.requests
 	io.WriteString(r.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhe")
 	resp, err := http.ReadResponse(client.in, nil)
 	if err != nil {
@@ -303,7 +303,7 @@
 }
 
 // numbered gives a message an id of its own: one that is open is not taken twice.
-func numbered(message string, n int) string {
+func withID(message string, n int) string {
 	return strings.Replace(message, "9b1f03aa5c7e2d41", fmt.Sprint("id", n), 1)
 }
 
@@ -314,15 +314,15 @@
 		size := mb << 20
 		body := strings.Repeat("x", size)
 		b.Run(fmt.Sprintf("answer/%dMB", mb), func(b *testing.B) {
-			p := newPeer(b)
+			p := newTestServer(b)
 			address, _ := start(b, fleet(), p)
 			answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size) + body
 			client := dial(b, address)
 			client.SetDeadline(time.Time{})
 			b.SetBytes(int64(size))
 			for i := 0; b.Loop(); i++ {
-				io.WriteString(client, numbered(view, i))
-				go p.answer(<-p.got, answer)
+				io.WriteString(client, withID(viewRequest, i))
+				go p.answer(<-p.requests, answer)
 				resp, err := http.ReadResponse(client.in, nil)
 				if err != nil {
 					b.Fatal(err)
@@ -333,15 +333,15 @@
 			}
 		})
 		b.Run(fmt.Sprintf("body/%dMB", mb), func(b *testing.B) {
-			p := newPeer(b)
+			p := newTestServer(b)
 			address, _ := start(b, fleet(), p)
 			client := dial(b, address)
 			client.SetDeadline(time.Time{})
-			message := strings.Replace(strings.TrimSuffix(move, "e2e4"), "Content-Length: 4", fmt.Sprintf("Content-Length: %d", size), 1) + body
+			message := strings.Replace(strings.TrimSuffix(moveRequest, "e2e4"), "Content-Length: 4", fmt.Sprintf("Content-Length: %d", size), 1) + body
 			b.SetBytes(int64(size))
 			for i := 0; b.Loop(); i++ {
-				go io.WriteString(client, numbered(message, i))
-				p.answer(<-p.got, ok)
+				go io.WriteString(client, withID(message, i))
+				p.answer(<-p.requests, okAnswer)
 				if resp, _ := client.read(b); resp.StatusCode != 200 {
 					b.Fatal(resp.StatusCode)
 				}
@@ -349,7 +349,7 @@
 		})
 		b.Run(fmt.Sprintf("held/%dMB", mb), func(b *testing.B) {
 			const streams = 16
-			p := newPeer(b)
+			p := newTestServer(b)
 			address, _ := start(b, fleet(), p)
 			var before, after runtime.MemStats
 			for k := 0; b.Loop(); k++ {
@@ -358,12 +358,12 @@
 				clients := make([]*client, streams)
 				bodies := make([]*http.Response, streams)
 				rest := body[size/2:]
-				ends := make([]*received, streams)
+				ends := make([]*receivedRequest, streams)
 				for i := range clients {
 					clients[i] = dial(b, address)
 					clients[i].SetDeadline(time.Time{})
-					io.WriteString(clients[i], numbered(view, k*streams+i))
-					ends[i] = <-p.got
+					io.WriteString(clients[i], withID(viewRequest, k*streams+i))
+					ends[i] = <-p.requests
 					go io.WriteString(ends[i].conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)+body[:size/2])
 					var err error
 					if bodies[i], err = http.ReadResponse(clients[i].in, nil); err != nil {
--- a/internal/ingress/unsafe_test.go
+++ b/internal/ingress/unsafe_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-const stake = "POST /stake/3 HTTP/1.1\r\n" + headers + "Content-Length: 4\r\n\r\ne2e4"
+const stakeRequest = "POST /stake/3 HTTP/1.1\r\n" + headers + "Content-Length: 4\r\n\r\ne2e4"
 
 // either is the message that reaches one of two peers, and the other peer.
-func either(one, two *peer) (*received, *peer) {
+func receiveFromEither(one, two *testServer) (*receivedRequest, *testServer) {
 	select {
-	case r := <-one.got:
+	case r := <-one.requests:
 		return r, two
-	case r := <-two.got:
+	case r := <-two.requests:
 		return r, one
 	}
 }
@@ -27,7 +27,7 @@
 func TestUnsafeIsSentOnce(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
-		again        bool
+		repeated     bool
 		status       int
 	}{
 		{"reset", "", false, 502},
@@ -37,34 +37,34 @@
 		{"503 that may have run", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, 502},
 		{"504 that may have run", "HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", false, 502},
 		{"504 that never ran", "HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true, 200},
-		{"turned away", full, true, 200},
+		{"turned away", notProcessedAnswer, true, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			one, two := newPeer(t), newPeer(t)
+			one, two := newTestServer(t), newTestServer(t)
 			address, _ := start(t, fleet(), one, two)
 			client := dial(t, address)
-			io.WriteString(client, stake)
-			r, other := either(one, two)
+			io.WriteString(client, stakeRequest)
+			r, other := receiveFromEither(one, two)
 			if r.Header.Get("Idempotency-Key") != "" || r.body != "e2e4" {
 				t.Errorf("sent on with a key, or %q", r.body)
 			}
 			io.WriteString(r.conn, c.answer)
-			if !c.again {
+			if !c.repeated {
 				r.conn.Close()
 			} else {
-				other.answer(<-other.got, ok)
+				other.answer(<-other.requests, okAnswer)
 			}
 			if resp, _ := client.read(t); resp.StatusCode != c.status {
 				t.Errorf("answered %d, want %d", resp.StatusCode, c.status)
 			}
-			if len(one.got)+len(two.got) > 0 {
+			if len(one.requests)+len(two.requests) > 0 {
 				t.Error("sent again")
 			}
 		})
 	}
-	one := newPeer(t)
+	one := newTestServer(t)
 	address, _ := start(t, fleet(), one)
-	if resp, _ := dial(t, address).ask(t, strings.Replace(stake, "POST", "GET", 1)); resp.StatusCode/100 != 4 {
+	if resp, _ := dial(t, address).roundTrip(t, strings.Replace(stakeRequest, "POST", "GET", 1)); resp.StatusCode/100 != 4 {
 		t.Errorf("a GET of an unsafe class: answered %d", resp.StatusCode)
 	}
 }
@@ -72,18 +72,18 @@
 // An unsafe request whose server refuses the connection never ran there, and goes to another server, once.
 func TestUnsafeGoesOnFromARefusedConnection(t *testing.T) {
 	const requests = 12
-	gone, live := newPeer(t), newPeer(t)
+	gone, live := newTestServer(t), newTestServer(t)
 	gone.Close()
 	go func() {
-		for r := range live.got {
-			live.answer(r, ok)
+		for r := range live.requests {
+			live.answer(r, okAnswer)
 		}
 	}()
 	address, _ := start(t, fleet(), gone, live)
 	for i := range requests {
 		client := dial(t, address)
-		io.WriteString(client, strings.Replace(stake, "9b1f03aa5c7e2d41", fmt.Sprintf("9b1f03aa5c7e2d%02d", i), 1))
-		client.served(t)
+		io.WriteString(client, strings.Replace(stakeRequest, "9b1f03aa5c7e2d41", fmt.Sprintf("9b1f03aa5c7e2d%02d", i), 1))
+		client.expectOK(t)
 	}
 }
 
@@ -105,10 +105,10 @@
 			connections <- c
 		}
 	}()
-	address, _ := start(t, fleet(), &peer{Listener: l})
+	address, _ := start(t, fleet(), &testServer{Listener: l})
 	const length = 1 << 20
 	client := dial(t, address)
-	io.WriteString(client, strings.Replace(strings.Replace(stake, "Content-Length: 4", fmt.Sprintf("Content-Length: %d", length), 1), "e2e4", "", 1))
+	io.WriteString(client, strings.Replace(strings.Replace(stakeRequest, "Content-Length: 4", fmt.Sprintf("Content-Length: %d", length), 1), "e2e4", "", 1))
 	client.Write(make([]byte, length/2))
 	server := <-connections
 	const kept = 1 << 14 // bytes, and more than the gateway keeps of a body: until those are written it may send the message again
@@ -129,17 +129,17 @@
 // An unsafe request whose server is silent is answered by the client's time as failed, and is sent nowhere else.
 func TestUnsafeTimesOutInTime(t *testing.T) {
 	const wait, slack = 600 * time.Millisecond, 500 * time.Millisecond
-	one, two := newPeer(t), newPeer(t)
+	one, two := newTestServer(t), newTestServer(t)
 	address, _ := start(t, fleet(), one, two)
 	client := dial(t, address)
 	began := time.Now()
-	io.WriteString(client, strings.Replace(stake, "X-Timeout: 3000m", "X-Timeout: 600m", 1))
-	either(one, two)
+	io.WriteString(client, strings.Replace(stakeRequest, "X-Timeout: 3000m", "X-Timeout: 600m", 1))
+	receiveFromEither(one, two)
 	resp, _ := client.read(t)
 	if took := time.Since(began); resp.StatusCode != 502 || took > wait+slack {
 		t.Errorf("answered %d after %v", resp.StatusCode, took)
 	}
-	if len(one.got)+len(two.got) > 0 {
+	if len(one.requests)+len(two.requests) > 0 {
 		t.Error("sent again")
 	}
 }
@@ -147,21 +147,21 @@
 // Half a line that comes as a server closes a connection at rest is no answer to the next request: that goes out once,
 // on another connection.
 func TestHalfALineAtTheCloseIsNoAnswer(t *testing.T) {
-	p := newPeer(t)
+	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
 	client := dial(t, address)
 	for _, text := range []string{"HTTP/1.1 4", "H", "\r\n", "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\n\r\n"} {
-		io.WriteString(client, stake)
-		r := <-p.got
-		io.WriteString(r.conn, ok)
-		client.served(t)
+		io.WriteString(client, stakeRequest)
+		r := <-p.requests
+		io.WriteString(r.conn, okAnswer)
+		client.expectOK(t)
 		io.WriteString(r.conn, text) // on loopback it lies there at once
 		r.conn.Close()
 	}
-	io.WriteString(client, stake)
-	p.answer(<-p.got, ok)
-	client.served(t)
-	if len(p.got) > 0 {
+	io.WriteString(client, stakeRequest)
+	p.answer(<-p.requests, okAnswer)
+	client.expectOK(t)
+	if len(p.requests) > 0 {
 		t.Error("sent twice")
 	}
 }
@@ -178,10 +178,10 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	address, _ := start(t, fleet(), &peer{Listener: l})
+	address, _ := start(t, fleet(), &testServer{Listener: l})
 	const length, first = 1 << 20, 1 << 17
 	client := dial(t, address)
-	head := strings.Replace(strings.Replace(stake, "Content-Length: 4", fmt.Sprintf("Content-Length: %d", length), 1), "e2e4", "", 1)
+	head := strings.Replace(strings.Replace(stakeRequest, "Content-Length: 4", fmt.Sprintf("Content-Length: %d", length), 1), "e2e4", "", 1)
 	io.WriteString(client, head)
 	client.Write(make([]byte, first))
 	server, err := l.Accept()
