--- a/internal/ingress/copies_test.go
+++ b/internal/ingress/copies_test.go
@@ -11,18 +11,18 @@
 	"junctionring/internal/core"
 )
 
-// copyLimits allow second copies of safe requests.
+// copyLimits permit a second, concurrent copy of a safe request.
 var copyLimits = control.Limits{MaxAttempts: 6, SecondCopies: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1}
 
-// loaded is a good answer with a load report, as answers hold them where the settings say so.
+// answerWithLoad is a successful answer with a load report, which answers carry where the settings say so.
 const answerWithLoad = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: {\"qps\":7,\"queue\":2}\r\n\r\nhere"
 
-// answersToLearn is the number of answers after which a gateway knows how long they take, and not fewer: none of the
-// requests that teach it may have a copy itself.
+// warmUpAnswers is the number of answers that a gateway needs to estimate how long an answer takes. If it needed
+// fewer, a warm-up request could itself be sent as two copies.
 const warmUpAnswers = 43
 
-// startCopying runs a gateway that may send second copies before two servers, and has each class answered often enough
-// for the gateway to know how long answers take.
+// startWithSecondCopies starts a gateway that may send second copies to two servers, and has enough requests answered
+// for the gateway to estimate how long an answer takes.
 func startWithSecondCopies(t *testing.T) (address string, c *core.Core, one, two *testServer) {
 	t.Helper()
 	one, two = newTestServer(t), newTestServer(t)
@@ -37,7 +37,7 @@
 	return address, c, one, two
 }
 
-// at is the peer that got a message.
+// serverOf returns the server that received a request.
 func serverOf(r *receivedRequest, servers ...*testServer) *testServer {
 	for _, p := range servers {
 		if p.Addr().String() == r.conn.LocalAddr().String() {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// both waits for an attempt of one request at each server, with nothing answered in between.
+// awaitBothCopies waits until each server has received an attempt of the same request. No answer is sent in between.
 func awaitBothCopies(t *testing.T, one, two *testServer) (first, second *receivedRequest) {
 	t.Helper()
 	first, other := receiveFromEither(one, two)
@@ -65,7 +65,7 @@
 	first, second := awaitBothCopies(t, one, two)
 	serverOf(second, one, two).answer(second, answerWithLoad)
 	client.expectOK(t)
-	first.awaitClosed(t) // the slower copy is called off
+	first.awaitClosed(t) // the slower copy is cancelled
 }
 
 func TestFirstCopyMayAnswerAfterItsCopyWasSent(t *testing.T) {
@@ -78,11 +78,12 @@
 	second.awaitClosed(t)
 }
 
-// Both copies answer at once, again and again: the client has one answer to each request, and none of an earlier one.
+// Both copies of a request are answered at the same time. Guards against a client that gets a second answer, or the
+// answer to an earlier request.
 func TestCrossingAnswersOfTwoCopies(t *testing.T) {
 	address, c, one, two := startWithSecondCopies(t)
 	client := dial(t, address)
-	for i := range 4 { // as many as the budget pays for
+	for i := range 4 { // the budget for second copies permits no more
 		io.WriteString(client, withID(viewRequest, 1+i))
 		first, second := awaitBothCopies(t, one, two)
 		answer := strings.Replace(answerWithLoad, "here", fmt.Sprintf("%04d", i), 1)
@@ -112,7 +113,7 @@
 			first.conn.Close()
 			c.Settle()
 			if n := len(one.requests) + len(two.requests); n > 0 {
-				t.Errorf("%d more attempts beside the copy", n)
+				t.Errorf("%d more attempts besides the two copies", n)
 			}
 			serverOf(second, one, two).answer(second, answerWithLoad)
 			client.expectOK(t)
@@ -130,7 +131,7 @@
 	second.awaitClosed(t)
 }
 
-// The other server drains while a copy is pending: none is sent there, however long the first attempt takes.
+// Guards against a second copy that is sent to a server which starts to drain before the copy is due.
 func TestDrainWhileACopyIsPending(t *testing.T) {
 	address, c, one, two := startWithSecondCopies(t)
 	client := dial(t, address)
@@ -143,12 +144,12 @@
 	time.AfterFunc(300*time.Millisecond, func() { serverOf(first, one, two).answer(first, answerWithLoad) })
 	client.expectOK(t)
 	if n := len(other.requests); n > 0 {
-		t.Errorf("%d copies to a server that drains", n)
+		t.Errorf("%d copies were sent to a draining server", n)
 	}
 }
 
-// Keyed and unsafe requests that hang have one attempt out, also where second copies are allowed, and an unsafe one
-// that may have run is not sent again.
+// Guards against second copies of keyed and unsafe requests while their server does not answer, and against a repeat
+// of an unsafe request that may have run.
 func TestOnlySafeRequestsAreCopied(t *testing.T) {
 	for _, message := range []string{moveRequest, stakeRequest} {
 		address, _, one, two := startWithSecondCopies(t)
@@ -166,7 +167,7 @@
 	}
 }
 
-// An unsafe request goes on to another server when it surely never ran: the first refuses connections.
+// An unsafe request whose first server refuses connections cannot have run there, and must be sent to another server.
 func TestUnsafeIsRepeatedWhenItNeverRan(t *testing.T) {
 	gone, up := newTestServer(t), newTestServer(t)
 	gone.Close()
@@ -178,6 +179,6 @@
 		client.expectOK(t)
 	}
 	if n := len(up.requests); n > 0 {
-		t.Error(fmt.Sprint(n, " requests more than were asked"))
+		t.Error(fmt.Sprint(n, " more requests reached the server than the clients sent"))
 	}
 }
--- a/internal/ingress/drain_test.go
+++ b/internal/ingress/drain_test.go
@@ -12,8 +12,8 @@
 	"junctionring/internal/egress"
 )
 
-// A server that a whole list leaves out is gone, though it still answers: what is out is finished, and nothing new comes
-// to it from the moment the list is taken.
+// A snapshot no longer lists a server that still answers. Guards against new requests to that server once the
+// snapshot is applied; its pending attempt is completed.
 func TestAbsentFromAWholeListGetsNothingNew(t *testing.T) {
 	const laterRequests = 40
 	absent, listed := newTestServer(t), newTestServer(t)
@@ -34,21 +34,22 @@
 		}
 	}()
 	served := 0
-	for i := range laterRequests { // a machine that is short may have some refused
+	for i := range laterRequests { // on a busy machine some may be refused
 		client := dial(t, address)
 		if resp, _ := client.roundTrip(t, request(100+i)); resp.StatusCode == 200 {
 			served++
 		}
 	}
 	if served == 0 {
-		t.Error("the server that is left serves nothing")
+		t.Error("no later request was served by the server that is still listed")
 	}
 	if n := len(absent.requests); n > 0 {
-		t.Errorf("%d of %d later requests went to the server that is gone", n, laterRequests)
+		t.Errorf("%d of %d later requests went to the server that is no longer listed", n, laterRequests)
 	}
 }
 
-// What waits for a connection to a server that a whole list leaves out is not sent there.
+// Guards against a request that waits for a connection to a server, and is sent there after a snapshot has dropped
+// that server.
 func TestQueuedSendIsDroppedWhenAWholeListLeavesItsServerOut(t *testing.T) {
 	absent := newTestServer(t)
 	f := egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1})
@@ -69,11 +70,11 @@
 	c.Settle()
 	c.Routes(table(control.Ready))
 	if status := <-waiting; status != 503 {
-		t.Errorf("the request that waited was answered %d", status)
+		t.Errorf("the queued request was answered %d, want 503", status)
 	}
 	absent.answer(pending, okAnswer)
 	one.expectOK(t)
 	if len(absent.requests) > 0 {
-		t.Error("a server that is gone got something new")
+		t.Error("a server that is no longer listed received a new request")
 	}
 }
--- a/internal/ingress/gone_test.go
+++ b/internal/ingress/gone_test.go
@@ -24,37 +24,40 @@
 	"junctionring/internal/telemetry"
 )
 
-// gateway is a gateway under test and the figures that tell how far it is.
+// gateway is a gateway under test. Its metrics show how many requests it holds.
 type gateway struct {
 	address string
 	core    *core.Core
 	metrics *telemetry.Figures
 }
 
-// stage holds the request of a client at one point of its way. hold sends the message on the client's connection and
-// returns once it is held there, with what releases it and with the peers that must not see it.
+// stage is one point at which the processing of a request can be blocked. hold sends message on leavingClient's
+// connection and returns once the request is blocked there. It returns a function that unblocks it, and the servers
+// that must not receive it.
 type stage struct {
 	name string
 	hold func(t *testing.T, leavingClient *client, message string) (g gateway, release func(), servers []*testServer)
 }
 
-// limitedFleet has so many connections in all.
+// fleetWithConns returns a fleet that opens at most conns connections.
 func fleetWithConns(conns int) *egress.Fleet {
 	return egress.NewFleet(egress.Options{ConnectTimeout: 5 * time.Second, ConnIdle: time.Minute, Conns: conns})
 }
 
-func startGateway(t *testing.T, fleet *egress.Fleet, settings control.Settings, quotaCounter core.Counter, servers ...*testServer) gateway {
+func startGateway(t *testing.T, fleet *egress.Fleet, settings control.Settings, quotaCounter core.Counter,
+	servers ...*testServer) gateway {
 	metrics := telemetry.New("svc")
 	address, c, _ := startWithSettings(t, 64, fleet, metrics, settings, quotaCounter, servers...)
 	return gateway{address, c, metrics}
 }
 
-// connect gives a client that was made before its gateway its connection.
+// connect opens the connection of a client that was created before its gateway's address was known.
 func (c *client) connect(t *testing.T, address string) {
 	*c = *dial(t, address)
 }
 
-// lineCounter is a counter that answers no call before it is released.
+// blockingCounter starts a counter server that answers no call until release is called. It sends to called when a
+// call arrives.
 func blockingCounter(t *testing.T) (address string, called chan struct{}, release func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,7 +91,8 @@
 	}
 }
 
-// holdForCounter holds a first request of a customer of whom only the counter can tell.
+// holdForCounter blocks the first request of a customer whose usage only the counter knows, while the counter is
+// asked.
 func holdForCounter(t *testing.T, leavingClient *client, message string) (gateway, func(), []*testServer) {
 	settings := defaultSettings()
 	settings.Gateways = 100
@@ -105,8 +109,8 @@
 	return g, release, []*testServer{p}
 }
 
-// holdBetweenAttempts holds a request whose first attempt was turned away, and whose second waits for a connection: that
-// of the only server which is ready by then does not come up.
+// holdBetweenAttempts blocks a request whose first attempt was rejected unprocessed. The second attempt waits for a
+// connection to the only ready server, which is not established.
 func holdBetweenAttempts(t *testing.T, leavingClient *client, message string) (gateway, func(), []*testServer) {
 	one, two := newTestServer(t), newTestServerWithFullBacklog(t)
 	g := startGateway(t, fleetWithConns(16), defaultSettings(), rejectingCounter{}, one)
@@ -120,13 +124,16 @@
 	return g, func() { go two.acceptConns() }, []*testServer{one, two}
 }
 
-func tableWithStates(one *testServer, oneState control.MemberState, two *testServer, twoState control.MemberState) core.Table {
+// tableWithStates returns a route table of two servers, each with its state.
+func tableWithStates(one *testServer, oneState control.MemberState,
+	two *testServer, twoState control.MemberState) core.Table {
 	all := table(oneState, one)
 	all.Targets = append(all.Targets, table(twoState, two).Targets...)
 	return all
 }
 
-// newFullPeer is a server whose connections do not come up before it accepts: the queue of its listener is full.
+// newTestServerWithFullBacklog returns a server whose accept queue is full, so that no connection to it is
+// established until it accepts.
 func newTestServerWithFullBacklog(t *testing.T) *testServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,7 +152,7 @@
 	return &testServer{l, make(chan *receivedRequest, 64), make(chan net.Conn, 64)}
 }
 
-// holdWhileDialling holds a request whose connection does not come up.
+// holdWhileDialling blocks a request whose connection is not established.
 func holdWhileDialling(t *testing.T, leavingClient *client, message string) (gateway, func(), []*testServer) {
 	p := newTestServerWithFullBacklog(t)
 	g := startGateway(t, fleetWithConns(16), defaultSettings(), rejectingCounter{}, p)
@@ -155,12 +162,12 @@
 	return g, func() { go p.acceptConns() }, []*testServer{p}
 }
 
-// awaitHandshake waits until a connection to the server is being opened, and does not come up.
+// awaitPendingHandshake waits until a connection to the server is in state SYN_SENT.
 func (p *testServer) awaitPendingHandshake(t *testing.T) {
 	t.Helper()
 	poll := time.NewTicker(5 * time.Millisecond)
 	defer poll.Stop()
-	synSent := fmt.Sprintf(":%04X 02 ", p.Addr().(*net.TCPAddr).Port) // the far port, and the state SYN_SENT
+	synSent := fmt.Sprintf(":%04X 02 ", p.Addr().(*net.TCPAddr).Port) // the remote port, and the state SYN_SENT
 	for deadline := time.Now().Add(10 * time.Second); ; <-poll.C {
 		text, err := os.ReadFile("/proc/self/net/tcp")
 		if err != nil {
@@ -175,7 +182,7 @@
 	}
 }
 
-// holdForConnection holds a request that waits for the only connection.
+// holdForConnection blocks a request that waits for the only connection.
 func holdForConnection(t *testing.T, leavingClient *client, message string) (gateway, func(), []*testServer) {
 	p := newTestServer(t)
 	g := startGateway(t, fleetWithConns(1), defaultSettings(), rejectingCounter{}, p)
@@ -189,7 +196,7 @@
 	return g, func() { p.answer(held, okAnswer) }, []*testServer{p}
 }
 
-// reload gives each class other rules, as SIGHUP does.
+// reload changes the rules of each class, as a reload on SIGHUP does.
 func (g gateway) reload() {
 	old := defaultSettings()
 	names := []string{"table-view", "move-submit", "stake"}
@@ -203,8 +210,9 @@
 		From: from, Attempts: next.Attempts})
 }
 
-// A client that leaves gets no attempt, first or further, wherever its request is held: once the gateway has noticed,
-// what held the request is released, and the next request that a server sees is another client's.
+// Guards against an attempt for a client that has disconnected while its request was blocked at any stage. The
+// request is unblocked after the gateway has noticed the disconnect; the next request at a server must be another
+// client's.
 func TestNoAttemptForAClientThatHasGone(t *testing.T) {
 	stages := []stage{
 		{"for the counter", holdForCounter},
@@ -236,11 +244,13 @@
 			}
 		}
 	})
-	t.Logf("attempts begun for a client that had gone: %d of %d", begun, left)
+	t.Logf("attempts begun for a client that had disconnected: %d of %d", begun, left)
 }
 
-// leavesAt counts the attempts that are made for a client which leaves while its request is held.
-func attemptsAfterDisconnect(t *testing.T, stage stage, reloadBefore, reloadAfter bool, disconnect func(*net.TCPConn), message string) (begun int) {
+// attemptsAfterDisconnect counts the attempts that are made for a client which disconnects while its request is
+// blocked at a stage.
+func attemptsAfterDisconnect(t *testing.T, stage stage, reloadBefore, reloadAfter bool,
+	disconnect func(*net.TCPConn), message string) (begun int) {
 	leavingClient := &client{}
 	g, release, servers := stage.hold(t, leavingClient, withID(message, 3))
 	held := g.metrics.Concurrent.Load()
@@ -257,8 +267,9 @@
 	return attemptsBeforeNextRequest(t, g, servers)
 }
 
-// nextIsAnothers has another client ask until a server sees its request, and counts those that are seen before it. One
-// whose time is up before its connection is there is answered, and sent anew.
+// attemptsBeforeNextRequest has another client send requests until a server receives one, and counts the requests
+// that servers receive before it. A request that reaches its deadline before it has a connection is answered, and
+// sent again.
 func attemptsBeforeNextRequest(t *testing.T, g gateway, servers []*testServer) (begun int) {
 	next := dial(t, g.address)
 	answered := make(chan error)
@@ -292,12 +303,12 @@
 	}
 }
 
-// closes notes when each client has closed its connection, and how much later an attempt began for it.
+// disconnectLog records when each client has closed its connection, and how long afterwards an attempt began for it.
 type disconnectLog struct {
 	mu           sync.Mutex
 	closedAt     map[string]time.Time
 	attempts     int
-	lateAttempts []time.Duration // of each attempt that began after the close
+	lateAttempts []time.Duration // time from the close to each attempt that began after it
 }
 
 func (c *disconnectLog) close(conn net.Conn, id string) {
@@ -316,9 +327,9 @@
 	}
 }
 
-// Clients leave at any time of their requests' way, between servers that answer, fail, turn away and stay silent, on
-// few connections, while the settings change. No attempt begins more than 0.1 s later, beside what this machine itself
-// holds a goroutine up for meanwhile.
+// Guards against attempts that begin more than 0.1 s after the client has disconnected. Clients disconnect at random
+// times while servers answer, fail, reject or do not answer, connections are few and the settings are reloaded. The
+// longest scheduling delay of this machine meanwhile is added to the 0.1 s.
 func TestAttemptsBeginNoLaterThanTheClose(t *testing.T) {
 	const clients, requests = 10, 100
 	events := &disconnectLog{closedAt: map[string]time.Time{}}
@@ -348,7 +359,7 @@
 	stall := <-stalled
 	events.mu.Lock()
 	defer events.mu.Unlock()
-	delays := make([]time.Duration, len(events.closedAt)) // 0 for a client with no attempt after its close
+	delays := make([]time.Duration, len(events.closedAt)) // 0 for a client with no attempt after it has disconnected
 	copy(delays, events.lateAttempts)
 	slices.Sort(delays)
 	tooLate := 0
@@ -357,14 +368,15 @@
 			tooLate++
 		}
 	}
-	t.Logf("%d clients left, %d attempts, %d begun after the close, %d of %d over 0.1 s; lateness p99 %v, max %v (longest stall of this machine %v)",
-		len(events.closedAt), events.attempts, len(events.lateAttempts), tooLate, len(events.closedAt), delays[len(delays)*99/100], delays[len(delays)-1], stall)
+	t.Logf("%d clients disconnected, %d attempts, %d begun after the disconnect, %d of %d over 0.1 s; delay p99 %v, max %v (longest scheduling delay of this machine %v)",
+		len(events.closedAt), events.attempts, len(events.lateAttempts), tooLate, len(events.closedAt),
+		delays[len(delays)*99/100], delays[len(delays)-1], stall)
 	if tooLate > 0 {
-		t.Errorf("%d attempts began more than 0.1 s after the client had gone", tooLate)
+		t.Errorf("%d attempts began more than 0.1 s after the client had disconnected", tooLate)
 	}
 }
 
-// leaveEarly sends one request and leaves at some time of its way.
+// requestAndDisconnect sends one request and disconnects after a random time, or once an answer arrives.
 func (c *disconnectLog) requestAndDisconnect(t *testing.T, address string, n int) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -375,11 +387,11 @@
 	text := strings.Replace(viewRequest, "9b1f03aa5c7e2d41", id, 1)
 	io.WriteString(conn, strings.Replace(text, "b4d65521", fmt.Sprintf("%08x", n), 1))
 	conn.SetReadDeadline(time.Now().Add(time.Duration(rand.IntN(30)) * time.Millisecond))
-	conn.Read(make([]byte, 1)) // until an answer or the time to go
+	conn.Read(make([]byte, 1)) // until an answer arrives or the time is up
 	c.close(conn, id)
 }
 
-// serve answers most messages after some milliseconds, turns away or fails some, and leaves a few without an answer.
+// answerAtRandom answers most requests after some milliseconds, rejects or fails some, and leaves a few unanswered.
 func (c *disconnectLog) answerAtRandom(p *testServer) {
 	for r := range p.requests {
 		c.recordAttempt(r.Header.Get("X-Request-ID"))
@@ -389,7 +401,7 @@
 		case 1, 2:
 			p.answer(r, "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 		case 3:
-			go func() { // until the gateway closes it
+			go func() { // waits until the gateway closes the connection
 				r.in.ReadByte()
 				r.conn.Close()
 			}()
@@ -399,7 +411,8 @@
 	}
 }
 
-// longestStall measures, until stop is closed, by how much the machine at most overran a wait of a millisecond.
+// longestStall measures until stop is closed, and sends the longest time by which a wait of a millisecond was
+// overrun.
 func longestStall(stop <-chan struct{}, result chan<- time.Duration) {
 	timer := time.NewTimer(time.Millisecond)
 	var longestSoFar time.Duration
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -22,18 +22,18 @@
 	"junctionring/internal/telemetry"
 )
 
-// uncounted is a counter that takes nothing in.
+// rejectingCounter is a counter that accepts no call.
 type rejectingCounter struct{}
 
 func (rejectingCounter) Add(uint64, float64, time.Duration, func(control.Status, float64)) bool {
 	return false
 }
 
-// peer is a table server whose every message and answer a test scripts.
+// testServer is a table server whose answers the test writes.
 type testServer struct {
 	net.Listener
 	requests chan *receivedRequest
-	conns    chan net.Conn // every connection, as it comes
+	conns    chan net.Conn // each accepted connection
 }
 
 type receivedRequest struct {
@@ -54,7 +54,7 @@
 	return p
 }
 
-// accept takes connections until the listener is closed.
+// acceptConns accepts connections until the listener is closed.
 func (p *testServer) acceptConns() {
 	for {
 		c, err := p.Accept()
@@ -66,7 +66,7 @@
 	}
 }
 
-// read takes one message in; answer reads the next one.
+// readRequest reads one request from a connection. answer starts the reading of the next one.
 func (p *testServer) readRequest(c net.Conn, in *bufio.Reader) {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -83,47 +83,50 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Board: 7\r\n\r\nhere"
 
-// closed waits until the gateway has closed the connection of a message.
+// awaitClosed waits until the gateway has closed the connection that the request came on.
 func (r *receivedRequest) awaitClosed(t *testing.T) {
 	t.Helper()
 	r.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := r.in.ReadByte(); err == nil {
-		t.Error("the gateway sent more on a connection that it was to close")
+		t.Error("the gateway sent more data on a connection that it should close")
 	} else if e, timeout := err.(net.Error); timeout && e.Timeout() {
-		t.Error("the gateway keeps an attempt open that nobody wants")
+		t.Error("the gateway did not close the connection of an ended attempt within 10 s")
 	}
 }
 
-// start runs core, egress and front round the peers and returns the front's address.
+// start runs core, egress and front with servers as the targets, and returns the front's address.
 func start(t testing.TB, fleet *egress.Fleet, servers ...*testServer) (string, *core.Core) {
 	t.Helper()
 	address, c, _ := startServer(t, 64, fleet, servers...)
 	return address, c
 }
 
-// startServer is start with so many slots for clients.
-func startServer(t testing.TB, maxConns int, fleet *egress.Fleet, servers ...*testServer) (string, *core.Core, *front.Server) {
+// startServer is like start, for at most maxConns client connections.
+func startServer(t testing.TB, maxConns int, fleet *egress.Fleet,
+	servers ...*testServer) (string, *core.Core, *front.Server) {
 	t.Helper()
 	return startWithMetrics(t, maxConns, fleet, nil, servers...)
 }
 
-// startCounted is startServer with figures; nil: none.
-func startWithMetrics(t testing.TB, maxConns int, fleet *egress.Fleet, metrics *telemetry.Figures, servers ...*testServer) (string, *core.Core, *front.Server) {
+// startWithMetrics is like startServer, with metrics unless they are nil.
+func startWithMetrics(t testing.TB, maxConns int, fleet *egress.Fleet, metrics *telemetry.Figures,
+	servers ...*testServer) (string, *core.Core, *front.Server) {
 	t.Helper()
 	return startWithLimits(t, maxConns, fleet, metrics, limits, servers...)
 }
 
 var limits = control.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 1}
 
-// startLimited is startCounted with other limits on what a gateway may do.
-func startWithLimits(t testing.TB, maxConns int, fleet *egress.Fleet, metrics *telemetry.Figures, limits control.Limits, servers ...*testServer) (string, *core.Core, *front.Server) {
+// startWithLimits is like startWithMetrics, with the given limits in the settings.
+func startWithLimits(t testing.TB, maxConns int, fleet *egress.Fleet, metrics *telemetry.Figures, limits control.Limits,
+	servers ...*testServer) (string, *core.Core, *front.Server) {
 	t.Helper()
 	settings := defaultSettings()
 	settings.Limits = limits
 	return startWithSettings(t, maxConns, fleet, metrics, settings, rejectingCounter{}, servers...)
 }
 
-// defaultSettings have a class of each kind of repeat, and no counter.
+// defaultSettings returns settings with one class for each control.Repeat, and without a counter.
 func defaultSettings() control.Settings {
 	return control.Settings{
 		Gateways: 1,
@@ -138,8 +141,10 @@
 	}
 }
 
-// startSettings is startCounted with settings and a counter of the test's own.
-func startWithSettings(t testing.TB, maxConns int, fleet *egress.Fleet, metrics *telemetry.Figures, settings control.Settings, quotaCounter core.Counter, servers ...*testServer) (string, *core.Core, *front.Server) {
+// startWithSettings is like startWithMetrics, with the given settings and counter.
+func startWithSettings(t testing.TB, maxConns int, fleet *egress.Fleet, metrics *telemetry.Figures,
+	settings control.Settings, quotaCounter core.Counter,
+	servers ...*testServer) (string, *core.Core, *front.Server) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	c, err := core.New(settings, 1, fleet, quotaCounter, log)
@@ -184,7 +189,7 @@
 	return egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 16})
 }
 
-// client is one connection of a client, as raw as the platform's are.
+// client is a raw client connection, such as the platform's clients use.
 type client struct {
 	net.Conn
 	in *bufio.Reader
@@ -226,8 +231,8 @@
 	return c.read(t)
 }
 
-// learn has the gateway see that the targets answer different requests differently: until it has seen some answers it
-// uses no connection for different requests.
+// teachDistinctAnswers shows the gateway that the target answers different requests differently. Until the gateway
+// has seen some answers, it does not reuse a connection for a different request.
 func (c *client) teachDistinctAnswers(t testing.TB, p *testServer) {
 	t.Helper()
 	for range 10 {
@@ -240,9 +245,9 @@
 	}
 }
 
-var taughtAnswers atomic.Int64 // requests of learn, so that none is like another
+var taughtAnswers atomic.Int64 // number of requests of teachDistinctAnswers, which makes each one different
 
-// served reads an answer that must be the target's ok.
+// expectOK reads an answer and checks that it is the target's okAnswer.
 func (c *client) expectOK(t testing.TB) {
 	t.Helper()
 	if resp, body := c.read(t); resp.StatusCode != 200 || body != "here" {
@@ -250,7 +255,8 @@
 	}
 }
 
-// What a target answers reaches the client unchanged; what passes on is the client's, with the time left.
+// Guards against changed requests and answers: only X-Timeout differs, which holds the remaining time. Exchanges in a
+// row must not open new connections to the target.
 func TestServesUnchanged(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -264,7 +270,7 @@
 		t.Errorf("the target got %s %s %q %v", r.Method, r.URL, r.body, r.Header)
 	}
 	if left, err := front.ParseTimeout(r.Header.Get("X-Timeout")); err != nil || left >= 3*time.Second {
-		t.Errorf("the time left is said to be %v (%v)", left, err)
+		t.Errorf("X-Timeout says that %v remain (%v)", left, err)
 	}
 	p.answer(r, okAnswer)
 	resp, body := c.read(t)
@@ -282,11 +288,11 @@
 	}
 	c.teachDistinctAnswers(t, p)
 	if n := len(p.conns); n != before {
-		t.Errorf("%d connections to the target before exchanges in a row, and %d after", before, n)
+		t.Errorf("%d connections to the target before consecutive exchanges, and %d after", before, n)
 	}
 }
 
-// A cut answer is not passed on as if it were whole, and one attempt ends before the next one goes out.
+// Guards against a truncated answer that is passed on as complete, and against two attempts at the same time.
 func TestCutAnswerIsNotServed(t *testing.T) {
 	p, q := newTestServer(t), newTestServer(t)
 	address, _ := start(t, fleet(), p, q)
@@ -299,7 +305,7 @@
 		case r = <-q.requests:
 		}
 		if len(p.requests)+len(q.requests) > 0 {
-			t.Error("two attempts are out at once")
+			t.Error("two attempts are pending at the same time")
 		}
 		io.WriteString(r.conn, okAnswer[:len(okAnswer)-2])
 		r.conn.Close()
@@ -309,7 +315,8 @@
 	}
 }
 
-// A target that closed an idle connection gets the next exchange on a new one, once: no hidden resend.
+// A target closes an idle connection. Guards against the next exchange being lost on that connection, or sent twice:
+// it must go out once, on a new connection.
 func TestStaleConnectionIsNotWrittenTo(t *testing.T) {
 	for name, next := range map[string]string{"another": moveRequest, "the same": viewRequest} {
 		t.Run(name, func(t *testing.T) {
@@ -320,7 +327,7 @@
 			r := <-p.requests
 			io.WriteString(r.conn, okAnswer)
 			c.read(t)
-			r.conn.Close() // on loopback the end is there before the next message is
+			r.conn.Close() // on loopback the FIN arrives before the next message is sent
 			io.WriteString(c, next)
 			p.answer(<-p.requests, okAnswer)
 			if resp, _ := c.read(t); resp.StatusCode != 200 {
@@ -333,8 +340,8 @@
 	}
 }
 
-// A reset of a reused connection with a keyed exchange on it is told to the module, not hidden: at most one
-// attempt is out, and the next goes out only after the first has ended.
+// A reused connection is reset while a keyed exchange is pending on it. The core must be told of the failed attempt
+// instead of a hidden resend: at most one attempt is pending, and the next starts after the first has ended.
 func TestResetIsNotHidden(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -346,13 +353,14 @@
 	r := <-p.requests
 	r.conn.(*net.TCPConn).SetLinger(0)
 	r.conn.Close()
-	p.answer(<-p.requests, okAnswer) // within its window the class permits a repeat
+	p.answer(<-p.requests, okAnswer) // the class permits a repeat within its window
 	if resp, _ := c.read(t); resp.StatusCode != 200 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 }
 
-// A silent target: the client has its one answer by its deadline, and the attempt is given up by closing.
+// The target does not answer. Guards against a client without an answer by its deadline, and against an attempt whose
+// connection stays open.
 func TestAnswersByTheDeadline(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -361,7 +369,7 @@
 	sent := time.Now()
 	resp, _ := c.roundTrip(t, message)
 	if took := time.Since(sent); took < 500*time.Millisecond {
-		t.Errorf("given up after %v of 1 s", took)
+		t.Errorf("answered after %v of a timeout of 1 s", took)
 	}
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("answered %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
@@ -369,7 +377,7 @@
 	(<-p.requests).awaitClosed(t)
 }
 
-// A client that leaves has its attempt called off at once.
+// Guards against an attempt that goes on after its client has disconnected.
 func TestClientLeaves(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -380,7 +388,8 @@
 	r.awaitClosed(t)
 }
 
-// A program that must end sheds what it still holds: the client has its answer, the attempt is called off.
+// A process that must exit sheds the pending exchanges. Guards against a client without an answer, and against an
+// attempt that is not cancelled.
 func TestShedAtTheEnd(t *testing.T) {
 	p := newTestServer(t)
 	address, core := start(t, fleet(), p)
@@ -394,7 +403,8 @@
 	r.awaitClosed(t)
 }
 
-// What waits for a connection to a target that starts to drain is not sent there.
+// Guards against an exchange that waits for a connection to a target, and is sent there after the target has started
+// to drain.
 func TestQueuedSendIsDroppedOnDrain(t *testing.T) {
 	p := newTestServer(t)
 	f := egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1})
@@ -415,18 +425,19 @@
 	c.Settle()
 	c.Routes(table(control.Draining, p))
 	if status := <-other; status != 503 {
-		t.Errorf("the queued exchange was answered %d", status)
+		t.Errorf("the queued exchange was answered %d, want 503", status)
 	}
-	p.answer(r, okAnswer) // what was out is finished
+	p.answer(r, okAnswer) // the pending attempt is completed
 	if resp, _ := one.read(t); resp.StatusCode != 200 {
-		t.Errorf("the held exchange was answered %d", resp.StatusCode)
+		t.Errorf("the pending exchange was answered %d, want 200", resp.StatusCode)
 	}
 	if len(p.requests) != 0 {
-		t.Error("a draining target got something new")
+		t.Error("a draining target received a new exchange")
 	}
 }
 
-// Each kind of malformed message gets a 4xx at once; no target hears of it.
+// Guards against malformed messages that reach a target: each kind is rejected at once with a 4xx or a 505, and its
+// connection is closed.
 func TestMalformed(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -482,11 +493,12 @@
 		sent.awaitClosed(t, 20*time.Second, c.name)
 	}
 	if len(p.conns) != 0 {
-		t.Error("a target was called")
+		t.Error("a connection to the target was opened")
 	}
 }
 
-// A probe brings the target's load report, by the fields that the settings name.
+// A probe returns the target's load report, in the fields that the settings name. Guards against values from a
+// malformed report, and against probes of a target that is no longer listed.
 func TestProbeBringsTheLoad(t *testing.T) {
 	p := newTestServer(t)
 	f := egress.NewFleet(egress.Options{ConnectTimeout: 5 * time.Second, ConnIdle: time.Minute, Conns: 4,
@@ -502,7 +514,7 @@
 	}
 	r := <-p.requests
 	if r.Method != "GET" || r.URL.Path != "/stats" {
-		t.Errorf("probed by %s %s", r.Method, r.URL.Path)
+		t.Errorf("the probe was %s %s, want GET /stats", r.Method, r.URL.Path)
 	}
 	p.answer(r, "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\n{\"inflight\":7, \"queue\": 2}")
 	if a := <-got; a.status != control.OK || len(a.load) != 2 || a.load[0] != 2 || a.load[1] != 7 {
@@ -516,13 +528,13 @@
 			t.Errorf("%s was read as %+v", report, a)
 		}
 	}
-	f.Update(core.Table{Kind: control.Snapshot}) // the target leaves the list
+	f.Update(core.Table{Kind: control.Snapshot}) // the snapshot does not list the target
 	if f.Probe(p.Addr().String(), 0, nil) {
-		t.Error("a target that left the list is probed")
+		t.Error("a target that is no longer listed is probed")
 	}
 }
 
-// closedBy waits until the gateway has ended a connection, with an answer first or without.
+// awaitClosed waits until the gateway has closed a connection, whether it has sent an answer or not.
 func (c *client) awaitClosed(t *testing.T, limit time.Duration, label string) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(limit))
@@ -533,8 +545,8 @@
 	}
 }
 
-// Clients that asked once and keep their connections for good do not shut others out: the one that has
-// rested longest makes room, and the one that asked last is still served on its connection.
+// Guards against idle keep-alive connections that occupy every slot and lock out new clients: the connection that has
+// been idle longest must be closed, and the one that was used last must still be served.
 func TestRestingConnectionsMakeRoom(t *testing.T) {
 	address, _, _ := startServer(t, 8, fleet())
 	idle := make([]*client, 8)
@@ -552,8 +564,8 @@
 	}
 }
 
-// Connections that say nothing, or only half a head, fill every slot: the next client is served all the same,
-// and all of them are closed.
+// Guards against connections that occupy every slot without sending anything, or only half of a header: the next
+// client must be served, and all of them must be closed.
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	address, _, _ := startServer(t, 8, fleet())
 	silent := make([]*client, 24)
@@ -571,8 +583,8 @@
 	}
 }
 
-// A request that is hidden in the chunked body of another, behind a length that says otherwise, is not passed
-// on; nor is one that follows on the same connection.
+// Guards against request smuggling: a message has both Content-Length and chunked encoding, and a second request
+// follows its body on the same connection. The second request must not be passed on.
 func TestHiddenRequestIsNotPassedOn(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -593,7 +605,8 @@
 	}
 }
 
-// A chunked body, in pieces, is taken whole and passed on with its length; the answer closes the connection.
+// Guards against the loss of parts of a chunked body: it must be passed on complete with its Content-Length, and the
+// answer closes the connection.
 func TestChunkedBodyIsTaken(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -610,8 +623,8 @@
 	}
 }
 
-// An id that is open belongs to the client that sent it: another's request with it is turned away, and is
-// served once the first has its answer.
+// Guards against two pending exchanges with the same id: a request whose id is in use by another client is rejected,
+// and the other client's request is still answered.
 func TestOpenIDIsNotTakenTwice(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -626,11 +639,12 @@
 		t.Errorf("the first was answered %d", resp.StatusCode)
 	}
 	if len(p.requests) != 0 {
-		t.Error("a target got both")
+		t.Error("the target received both requests")
 	}
 }
 
-// A body that never comes whole holds its slot for no longer than a bad client is owed.
+// Guards against a body that is never completed and occupies its slot: the request is rejected in limited time, and
+// no connection to the target is opened.
 func TestHalfABodyIsRejected(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -640,11 +654,11 @@
 	}
 	c.awaitClosed(t, 20*time.Second, "half a body")
 	if len(p.conns) != 0 {
-		t.Error("a target was called")
+		t.Error("a connection to the target was opened")
 	}
 }
 
-// What a head says never spoils a sum that is kept: numbers are plain, finite and in range.
+// Guards against header values that would corrupt the sums that the core keeps: numbers must be finite and in range.
 func FuzzQuota(f *testing.F) {
 	for _, text := range []string{"units=2,spread=1,first=0", "units=NaN", "units=1e9,spread=0x2,first=-0", "spread=1..2", "units=.,,="} {
 		f.Add(text)
@@ -661,8 +675,8 @@
 	})
 }
 
-// A spoilt answer is a failed attempt that may have run: its connection is closed, and what the class permits to
-// run again is served by another attempt, on another connection.
+// Guards against malformed answers that reach the client. Such an attempt has failed and may have run: its connection
+// must be closed, and a request that its class permits to repeat is served by another attempt on another connection.
 func TestSpoiltAnswerIsNotServed(t *testing.T) {
 	for name, malformed := range map[string]string{
 		"noise":             "\x00\xfe\x81 nothing of use\r\n\r\n",
@@ -691,11 +705,11 @@
 	}
 }
 
-// A good answer that brings more than belongs to it is served, and what lies behind it is not read as the
-// answer to the next request, not even to one that waits for the connection.
+// Guards against response splitting: a target sends further bytes after a valid answer. The answer must be served,
+// and the bytes must not be read as the answer to the next request, even if that one waits for the connection.
 func TestWhatLiesBehindIsNotTheNextAnswer(t *testing.T) {
 	const other = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
-	long := strings.Repeat("x", 9000) // past what one read takes in: the rest stays in the socket
+	long := strings.Repeat("x", 9000) // more than one read returns: the rest stays in the socket
 	for name, c := range map[string]struct{ text, body string }{
 		"1xx in front":         {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + okAnswer, "here"},
 		"another behind":       {okAnswer + other, "here"},
@@ -704,7 +718,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestServer(t)
-			address, core := start(t, egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1}), p)
+			address, core := start(t, egress.NewFleet(
+				egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1}), p)
 			one, two := dial(t, address), dial(t, address)
 			io.WriteString(one, viewRequest)
 			r := <-p.requests
@@ -722,8 +737,8 @@
 	}
 }
 
-// A gateway that drains says at once that it is not ready, and goes on serving the connections that clients
-// have, without closing them; in the end each answer says that it is the connection's last.
+// Guards against a drain that closes open client connections: a draining gateway reports at once that it is not
+// ready, and serves open connections. Once it is time to close them, each answer carries Connection: close.
 func TestDrainServesOnOpenConnections(t *testing.T) {
 	const ready = "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"
 	p := newTestServer(t)
@@ -736,7 +751,7 @@
 	for {
 		resp, _ := c.roundTrip(t, ready)
 		if resp.Close {
-			t.Fatal("a connection is closed as the drain begins")
+			t.Fatal("the answer at the start of the drain closes its connection")
 		}
 		if resp.StatusCode == 503 {
 			break
@@ -758,8 +773,8 @@
 	<-closing
 }
 
-// A request that was held as the drain began to close connections is answered as its connection's last, too: else its
-// client would send the next one as the connection is closed at rest, when no way in may be left.
+// A request is pending when the drain begins to close connections. Its answer must carry Connection: close; otherwise
+// the client would send its next request while the idle connection is closed, when the gateway may accept no new one.
 func TestHeldAcrossTheCloseIsAnsweredAsTheLast(t *testing.T) {
 	const ready = "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"
 	for _, message := range []string{viewRequest, moveRequest} {
@@ -778,7 +793,7 @@
 		}
 		p.answer(held, okAnswer)
 		if resp, body := c.read(t); resp.StatusCode != 200 || body != "here" || !resp.Close {
-			t.Errorf("answered %d %q, as the last: %t", resp.StatusCode, body, resp.Close)
+			t.Errorf("answered %d %q, Connection: close %t", resp.StatusCode, body, resp.Close)
 		}
 		c.awaitClosed(t, 20*time.Second, "a connection with its last answer")
 		cancel()
@@ -786,7 +801,8 @@
 	}
 }
 
-// The target of a request is passed on to the letter, be it one that a reader of queries or paths would write anew.
+// Guards against a request target that is normalised on the way: it is passed on byte for byte, also where a URL
+// parser would rewrite its path or query.
 func TestTargetIsPassedOnToTheLetter(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -798,14 +814,15 @@
 		io.WriteString(c, strings.Replace(viewRequest, "/table-view/3?seat=2", target, 1))
 		r := <-p.requests
 		if r.RequestURI != target {
-			t.Errorf("%.60q came as %.60q", target, r.RequestURI)
+			t.Errorf("%.60q was passed on as %.60q", target, r.RequestURI)
 		}
 		p.answer(r, okAnswer)
 		c.expectOK(t)
 	}
 }
 
-// A class may have a name that is not plain. It comes as it is or escaped, in one form only.
+// Class names may hold characters outside of the unreserved set. Guards against a name that is not found in its
+// literal or its canonical escaped form, and against other forms that are accepted.
 func TestClassesOfAnyName(t *testing.T) {
 	n := &front.Names{Classes: []string{"答え", "Ask_2.x", "a%41", "Größe"}, Plans: []string{"Gäst, Plus;1"}, Gateways: 1,
 		Repeats: make([]control.Repeat, 4)}
--- a/internal/ingress/inservice_test.go
+++ b/internal/ingress/inservice_test.go
@@ -11,8 +11,8 @@
 	"junctionring/internal/telemetry"
 )
 
-// Each answer is counted once by what the client got, and each attempt by what the target got; the requests
-// held are counted while they are held.
+// Guards against wrong metrics: each answer is counted once by the result that the client got, each attempt once by
+// its arrival at the target, and each pending request while it is pending.
 func TestFiguresCountEachAnswer(t *testing.T) {
 	p := newTestServer(t)
 	metrics := telemetry.New("svc")
@@ -31,10 +31,10 @@
 	for i, script := range []struct{ message, class, answer string }{
 		{viewRequest, "table-view", okAnswer},
 		{moveRequest, "move-submit", okAnswer},
-		{viewRequest, "table-view", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhe"}, // cut: a reset
+		{viewRequest, "table-view", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhe"}, // truncated: the connection is closed early
 		{moveRequest, "move-submit", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhe"},
 	} {
-		awaitHeldRequests(t, metrics, 0) // a request is held until just after its answer is written
+		awaitHeldRequests(t, metrics, 0) // a request counts as pending until just after its answer is written
 		c := dial(t, address)
 		io.WriteString(c, strings.Replace(script.message, "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d4"+string(rune('a'+i)), 1))
 		answered := make(chan int, 1)
@@ -47,7 +47,7 @@
 			case r := <-p.requests:
 				attempts++
 				if n := metrics.Concurrent.Load(); n != 1 {
-					t.Errorf("%d requests held while one is", n)
+					t.Errorf("%d requests counted as pending, want 1", n)
 				}
 				p.answer(r, script.answer)
 				if strings.HasSuffix(script.answer, "he") {
@@ -84,7 +84,7 @@
 		time.Sleep(time.Millisecond) // the handler returns just after the answer is written
 	}
 	if n := metrics.Concurrent.Load(); n != 0 {
-		t.Errorf("%d requests held after all were answered", n)
+		t.Errorf("%d requests counted as pending after all were answered", n)
 	}
 	var b bytes.Buffer
 	metrics.WriteTo(&b)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Evacuated, the gateway says no at once, closes a resting connection, serves a new one once and closes it, and
-// says yes again after rejoin.
+// Guards against an evacuated gateway that keeps its clients: it must report at once that it is not ready, close idle
+// connections, and close a new connection after one answer. After Rejoin it must be ready again.
 func TestEvacuateSendsClientsAway(t *testing.T) {
 	p := newTestServer(t)
 	address, _, s := startServer(t, 64, fleet(), p)
@@ -106,23 +106,23 @@
 	defer cancel()
 	s.Evacuate(ctx)
 	if s.Available() {
-		t.Error("evacuated, and still taking clients")
+		t.Error("still available while evacuated")
 	}
 	duringEvacuation := dial(t, address)
 	if resp, _ := duringEvacuation.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"); resp.StatusCode != 503 {
-		t.Errorf("evacuated, readiness says %d", resp.StatusCode)
+		t.Errorf("readiness while evacuated: answered %d, want 503", resp.StatusCode)
 	}
 	duringEvacuation.awaitClosed(t, 5*time.Second, "a connection answered while evacuated")
-	idle.awaitClosed(t, 5*time.Second, "a resting connection while evacuated")
+	idle.awaitClosed(t, 5*time.Second, "an idle connection while evacuated")
 	c := dial(t, address)
 	io.WriteString(c, viewRequest)
 	p.answer(<-p.requests, okAnswer)
 	if resp, _ := c.read(t); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("a client that came while evacuated got %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("a client that connected while evacuated was answered %d, close %v", resp.StatusCode, resp.Close)
 	}
 	s.Rejoin()
 	afterRejoin := dial(t, address)
 	if resp, _ := afterRejoin.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n"); resp.StatusCode != 200 || resp.Close {
-		t.Errorf("after rejoin, readiness says %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("readiness after rejoin: answered %d, close %v", resp.StatusCode, resp.Close)
 	}
 }
--- a/internal/ingress/leaving_test.go
+++ b/internal/ingress/leaving_test.go
@@ -14,7 +14,7 @@
 	"junctionring/internal/telemetry"
 )
 
-// holds waits until the front holds so many requests.
+// awaitHeldRequests waits until the front holds n requests.
 func awaitHeldRequests(t *testing.T, metrics *telemetry.Figures, n int64) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); metrics.Concurrent.Load() != n; runtime.Gosched() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// leavings are the ways in which a client leaves that has sent a whole request.
+// disconnects are the ways in which a client disconnects after it has sent a complete request.
 var disconnects = []struct {
 	name string
 	run  func(c *net.TCPConn)
@@ -37,15 +37,17 @@
 	{"a byte, then half-close", func(c *net.TCPConn) { io.WriteString(c, "G"); c.CloseWrite() }},
 	{"a whole request more, then end", func(c *net.TCPConn) { io.WriteString(c, withID(viewRequest, 900)); c.Close() }},
 	{"a large part of one more, then end", func(c *net.TCPConn) {
-		io.WriteString(c, strings.Replace(withID(moveRequest, 901), "Content-Length: 4", "Content-Length: 60000", 1)+strings.Repeat("x", 30000))
+		io.WriteString(c, strings.Replace(withID(moveRequest, 901), "Content-Length: 4", "Content-Length: 60000", 1)+
+			strings.Repeat("x", 30000))
 		c.Close()
 	}},
 	{"empty lines, then end", func(c *net.TCPConn) { io.WriteString(c, "\r\n\r\n"); c.Close() }},
 }
 
-// A client that leaves while its request waits for a connection has it dropped, however it leaves, on a fresh
-// connection or one that was used before, with a body or without: it is gone from the gateway while what it waits for
-// is still held, so it can't be sent on later. Nor where the settings do not allow that what is out is called off.
+// Guards against a request that is sent on after its client has disconnected while the request waited for the only
+// connection to the target. The gateway must drop it while that connection is still occupied, in whichever way the
+// client disconnects, on a new or a reused connection, with or without a body, and also where the settings do not
+// permit pending attempts to be cancelled.
 func TestWhoLeftIsNotSentOn(t *testing.T) {
 	uncancelled := limits
 	uncancelled.Cancel = false
@@ -62,7 +64,8 @@
 				t.Run(fmt.Sprintf("%s, %s, reused %t, %s", name, disconnect.name, reused, message[:4]), func(t *testing.T) {
 					p := newTestServer(t)
 					metrics := telemetry.New("svc")
-					address, c, _ := startWithLimits(t, 64, egress.NewFleet(egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1}), metrics, limits, p)
+					address, c, _ := startWithLimits(t, 64, egress.NewFleet(
+						egress.Options{ConnectTimeout: time.Second, ConnIdle: time.Minute, Conns: 1}), metrics, limits, p)
 					leavingClient := dial(t, address)
 					if reused {
 						io.WriteString(leavingClient, withID(viewRequest, 1))
@@ -72,7 +75,7 @@
 					awaitHeldRequests(t, metrics, 0)
 					busyClient := dial(t, address)
 					io.WriteString(busyClient, withID(viewRequest, 2))
-					held := <-p.requests // it has the only connection
+					held := <-p.requests // it occupies the only connection
 					io.WriteString(leavingClient, withID(message, 3))
 					awaitHeldRequests(t, metrics, 2)
 					c.Settle()
@@ -94,7 +97,8 @@
 	t.Logf("%d clients left", n)
 }
 
-// One whose attempt is out has that called off, however it leaves, and no second one is made.
+// Guards against a pending attempt that is not cancelled when its client disconnects, and against a second attempt
+// for that client.
 func TestWhoLeftIsCalledOff(t *testing.T) {
 	for _, disconnect := range disconnects {
 		t.Run(disconnect.name, func(t *testing.T) {
@@ -112,13 +116,13 @@
 			r.awaitClosed(t)
 			awaitHeldRequests(t, metrics, 0)
 			if len(one.requests)+len(two.requests) > 0 {
-				t.Error("another attempt was made for a client that has left")
+				t.Error("another attempt was made for a client that has disconnected")
 			}
 		})
 	}
 }
 
-// One that leaves within its body was never whole, and goes nowhere.
+// Guards against an incomplete request that is sent on when its client disconnects within the body.
 func TestWhoLeavesWithinTheBody(t *testing.T) {
 	for _, disconnect := range disconnects[:3] {
 		t.Run(disconnect.name, func(t *testing.T) {
@@ -131,7 +135,7 @@
 			disconnect.run(c.Conn.(*net.TCPConn))
 			awaitHeldRequests(t, metrics, 0)
 			if len(p.requests)+len(p.conns) > 0 {
-				t.Error("half a request was sent on")
+				t.Error("an incomplete request was sent on")
 			}
 		})
 	}
--- a/internal/ingress/long_test.go
+++ b/internal/ingress/long_test.go
@@ -15,7 +15,7 @@
 	"junctionring/internal/telemetry"
 )
 
-// text is a body of so many bytes in which no two places look alike.
+// distinctBytes returns a body of n bytes that does not repeat itself, so that a misplaced part is detected.
 func distinctBytes(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
@@ -24,7 +24,7 @@
 	return b.String()[:n]
 }
 
-// chunks frames a body in pieces of a size, with what chunked bodies may hold besides.
+// chunkedBody encodes a body in chunks of a size, with a chunk extension and a trailer.
 func chunkedBody(body string, size int) string {
 	var b strings.Builder
 	for ; body != ""; body = body[min(size, len(body)):] {
@@ -34,8 +34,8 @@
 	return b.String() + "0\r\nX-Trailer: 1\r\n\r\n"
 }
 
-// A long answer passes on as it comes, whatever frames it: its beginning reaches the client while the rest is not
-// sent yet, and all of it arrives unchanged. One with a stated end leaves both connections for the next request.
+// Guards against long answers that are buffered or changed, with each kind of framing: the beginning must reach the
+// client before the target has sent the rest. After an answer with a defined end, both connections must be reused.
 func TestLongAnswers(t *testing.T) {
 	body := distinctBytes(3 << 20)
 	for name, c := range map[string]struct {
@@ -61,7 +61,7 @@
 			}
 			got := make([]byte, 1<<20)
 			if _, err := io.ReadFull(resp.Body, got); err != nil {
-				t.Fatalf("the beginning is held back: %v", err)
+				t.Fatalf("the beginning of the answer did not arrive before the rest was sent: %v", err)
 			}
 			go func() {
 				io.WriteString(r.conn, c.framed[first:])
@@ -71,7 +71,7 @@
 			}()
 			rest, err := io.ReadAll(resp.Body)
 			if string(got)+string(rest) != body || err != nil {
-				t.Fatalf("got %d of %d bytes, or others; %v", len(got)+len(rest), len(body), err)
+				t.Fatalf("got %d bytes, want the %d bytes that were sent; %v", len(got)+len(rest), len(body), err)
 			}
 			if !c.kept {
 				return
@@ -79,7 +79,7 @@
 			go p.readRequest(r.conn, r.in)
 			io.WriteString(client, viewRequest)
 			if again := <-p.requests; again.conn != r.conn {
-				t.Error("the connection to the target is not used again")
+				t.Error("the connection to the target is not reused")
 			} else {
 				p.answer(again, okAnswer)
 			}
@@ -88,8 +88,8 @@
 	}
 }
 
-// A long answer that the target cuts, spoils or makes too long looks cut to the client, counts as failed, and is not
-// asked for again.
+// Guards against a long answer that the target truncates or malforms, and that looks complete to the client. It must
+// look truncated, count as failed, and not be requested again.
 func TestLongAnswerIsCut(t *testing.T) {
 	half := distinctBytes(1 << 20)
 	for name, answer := range map[string]string{
@@ -113,20 +113,20 @@
 				t.Fatal(err)
 			}
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-				t.Errorf("%d bytes look like a whole answer", n)
+				t.Errorf("%d bytes were read as a complete answer", n)
 			}
 			if n := metrics.Class(0); n.Error.Load() != 1 || n.Success.Load() != 0 {
 				t.Errorf("counted: %d served, %d failed", n.Success.Load(), n.Error.Load())
 			}
 			if len(p.requests) != 0 {
-				t.Error("it was asked for again")
+				t.Error("the request was sent again")
 			}
 		})
 	}
 }
 
-// A client that does not read holds its target back, and nothing is kept for it here beyond what sockets hold; when
-// it leaves, the target's connection ends.
+// Guards against unbounded buffering for a client that does not read: back pressure must reach the target, with no
+// more kept than the sockets hold. When the client disconnects, the target's connection must be closed.
 func TestLongAnswerWaitsForItsReader(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -140,7 +140,7 @@
 		io.WriteString(r.conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", all))
 		n := 0
 		for piece := make([]byte, 64<<10); ; {
-			r.conn.SetWriteDeadline(time.Now().Add(time.Second)) // until nothing goes on
+			r.conn.SetWriteDeadline(time.Now().Add(time.Second)) // until no write succeeds for 1 s
 			k, err := r.conn.Write(piece)
 			if n += k; err != nil {
 				wrote <- n
@@ -155,7 +155,8 @@
 	r.awaitClosed(t)
 }
 
-// A long body passes on as it comes, with its length or in chunks, and with its time running from its last byte.
+// Guards against long bodies that are buffered before they are sent on, with a length or in chunks. The timeout must
+// run from the last byte of the body.
 func TestLongBodies(t *testing.T) {
 	body := distinctBytes(3 << 20)
 	for name, c := range map[string]struct {
@@ -172,7 +173,7 @@
 			client := dial(t, address)
 			io.WriteString(client, strings.Replace(strings.TrimSuffix(moveRequest, "e2e4"), "Content-Length: 4", c.head, 1))
 			io.WriteString(client, c.framed[:len(c.framed)/2])
-			<-p.conns // it is sent on before the rest has come
+			<-p.conns // the body is sent on before the rest of it has arrived
 			io.WriteString(client, c.framed[len(c.framed)/2:])
 			r := <-p.requests
 			if r.body != body || r.ContentLength != c.length || r.Header.Get("X-Timeout") != "2995m" || r.Header.Get("Expect") != "" {
@@ -187,7 +188,7 @@
 				t.Errorf("answered %d %q", resp.StatusCode, body)
 			}
 			if resp.Close {
-				return // behind chunks something may hide
+				return // after a chunked body a smuggled request could follow
 			}
 			io.WriteString(client, withID(viewRequest, 2))
 			p.answer(<-p.requests, okAnswer)
@@ -198,19 +199,21 @@
 	}
 }
 
-// What becomes of a long body that does not get through: the client is told, no target gets a last byte, and nothing
-// is sent twice. A target that cannot be reached is none of that: nothing was taken from the client yet.
+// Guards against a long body that fails in transit being reported as successful, completed at a target, or sent
+// twice. A target that cannot be reached is no such failure: nothing has been read from the client yet, so another
+// target gets it.
 func TestLongBodyFails(t *testing.T) {
 	head := strings.Replace(strings.TrimSuffix(moveRequest, "e2e4"), "Content-Length: 4", "Content-Length: 3145728", 1)
 	body := distinctBytes(3 << 20)
 	for name, c := range map[string]struct {
-		client func(c *client)     // after the first megabyte
-		target func(conn net.Conn) // on the connection
+		client func(c *client)     // runs after the first megabyte is sent
+		target func(conn net.Conn) // runs on the connection from the gateway
 	}{
-		"the client stops":      {func(c *client) {}, nil},
-		"the client ends":       {func(c *client) { c.Conn.(*net.TCPConn).CloseWrite() }, nil},
-		"the target leaves":     {func(c *client) { io.WriteString(c, body[1<<20:]) }, func(conn net.Conn) { conn.Close() }},
-		"the target turns away": {func(c *client) { io.WriteString(c, body[1<<20:]) }, func(conn net.Conn) { io.WriteString(conn, notProcessedAnswer); conn.Close() }},
+		"the client stops":  {func(c *client) {}, nil},
+		"the client ends":   {func(c *client) { c.Conn.(*net.TCPConn).CloseWrite() }, nil},
+		"the target leaves": {func(c *client) { io.WriteString(c, body[1<<20:]) }, func(conn net.Conn) { conn.Close() }},
+		"the target turns away": {func(c *client) { io.WriteString(c, body[1<<20:]) },
+			func(conn net.Conn) { io.WriteString(conn, notProcessedAnswer); conn.Close() }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -263,7 +266,7 @@
 		gone.Close()
 		p := newTestServer(t)
 		address, _ := start(t, fleet(), &testServer{Listener: gone}, p)
-		for range 4 { // each may be sent to the one that is not there first
+		for range 4 { // each may be sent first to the target that is not there
 			client := dial(t, address)
 			io.WriteString(client, head+body)
 			r := <-p.requests
@@ -280,7 +283,7 @@
 
 const notProcessedAnswer = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
-// A short answer whose length is not said is not held back either while it is slow to come.
+// Guards against a short chunked answer that is held back until it is complete when the target sends it slowly.
 func TestSlowAnswerIsPassedOn(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -302,13 +305,13 @@
 	}
 }
 
-// numbered gives a message an id of its own: one that is open is not taken twice.
+// withID replaces the id of a message: the gateway rejects an id that is in use.
 func withID(message string, n int) string {
 	return strings.Replace(message, "9b1f03aa5c7e2d41", fmt.Sprint("id", n), 1)
 }
 
-// BenchmarkLong passes bodies and answers of some lengths through a gateway, and tells what is held for each stream
-// while many are half way.
+// BenchmarkLong passes bodies and answers of several lengths through a gateway, and reports the memory that is held
+// for each stream while many streams are half transferred.
 func BenchmarkLong(b *testing.B) {
 	for _, mb := range []int{1, 8, 32} {
 		size := mb << 20
@@ -337,7 +340,8 @@
 			address, _ := start(b, fleet(), p)
 			client := dial(b, address)
 			client.SetDeadline(time.Time{})
-			message := strings.Replace(strings.TrimSuffix(moveRequest, "e2e4"), "Content-Length: 4", fmt.Sprintf("Content-Length: %d", size), 1) + body
+			message := strings.Replace(strings.TrimSuffix(moveRequest, "e2e4"), "Content-Length: 4",
+				fmt.Sprintf("Content-Length: %d", size), 1) + body
 			b.SetBytes(int64(size))
 			for i := 0; b.Loop(); i++ {
 				go io.WriteString(client, withID(message, i))
--- a/internal/ingress/unsafe_test.go
+++ b/internal/ingress/unsafe_test.go
@@ -11,7 +11,7 @@
 
 const stakeRequest = "POST /stake/3 HTTP/1.1\r\n" + headers + "Content-Length: 4\r\n\r\ne2e4"
 
-// either is the message that reaches one of two peers, and the other peer.
+// receiveFromEither returns the next request that reaches one of two servers, and the other server.
 func receiveFromEither(one, two *testServer) (*receivedRequest, *testServer) {
 	select {
 	case r := <-one.requests:
@@ -21,8 +21,8 @@
 	}
 }
 
-// An unsafe request is a POST with no key. Once its last byte is written it is not sent again, whatever becomes of it:
-// the client is told that it failed, never that trying again is harmless. Turned away unseen it never ran, and goes to
+// Guards against a repeat of an unsafe request (a POST with no key) that may have run: once its last byte is written,
+// the client gets a 502, never an answer that permits a retry. A request that was rejected unprocessed goes to
 // another server.
 func TestUnsafeIsSentOnce(t *testing.T) {
 	for _, c := range []struct {
@@ -69,7 +69,8 @@
 	}
 }
 
-// An unsafe request whose server refuses the connection never ran there, and goes to another server, once.
+// An unsafe request whose server refuses the connection never ran there. Guards against its failure: it must be sent
+// to another server, once.
 func TestUnsafeGoesOnFromARefusedConnection(t *testing.T) {
 	const requests = 12
 	gone, live := newTestServer(t), newTestServer(t)
@@ -87,8 +88,8 @@
 	}
 }
 
-// An unsafe request that breaks before its last byte is written never ran: its client is told that trying again is
-// harmless. It can't be sent again here, since its body was not kept.
+// An unsafe request whose connection breaks before its last byte is written never ran. Its client must get a 503,
+// which permits a retry; the gateway itself cannot repeat it, since it did not keep the body.
 func TestUnsafeThatBreaksBeforeItsLastByte(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,25 +109,27 @@
 	address, _ := start(t, fleet(), &testServer{Listener: l})
 	const length = 1 << 20
 	client := dial(t, address)
-	io.WriteString(client, strings.Replace(strings.Replace(stakeRequest, "Content-Length: 4", fmt.Sprintf("Content-Length: %d", length), 1), "e2e4", "", 1))
+	io.WriteString(client, strings.Replace(strings.Replace(stakeRequest, "Content-Length: 4",
+		fmt.Sprintf("Content-Length: %d", length), 1), "e2e4", "", 1))
 	client.Write(make([]byte, length/2))
 	server := <-connections
-	const kept = 1 << 14 // bytes, and more than the gateway keeps of a body: until those are written it may send the message again
+	const kept = 1 << 14 // bytes, more than the gateway keeps of a body: until they are written it may repeat the request
 	if _, err := io.ReadFull(server, make([]byte, kept)); err != nil {
 		t.Fatal(err)
 	}
 	server.(*net.TCPConn).SetLinger(0)
 	server.Close()
-	client.Write(make([]byte, length/2-1)) // it may be closed by now
+	client.Write(make([]byte, length/2-1)) // the connection may already be closed
 	if resp, _ := client.read(t); resp.StatusCode != 503 {
 		t.Errorf("answered %d, want 503", resp.StatusCode)
 	}
 	if len(connections) > 0 {
-		t.Error("sent again without its body")
+		t.Error("the request was sent again without its body")
 	}
 }
 
-// An unsafe request whose server is silent is answered by the client's time as failed, and is sent nowhere else.
+// The server of an unsafe request does not answer. Guards against an answer after the client's timeout, and against a
+// second attempt.
 func TestUnsafeTimesOutInTime(t *testing.T) {
 	const wait, slack = 600 * time.Millisecond, 500 * time.Millisecond
 	one, two := newTestServer(t), newTestServer(t)
@@ -144,8 +147,8 @@
 	}
 }
 
-// Half a line that comes as a server closes a connection at rest is no answer to the next request: that goes out once,
-// on another connection.
+// A server sends part of a line, or a 408, as it closes an idle connection. Guards against those bytes being read as
+// the answer to the next request, which must be sent once, on another connection.
 func TestHalfALineAtTheCloseIsNoAnswer(t *testing.T) {
 	p := newTestServer(t)
 	address, _ := start(t, fleet(), p)
@@ -155,7 +158,7 @@
 		r := <-p.requests
 		io.WriteString(r.conn, okAnswer)
 		client.expectOK(t)
-		io.WriteString(r.conn, text) // on loopback it lies there at once
+		io.WriteString(r.conn, text) // on loopback it arrives at once
 		r.conn.Close()
 	}
 	io.WriteString(client, stakeRequest)
@@ -166,7 +169,7 @@
 	}
 }
 
-// Guards against a client that pauses within its body not being told that its server has broken the connection.
+// Guards against a client that pauses within its body and gets no answer when the server breaks the connection.
 func TestUnsafeWhoseServerBreaksWhileItsBodyPauses(t *testing.T) {
 	defer func() {
 		if t.Failed() {
@@ -181,14 +184,15 @@
 	address, _ := start(t, fleet(), &testServer{Listener: l})
 	const length, first = 1 << 20, 1 << 17
 	client := dial(t, address)
-	head := strings.Replace(strings.Replace(stakeRequest, "Content-Length: 4", fmt.Sprintf("Content-Length: %d", length), 1), "e2e4", "", 1)
+	head := strings.Replace(strings.Replace(stakeRequest, "Content-Length: 4",
+		fmt.Sprintf("Content-Length: %d", length), 1), "e2e4", "", 1)
 	io.WriteString(client, head)
 	client.Write(make([]byte, first))
 	server, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(server, make([]byte, first)); err != nil { // with the head in front, all but the last bytes
+	if _, err := io.ReadFull(server, make([]byte, first)); err != nil { // the header comes first: the last bytes stay unread
 		t.Fatal(err)
 	}
 	server.(*net.TCPConn).SetLinger(0)
