--- a/cmd/junctionring/config.go
+++ b/cmd/junctionring/config.go
@@ -94,7 +94,7 @@
 	say(now)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, h := range now.History {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", h.Version, h.State, h.Source, h.Why)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", h.Version, h.State, h.Source, h.Reason)
 	}
 	return w.Flush()
 }
--- a/cmd/junctionring/platform.go
+++ b/cmd/junctionring/platform.go
@@ -119,7 +119,7 @@
 	if g.core, err = core.New(set.Module, p.Seed, fleet, g.counter, log); err != nil {
 		return nil, err
 	}
-	g.figures.Classes(set.Classes)
+	g.figures.SetClasses(set.Classes)
 	g.core.SetMetrics(g.figures)
 	g.names.Store(platformNames(g.table, set))
 	g.deadlines.set(longestWait(set.Module.Classes))
@@ -224,7 +224,7 @@
 	g.core.Reconfigure(control.Reconfigured{
 		Classes: retune.Rules(next.Classes), Plans: retune.Rules(next.Plans), From: from, Attempts: next.Attempts,
 	})
-	g.figures.Classes(retune.All(next.Classes))
+	g.figures.SetClasses(retune.AllNames(next.Classes))
 	g.names.Store(platformNames(next, set))
 	g.table = next
 	g.deadlines.set(longestWait(set.Module.Classes))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -254,7 +254,7 @@
 // SetClassNames sets the names of the classes, indexed by class number, for the metrics.
 func (c *Core) SetClassNames(names []string) {
 	if c.metrics != nil {
-		c.metrics.Classes(names)
+		c.metrics.SetClasses(names)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,10 +29,10 @@
 )
 
 const (
-	connectTimeout = 250 * time.Millisecond // to an egress target near by
-	connIdle       = 10 * time.Second       // after which most servers close a connection
-	dialTrips      = 3                      // round trips that a dial may take: a link loses packets
-	leastConns     = 8                      // to the targets of one site
+	connectTimeout  = 250 * time.Millisecond // to an egress target near by
+	connIdleTimeout = 10 * time.Second       // after which most servers close a connection
+	dialRoundTrips  = 3                      // round trips that a dial may take: a link loses packets
+	minSiteConns    = 8                      // to the targets of one site
 )
 
 // Gateway is an operator's gateway.
@@ -41,8 +41,8 @@
 	Figures       *telemetry.Figures
 	Configuration *configuration.Manager
 	front         *forwardauth.Front
-	o             *config.Operator
-	tally         *counter.Redis
+	settings      *config.Operator
+	redisCounter  *counter.Redis
 	roster        *routetable.Roster
 	fence         *fence.Gate // of the operators' calls
 	inUse         targetList  // as the core was told last
@@ -54,8 +54,8 @@
 func New(base *config.Operator, log *slog.Logger, seed uint64) (*Gateway, error) {
 	base.KeyPlans()
 	o, number, content := lastGood(base, log)
-	tally := counter.NewRedis(o.Redis.Address, o.Redis.Timeout.Duration)
-	c, err := core.New(o.Module, seed, egress.NewFleet(egressOptions(o)...), tally, log)
+	redisCounter := counter.NewRedis(o.Redis.Address, o.Redis.Timeout.Duration)
+	c, err := core.New(o.Module, seed, egress.NewFleet(egressOptions(o)...), redisCounter, log)
 	if err != nil {
 		return nil, err
 	}
@@ -73,15 +73,15 @@
 	if err != nil {
 		return nil, err
 	}
-	guarded := ""
+	fencePath := ""
 	if base.Versions.Snapshot != "" { // as lasting as the versions that the calls set
-		guarded = base.Versions.Snapshot + ".fence"
+		fencePath = base.Versions.Snapshot + ".fence"
 	}
-	gate, err := fence.Open(guarded)
+	gate, err := fence.Open(fencePath)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{Core: c, Figures: figures, fence: gate, front: front, o: o, tally: tally, log: log, roster: &routetable.Roster{Tell: c.Routes}}
+	g := &Gateway{Core: c, Figures: figures, fence: gate, front: front, settings: o, redisCounter: redisCounter, log: log, roster: &routetable.Roster{Tell: c.Routes}}
 	g.Configuration = configuration.New(base, o, number, content, c, front, g.targets, log)
 	g.roster.Known = g.Configuration.Roster
 	return g, nil
@@ -112,7 +112,7 @@
 // targets has the targets of a version that comes into force used. Most versions change none of them, and a list of
 // thousands costs the core more than all else of a version.
 func (g *Gateway) targets(o *config.Operator) {
-	if !g.inUse.change(o.Targets) {
+	if !g.inUse.update(o.Targets) {
 		return
 	}
 	if o.Discovery.Address == "" {
@@ -132,28 +132,28 @@
 // Operations is the handler for operators. A call that carries a lease's token (fence.Header) is turned away once a
 // later holder has called.
 func (g *Gateway) Operations(hooks management.Hooks) http.Handler {
-	return g.fence.Guard(operations.New(g.o, g.Core, g.Configuration, hooks, g.log))
+	return g.fence.Guard(operations.New(g.settings, g.Core, g.Configuration, hooks, g.log))
 }
 
 // Start has the parts run until ctx ends, and returns once the route table is known; false: ready ended first.
 func (g *Gateway) Start(ctx, ready context.Context) bool {
 	go g.Core.Run(ctx)
-	go g.tally.Run(ctx)
-	g.targets(g.o) // before a version can come
+	go g.redisCounter.Run(ctx)
+	g.targets(g.settings) // before a version can come
 	go g.Configuration.Run(ctx)
-	if g.o.Discovery.Address == "" {
+	if g.settings.Discovery.Address == "" {
 		return true
 	}
 	known := make(chan struct{})
 	var once sync.Once
-	list := &routetable.Discovery{Address: g.o.Discovery.Address, Gateways: g.o.Gateways, Log: g.log, Tell: func(t core.Table) {
+	discovery := &routetable.Discovery{Address: g.settings.Discovery.Address, Gateways: g.settings.Gateways, Log: g.log, Tell: func(t core.Table) {
 		g.roster.Take(t)
 		once.Do(func() { close(known) })
 	}}
-	if len(g.o.Sites) > 0 {
-		list.Sites = g.o.ZoneSites()
+	if len(g.settings.Sites) > 0 {
+		discovery.Sites = g.settings.ZoneSites()
 	}
-	go list.Run(ctx)
+	go discovery.Run(ctx)
 	select {
 	case <-known:
 		return true
@@ -168,15 +168,15 @@
 // egressOptions are the options of egress, by site. Each site has descriptors of its own, the near one most:
 // what hangs over a link takes none from near requests.
 func egressOptions(o *config.Operator) (all []egress.Options) {
-	base := egress.Options{ConnectTimeout: connectTimeout, ConnIdle: connIdle, Conns: EgressConns(o.Limits.Sockets)}
+	base := egress.Options{ConnectTimeout: connectTimeout, ConnIdle: connIdleTimeout, Conns: EgressConns(o.Limits.Sockets)}
 	if len(o.Sites) == 0 {
 		return []egress.Options{base}
 	}
 	rest := base.Conns
 	for i := range o.Sites {
 		s, site := &o.Sites[i], base
-		site.ConnectTimeout += dialTrips * 2 * s.Distance.Duration
-		site.Conns = cmp.Or(s.Connections, max(leastConns, base.Conns/(2*len(o.Sites))))
+		site.ConnectTimeout += dialRoundTrips * 2 * s.Distance.Duration
+		site.Conns = cmp.Or(s.Connections, max(minSiteConns, base.Conns/(2*len(o.Sites))))
 		site.Warm, site.Abort = s.Idle(), !s.Here
 		rest -= site.Conns
 		all = append(all, site)
--- a/internal/gateway/targets.go
+++ b/internal/gateway/targets.go
@@ -14,7 +14,7 @@
 }
 
 // change takes the targets of a version that comes into force, and tells whether they differ from those before.
-func (l *targetList) change(targets []config.TargetSettings) bool {
+func (l *targetList) update(targets []config.TargetSettings) bool {
 	if l.known && slices.Equal(l.targets, targets) {
 		return false
 	}
--- a/internal/gateway/targets_test.go
+++ b/internal/gateway/targets_test.go
@@ -22,7 +22,7 @@
 		{one[:1], true},
 		{nil, true},
 	} {
-		if got := l.change(step.targets); got != step.want {
+		if got := l.update(step.targets); got != step.want {
 			t.Errorf("step %d: changed %v, want %v", i, got, step.want)
 		}
 	}
--- a/internal/gateway/twosites_test.go
+++ b/internal/gateway/twosites_test.go
@@ -20,29 +20,29 @@
 	"junctionring/sites"
 )
 
-// world is two sites on loopback, 40 ms apart over a link that loses one packet in fifty, and gateways at the
+// testEnv is two sites on loopback, 40 ms apart over a link that loses one packet in fifty, and gateways at the
 // near one.
-type world struct {
+type testEnv struct {
 	t         *testing.T
 	record    *standin.Record
 	near, far []*standin.Table
 	link      *standin.Link
 	registry  *standin.Registry
-	gates     []*gateway.Gateway
+	gateways  []*gateway.Gateway
 	urls      []string
 	keys      int
 	mu        sync.Mutex
 }
 
-type scene struct {
-	gates, near, far int
-	work             time.Duration // of every request
-	group            string        // of moves
-	queue            int
-	coldFar          bool
+type envOptions struct {
+	gateways, near, far int
+	work                time.Duration // of every request
+	group               string        // of moves
+	queue               int
+	coldFar             bool
 }
 
-func newWorld(t *testing.T, s scene) *world {
+func newTestEnv(t *testing.T, s envOptions) *testEnv {
 	t.Helper()
 	must := func(err error) {
 		t.Helper()
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 	}
-	w := &world{t: t, record: &standin.Record{}}
+	w := &testEnv{t: t, record: &standin.Record{}}
 	w.link = standin.NewLink(standin.LinkOptions{Delay: 40 * time.Millisecond, Jitter: 2 * time.Millisecond, Loss: 0.02, Seed: 1})
 	store, err := standin.NewStore("127.0.0.1:0")
 	must(err)
@@ -86,7 +86,7 @@
 	w.registry.Put(list...)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	for i := range s.gates {
+	for i := range s.gateways {
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		must(os.WriteFile(path, fmt.Appendf(nil, `listen = "127.0.0.1:0"
 ordinal = %d
@@ -98,7 +98,7 @@
 class = [{name = "table-view", aim = "2s", deadline = "7s", worth = 2.0, repeat = "safe"},
  {name = "move-submit", aim = "1s", deadline = "4s", worth = 6.0, repeat = "keyed", window = "4s", group = %q}]
 plan = [{name = "club", rate = 100000.0, burst = 100000.0, worth = 1.0}]
-`, i, s.gates, store.Addr(), w.registry.Addr(), s.group), 0o600))
+`, i, s.gateways, store.Addr(), w.registry.Addr(), s.group), 0o600))
 		o, err := config.LoadOperator(path)
 		must(err)
 		g, err := gateway.New(o, slog.New(slog.DiscardHandler), uint64(i))
@@ -108,22 +108,22 @@
 		}
 		front := httptest.NewServer(g.Front())
 		t.Cleanup(front.Close)
-		w.gates, w.urls = append(w.gates, g), append(w.urls, front.URL)
+		w.gateways, w.urls = append(w.gateways, g), append(w.urls, front.URL)
 	}
 	return w
 }
 
-// answer is what a client got.
-type answer struct {
-	status int // 0: none
-	server string
-	took   time.Duration
+// response is what a client got.
+type response struct {
+	status  int // 0: none
+	server  string
+	elapsed time.Duration
 }
 
-func (a answer) site() string { s, _, _ := strings.Cut(a.server, "-"); return s }
+func (a response) site() string { s, _, _ := strings.Cut(a.server, "-"); return s }
 
-// ask sends one request to a gateway and waits for its answer. A move without a key gets a fresh one.
-func (w *world) ask(gate int, class, key string) (a answer) {
+// send sends one request to a gateway and waits for its answer. A move without a key gets a fresh one.
+func (w *testEnv) send(gate int, class, key string) (a response) {
 	method, body := http.MethodGet, io.Reader(nil)
 	if class == "move-submit" {
 		method, body = http.MethodPost, strings.NewReader("e2e4")
@@ -144,8 +144,8 @@
 	if key != "" {
 		r.Header.Set("Idempotency-Key", key)
 	}
-	begun := time.Now()
-	defer func() { a.took = time.Since(begun) }()
+	start := time.Now()
+	defer func() { a.elapsed = time.Since(start) }()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		w.t.Error(err) // each is owed a whole answer
@@ -164,25 +164,25 @@
 	return a
 }
 
-// crowd keeps so many clients asking, one request after the other, until each has asked n times.
-func (w *world) crowd(clients, n int, class string) (all []answer) {
+// runClients keeps so many clients asking, one request after the other, until each has asked n times.
+func (w *testEnv) runClients(clients, n int, class string) (all []response) {
 	var mu sync.Mutex
-	var out sync.WaitGroup
+	var wg sync.WaitGroup
 	for c := range clients {
-		out.Go(func() {
+		wg.Go(func() {
 			for range n {
-				a := w.ask(c%len(w.urls), class, "")
+				a := w.send(c%len(w.urls), class, "")
 				mu.Lock()
 				all = append(all, a)
 				mu.Unlock()
 			}
 		})
 	}
-	out.Wait()
+	wg.Wait()
 	return all
 }
 
-func count(all []answer, site string) (n int) {
+func count(all []response, site string) (n int) {
 	for _, a := range all {
 		if a.site() == site {
 			n++
@@ -192,28 +192,28 @@
 }
 
 // report is what one gateway says of its sites.
-func (w *world) report(gate int) sites.Report {
-	r, ok := w.gates[gate].Core.Sites()
+func (w *testEnv) report(gate int) sites.Report {
+	r, ok := w.gateways[gate].Core.Sites()
 	if !ok {
 		w.t.Fatal("no report")
 	}
 	return r
 }
 
-// await waits for something that gateways or stand-ins come to.
-func (w *world) await(what string, so func() bool) {
+// waitFor waits for something that gateways or stand-ins come to.
+func (w *testEnv) waitFor(what string, reached func() bool) {
 	w.t.Helper()
-	by := time.Now().Add(15 * time.Second)
-	for !so() {
-		if time.Now().After(by) {
+	deadline := time.Now().Add(15 * time.Second)
+	for !reached() {
+		if time.Now().After(deadline) {
 			w.t.Fatalf("in vain for 15 s: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// rules holds the rules that every story must keep.
-func (w *world) rules() {
+// checkInvariants holds the checkInvariants that every story must keep.
+func (w *testEnv) checkInvariants() {
 	w.t.Helper()
 	if twice := w.record.TwiceRun(); len(twice) > 0 {
 		w.t.Errorf("keys ran twice: %v", twice)
@@ -227,26 +227,26 @@
 }
 
 func TestNothingCrossesWhileTheNearSiteSuffices(t *testing.T) {
-	w := newWorld(t, scene{gates: 2, near: 3, far: 2, work: 20 * time.Millisecond, group: "site"})
-	all := append(w.crowd(3, 40, "table-view"), w.crowd(3, 40, "move-submit")...)
+	w := newTestEnv(t, envOptions{gateways: 2, near: 3, far: 2, work: 20 * time.Millisecond, group: "site"})
+	all := append(w.runClients(3, 40, "table-view"), w.runClients(3, 40, "move-submit")...)
 	if near := count(all, "near"); near != len(all) {
 		t.Errorf("%d of %d served near", near, len(all))
 	}
-	w.rules()
+	w.checkInvariants()
 }
 
 // A hall drains with moves in flight: those end with their own answers, what follows is served far, and nothing
 // reaches the hall later than 1 s after it was told.
 func TestHallDrainsWithMovesInFlight(t *testing.T) {
-	w := newWorld(t, scene{gates: 2, near: 2, far: 2, work: 150 * time.Millisecond, group: "site"})
-	flying := make(chan []answer, 1)
-	go func() { flying <- w.crowd(4, 1, "move-submit") }()
-	w.await("four moves at near servers", func() bool { return len(w.record.All()) >= 4 })
+	w := newTestEnv(t, envOptions{gateways: 2, near: 2, far: 2, work: 150 * time.Millisecond, group: "site"})
+	inFlight := make(chan []response, 1)
+	go func() { inFlight <- w.runClients(4, 1, "move-submit") }()
+	w.waitFor("four moves at near servers", func() bool { return len(w.record.All()) >= 4 })
 	w.registry.Drain("near-0", "near-1")
-	told := time.Now()
-	w.await("the notice", func() bool { return w.report(0).Sites[0].Draining == 2 && w.report(1).Sites[0].Draining == 2 })
-	after := w.crowd(4, 6, "move-submit")
-	for _, a := range <-flying {
+	drained := time.Now()
+	w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Draining == 2 && w.report(1).Sites[0].Draining == 2 })
+	after := w.runClients(4, 6, "move-submit")
+	for _, a := range <-inFlight {
 		if a.status != http.StatusOK || a.site() != "near" {
 			t.Errorf("a move in flight: %+v", a)
 		}
@@ -255,33 +255,33 @@
 		t.Errorf("%d of %d served far: %+v", n, len(after), after)
 	}
 	for _, a := range w.record.All() {
-		if a.Site == "near" && a.At.After(told.Add(time.Second)) {
-			t.Errorf("sent to %s %v after the notice", a.Server, a.At.Sub(told))
+		if a.Site == "near" && a.At.After(drained.Add(time.Second)) {
+			t.Errorf("sent to %s %v after the notice", a.Server, a.At.Sub(drained))
 		}
 	}
-	crossed := uint64(0)
-	for gate := range w.gates {
+	crossings := uint64(0)
+	for gate := range w.gateways {
 		for _, c := range w.report(gate).Sites[1].Crossed {
 			if c.Cause != "near draining" {
 				t.Errorf("crossed for %q", c.Cause)
 			}
-			crossed += c.Count
+			crossings += c.Count
 		}
 	}
-	if crossed < uint64(len(after)) {
-		t.Errorf("%d crossings counted of %d", crossed, len(after))
+	if crossings < uint64(len(after)) {
+		t.Errorf("%d crossings counted of %d", crossings, len(after))
 	}
-	w.rules()
+	w.checkInvariants()
 }
 
 // The near site turns work away that it cannot hold: proven not to have run, it crosses, keyed or not.
 func TestTurnedAwayCrosses(t *testing.T) {
-	w := newWorld(t, scene{gates: 1, near: 1, far: 2, work: 400 * time.Millisecond, group: "site", queue: 1})
-	all := w.crowd(6, 2, "move-submit")
+	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 2, work: 400 * time.Millisecond, group: "site", queue: 1})
+	all := w.runClients(6, 2, "move-submit")
 	if count(all, "far") == 0 || count(all, "near") == 0 {
 		t.Errorf("%d near, %d far", count(all, "near"), count(all, "far"))
 	}
-	w.rules()
+	w.checkInvariants()
 }
 
 // A link that says nothing, or is cut, costs what is out over it an early answer, near requests nothing, and is
@@ -289,36 +289,36 @@
 func TestLinkIsLostAndComesBack(t *testing.T) {
 	for name, lose := range map[string]func(*standin.Link){"silent": (*standin.Link).Silence, "cut": (*standin.Link).Cut} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, scene{gates: 1, near: 2, far: 2, work: 100 * time.Millisecond, group: "site"})
+			w := newTestEnv(t, envOptions{gateways: 1, near: 2, far: 2, work: 100 * time.Millisecond, group: "site"})
 			w.registry.Drain("near-0", "near-1")
-			w.await("the notice", func() bool { return w.report(0).Sites[0].Draining == 2 })
-			if all := w.crowd(2, 2, "move-submit"); count(all, "far") != len(all) {
+			w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Draining == 2 })
+			if all := w.runClients(2, 2, "move-submit"); count(all, "far") != len(all) {
 				t.Fatalf("before: %+v", all)
 			}
 			lose(w.link)
-			lost := make(chan []answer, 1)
-			go func() { lost <- w.crowd(4, 1, "move-submit") }()
-			w.await("the link to count as down", func() bool { return w.report(0).Sites[1].Link == "down" })
+			lost := make(chan []response, 1)
+			go func() { lost <- w.runClients(4, 1, "move-submit") }()
+			w.waitFor("the link to count as down", func() bool { return w.report(0).Sites[1].Link == "down" })
 			for _, a := range <-lost { // called off, not left to hang until the client gives up
-				if a.status == http.StatusOK || a.took > 3*time.Second {
+				if a.status == http.StatusOK || a.elapsed > 3*time.Second {
 					t.Errorf("over a lost link: %+v", a)
 				}
 			}
 			w.registry.Put(w.near[0].Instance(w.near[0].Addr()))
-			w.await("a near server", func() bool { return w.report(0).Sites[0].Ready == 1 })
-			if all := w.crowd(2, 5, "move-submit"); count(all, "near") != len(all) {
+			w.waitFor("a near server", func() bool { return w.report(0).Sites[0].Ready == 1 })
+			if all := w.runClients(2, 5, "move-submit"); count(all, "near") != len(all) {
 				t.Errorf("near requests while the link is lost: %+v", all)
 			}
 			w.registry.Drain("near-0")
 			if err := w.link.Heal(); err != nil {
 				t.Fatal(err)
 			}
-			w.await("the link to be up", func() bool { return w.report(0).Sites[1].Link == "up" })
-			w.await("the notice", func() bool { return w.report(0).Sites[0].Ready == 0 })
-			if all := w.crowd(2, 2, "move-submit"); count(all, "far") != len(all) {
+			w.waitFor("the link to be up", func() bool { return w.report(0).Sites[1].Link == "up" })
+			w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Ready == 0 })
+			if all := w.runClients(2, 2, "move-submit"); count(all, "far") != len(all) {
 				t.Errorf("after: %+v", all)
 			}
-			w.rules()
+			w.checkInvariants()
 		})
 	}
 }
@@ -326,19 +326,19 @@
 // A move that may have run at the near site is not run at the far one, neither as a retry nor when its client
 // asks again: nobody there would drop it.
 func TestMoveInDoubtStaysAtItsSite(t *testing.T) {
-	w := newWorld(t, scene{gates: 1, near: 1, far: 2, work: 300 * time.Millisecond, group: "site"})
-	got := make(chan answer, 1)
-	go func() { got <- w.ask(0, "move-submit", "doubtful") }()
-	w.await("the move at the near server", func() bool { return len(w.record.All()) == 1 })
+	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 2, work: 300 * time.Millisecond, group: "site"})
+	got := make(chan response, 1)
+	go func() { got <- w.send(0, "move-submit", "doubtful") }()
+	w.waitFor("the move at the near server", func() bool { return len(w.record.All()) == 1 })
 	w.near[0].Crash()
 	w.registry.Drain("near-0")
 	if a := <-got; a.status != http.StatusBadGateway {
 		t.Errorf("in doubt: %+v", a)
 	}
-	if a := w.ask(0, "move-submit", "doubtful"); a.status == http.StatusOK {
+	if a := w.send(0, "move-submit", "doubtful"); a.status == http.StatusOK {
 		t.Errorf("asked again: %+v", a)
 	}
-	if a := w.ask(0, "move-submit", "another"); a.site() != "far" {
+	if a := w.send(0, "move-submit", "another"); a.site() != "far" {
 		t.Errorf("a new move: %+v", a)
 	}
 	for _, a := range w.record.All() {
@@ -346,17 +346,17 @@
 			t.Error("the move in doubt crossed")
 		}
 	}
-	w.rules()
+	w.checkInvariants()
 }
 
 // Where its key is known at all sites, such a move crosses.
 func TestMoveInDoubtCrossesWithinItsGroup(t *testing.T) {
-	w := newWorld(t, scene{gates: 1, near: 1, far: 2, work: 300 * time.Millisecond, group: "all"})
-	got := make(chan answer, 1)
-	go func() { got <- w.ask(0, "move-submit", "doubtful") }()
-	w.await("the move at the near server", func() bool { return len(w.record.All()) == 1 })
+	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 2, work: 300 * time.Millisecond, group: "all"})
+	got := make(chan response, 1)
+	go func() { got <- w.send(0, "move-submit", "doubtful") }()
+	w.waitFor("the move at the near server", func() bool { return len(w.record.All()) == 1 })
 	w.registry.Drain("near-0")
-	w.await("the notice", func() bool { return w.report(0).Sites[0].Draining == 1 })
+	w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Draining == 1 })
 	w.near[0].Crash()
 	if a := <-got; a.site() != "far" {
 		t.Errorf("%+v", a)
@@ -365,14 +365,14 @@
 
 // Both sites drain at the same moment: each request is refused, early.
 func TestBothSitesDrain(t *testing.T) {
-	w := newWorld(t, scene{gates: 1, near: 1, far: 1, work: 50 * time.Millisecond, group: "site"})
+	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 1, work: 50 * time.Millisecond, group: "site"})
 	w.registry.Drain("near-0", "far-0")
-	w.await("the notice", func() bool {
+	w.waitFor("the notice", func() bool {
 		r := w.report(0)
 		return r.Sites[0].Draining == 1 && r.Sites[1].Draining == 1
 	})
-	for _, a := range w.crowd(2, 3, "move-submit") {
-		if a.status != http.StatusServiceUnavailable || a.took > 2*time.Second {
+	for _, a := range w.runClients(2, 3, "move-submit") {
+		if a.status != http.StatusServiceUnavailable || a.elapsed > 2*time.Second {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -383,26 +383,26 @@
 
 // A far site that has just started takes the whole spill of two gateways, and none of its servers falls.
 func TestColdFarSiteTakesTheSpill(t *testing.T) {
-	w := newWorld(t, scene{gates: 2, near: 2, far: 3, work: 60 * time.Millisecond, group: "site", coldFar: true})
-	w.crowd(8, 4, "table-view")
+	w := newTestEnv(t, envOptions{gateways: 2, near: 2, far: 3, work: 60 * time.Millisecond, group: "site", coldFar: true})
+	w.runClients(8, 4, "table-view")
 	w.registry.Drain("near-0", "near-1")
-	all := w.crowd(24, 6, "table-view")
+	all := w.runClients(24, 6, "table-view")
 	if count(all, "far") == 0 {
 		t.Error("nothing was served far")
 	}
-	w.rules()
+	w.checkInvariants()
 }
 
 // Four gateways ask more of the near site than it can do in time: the excess crosses, nobody is left without an
 // answer, and when the crowd is gone everything is served near again.
 func TestOverloadCrossesAndComesBack(t *testing.T) {
-	w := newWorld(t, scene{gates: 4, near: 1, far: 3, work: 40 * time.Millisecond, group: "site", queue: 200})
-	all := w.crowd(60, 6, "move-submit") // 60 at once where 2 are done in 40 ms: more than a second's work
+	w := newTestEnv(t, envOptions{gateways: 4, near: 1, far: 3, work: 40 * time.Millisecond, group: "site", queue: 200})
+	all := w.runClients(60, 6, "move-submit") // 60 at once where 2 are done in 40 ms: more than a second's work
 	if near, far := count(all, "near"), count(all, "far"); near == 0 || far == 0 {
 		t.Errorf("%d near, %d far", near, far)
 	}
 	slow := uint64(0)
-	for gate := range w.gates {
+	for gate := range w.gateways {
 		for _, c := range w.report(gate).Sites[1].Crossed {
 			if c.Cause == "near too slow" {
 				slow += c.Count
@@ -412,33 +412,33 @@
 	if slow < uint64(count(all, "far")) {
 		t.Errorf("%d crossings counted as near too slow, %d served far", slow, count(all, "far"))
 	}
-	w.await("the late answers to be forgotten", func() bool {
-		one := w.ask(0, "table-view", "")
-		return one.site() == "near" && w.report(0).Sites[0].Late < 0.1
+	w.waitFor("the late answers to be forgotten", func() bool {
+		resp := w.send(0, "table-view", "")
+		return resp.site() == "near" && w.report(0).Sites[0].Late < 0.1
 	})
-	if calm := w.crowd(4, 6, "table-view"); count(calm, "near") < len(calm)-1 {
-		t.Errorf("after: %d of %d near", count(calm, "near"), len(calm))
+	if after := w.runClients(4, 6, "table-view"); count(after, "near") < len(after)-1 {
+		t.Errorf("after: %d of %d near", count(after, "near"), len(after))
 	}
-	w.rules()
+	w.checkInvariants()
 }
 
 // The far site drains while it serves for a near one that drains, too, and comes back: what was under way ends
 // with its own answer, what comes meanwhile is refused early, and then served again.
 func TestFarDrainsWhileItServes(t *testing.T) {
-	w := newWorld(t, scene{gates: 1, near: 1, far: 2, work: 100 * time.Millisecond, group: "site"})
+	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 2, work: 100 * time.Millisecond, group: "site"})
 	w.registry.Drain("near-0")
-	w.await("the notice", func() bool { return w.report(0).Sites[0].Draining == 1 })
-	flying := make(chan []answer, 1)
-	go func() { flying <- w.crowd(2, 1, "move-submit") }()
-	w.await("two moves at far servers", func() bool { return len(w.record.All()) == 2 })
+	w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Draining == 1 })
+	inFlight := make(chan []response, 1)
+	go func() { inFlight <- w.runClients(2, 1, "move-submit") }()
+	w.waitFor("two moves at far servers", func() bool { return len(w.record.All()) == 2 })
 	w.registry.Drain("far-0", "far-1")
-	for _, a := range <-flying {
+	for _, a := range <-inFlight {
 		if a.site() != "far" {
 			t.Errorf("under way: %+v", a)
 		}
 	}
-	w.await("the notice", func() bool { return w.report(0).Sites[1].Draining == 2 })
-	if a := w.ask(0, "move-submit", ""); a.status != http.StatusServiceUnavailable {
+	w.waitFor("the notice", func() bool { return w.report(0).Sites[1].Draining == 2 })
+	if a := w.send(0, "move-submit", ""); a.status != http.StatusServiceUnavailable {
 		t.Errorf("with both drained: %+v", a)
 	}
 	address, err := w.link.To(w.far[0].Addr())
@@ -446,9 +446,9 @@
 		t.Fatal(err)
 	}
 	w.registry.Put(w.far[0].Instance(address))
-	w.await("a far server", func() bool { return w.report(0).Sites[1].Ready == 1 })
-	if a := w.ask(0, "move-submit", ""); a.site() != "far" {
+	w.waitFor("a far server", func() bool { return w.report(0).Sites[1].Ready == 1 })
+	if a := w.send(0, "move-submit", ""); a.site() != "far" {
 		t.Errorf("back: %+v", a)
 	}
-	w.rules()
+	w.checkInvariants()
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -148,7 +148,7 @@
 	}
 	var taken *atomic.Int64
 	if figures != nil {
-		figures.Classes([]string{"table-view", "move-submit"})
+		figures.SetClasses([]string{"table-view", "move-submit"})
 		c.SetMetrics(figures)
 		taken = &figures.Concurrent
 	}
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	headWait  = 500 * time.Millisecond // a caller who sends nothing, or half a head, is let go by then
-	callWait  = time.Second            // the whole call, head and body
-	writeWait = time.Second            // a caller who does not read its answer
-	maxHead   = 8 << 10
-	maxBody   = 4 << 10
+	headerTimeout  = 500 * time.Millisecond // a caller who sends nothing, or half a head, is let go by then
+	callTimeout    = time.Second            // the whole call, head and body
+	writeTimeout   = time.Second            // a caller who does not read its answer
+	maxHeaderBytes = 8 << 10
+	maxBodyBytes   = 4 << 10
 )
 
 // Hooks are what the calls do; each returns at once.
@@ -43,11 +43,11 @@
 	guarded := gate.Guard(mux)
 	s := &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+			r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 			guarded.ServeHTTP(w, r)
 		}),
-		ReadHeaderTimeout: headWait, ReadTimeout: callWait, WriteTimeout: writeWait, IdleTimeout: headWait,
-		MaxHeaderBytes: maxHead,
+		ReadHeaderTimeout: headerTimeout, ReadTimeout: callTimeout, WriteTimeout: writeTimeout, IdleTimeout: headerTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	s.SetKeepAlivesEnabled(false) // one call per connection
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -25,7 +25,7 @@
 	return l.Addr().String()
 }
 
-func call(t *testing.T, address, message string) (*http.Response, string) {
+func send(t *testing.T, address, message string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -55,20 +55,20 @@
 		Evacuate:  func() { evacuated.Store(true) },
 		Rejoin:    func() { evacuated.Store(false) },
 	})
-	if resp, _ := call(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 503 {
+	if resp, _ := send(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 503 {
 		t.Errorf("not ready, and said %d", resp.StatusCode)
 	}
 	ready.Store(true)
-	if resp, _ := call(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || !resp.Close {
+	if resp, _ := send(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("ready, and said %d (close %v)", resp.StatusCode, resp.Close)
 	}
-	if resp, body := call(t, address, "GET /api/telemetry HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || body != "svc.concurrent:3|g\n" {
+	if resp, body := send(t, address, "GET /api/telemetry HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || body != "svc.concurrent:3|g\n" {
 		t.Errorf("telemetry: %d %q", resp.StatusCode, body)
 	}
-	if resp, _ := call(t, address, "PUT /api/evacuate HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n"); resp.StatusCode != 200 || !evacuated.Load() {
+	if resp, _ := send(t, address, "PUT /api/evacuate HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n"); resp.StatusCode != 200 || !evacuated.Load() {
 		t.Errorf("evacuate: %d, evacuated %v", resp.StatusCode, evacuated.Load())
 	}
-	if resp, _ := call(t, address, "PUT /api/rejoin HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || evacuated.Load() {
+	if resp, _ := send(t, address, "PUT /api/rejoin HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || evacuated.Load() {
 		t.Errorf("rejoin: %d, evacuated %v", resp.StatusCode, evacuated.Load())
 	}
 	for message, want := range map[string]int{
@@ -78,7 +78,7 @@
 		"GET /health/ready HTTP/1.1\r\nHost: m\r\n\r\n":  404,
 		"PUT /api/rejoin HTTP/1.1\r\nHost: m\r\n\r\nxyz": 200,
 	} {
-		if resp, _ := call(t, address, message); resp.StatusCode != want {
+		if resp, _ := send(t, address, message); resp.StatusCode != want {
 			t.Errorf("%q: %d, want %d", strings.SplitN(message, "\r\n", 2)[0], resp.StatusCode, want)
 		}
 	}
@@ -101,7 +101,7 @@
 		slow = append(slow, c)
 	}
 	asked := time.Now()
-	if resp, _ := call(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 {
+	if resp, _ := send(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 {
 		t.Errorf("beside slow callers: %d", resp.StatusCode)
 	}
 	for _, c := range slow {
--- a/internal/operations/config.go
+++ b/internal/operations/config.go
@@ -12,27 +12,27 @@
 	"junctionring/versions"
 )
 
-const pushWait = 30 * time.Second // for the answer to a version that was pushed
+const pushTimeout = 30 * time.Second // for the answer to a version that was pushed
 
 // Config is what the status says of versions.
 type Config struct {
-	Version  int64     `json:"version"` // in force; 0: the file
-	Age      float64   `json:"age_s"`
-	Pinned   bool      `json:"pinned"`
-	OnItsWay int64     `json:"on_its_way,omitempty"`
-	Down     *History  `json:"turned_down,omitempty"` // the last
-	History  []History `json:"history"`
+	Version      int64     `json:"version"` // in force; 0: the file
+	Age          float64   `json:"age_s"`
+	Pinned       bool      `json:"pinned"`
+	InProgress   int64     `json:"on_its_way,omitempty"`
+	LastRejected *History  `json:"turned_down,omitempty"` // the last
+	History      []History `json:"history"`
 }
 
 // History is a line of the history.
 type History struct {
 	Version int64  `json:"version"`
 	State   string `json:"state"`
-	Why     string `json:"why,omitempty"`
+	Reason  string `json:"why,omitempty"`
 	Source  string `json:"source"`
 }
 
-func historyOf(e versions.Entry) History {
+func historyFromEntry(e versions.Entry) History {
 	source := fmt.Sprintf("control service %d", e.Source)
 	switch e.Source {
 	case versions.FromOperator:
@@ -40,32 +40,32 @@
 	case versions.FromDisk:
 		source = "disk"
 	}
-	return History{Version: e.Number, State: e.State.String(), Why: e.Reason, Source: source}
+	return History{Version: e.Number, State: e.State.String(), Reason: e.Reason, Source: source}
 }
 
-func configOf(s configuration.Status) *Config {
-	c := &Config{Version: s.InForce.Number, Age: s.Age.Seconds(), Pinned: s.Pinned, OnItsWay: s.InProgress}
+func configFromStatus(s configuration.Status) *Config {
+	c := &Config{Version: s.InForce.Number, Age: s.Age.Seconds(), Pinned: s.Pinned, InProgress: s.InProgress}
 	if s.LastRejected.Reason != "" {
-		h := historyOf(s.LastRejected)
-		c.Down = &h
+		h := historyFromEntry(s.LastRejected)
+		c.LastRejected = &h
 	}
 	for _, e := range s.History {
-		c.History = append(c.History, historyOf(e))
+		c.History = append(c.History, historyFromEntry(e))
 	}
 	return c
 }
 
 // configCalls answers the calls for versions.
-type configCalls struct {
+type configHandlers struct {
 	manager *configuration.Manager
 }
 
 // serveConfig adds the calls for versions: GET /config and /config/document, POST /config, /config/pin, /config/unpin.
-func serveConfig(mux *http.ServeMux, manager *configuration.Manager) {
-	c := configCalls{manager}
+func registerConfig(mux *http.ServeMux, manager *configuration.Manager) {
+	c := configHandlers{manager}
 	mux.HandleFunc("GET /config", func(w http.ResponseWriter, _ *http.Request) { c.writeStatus(w) })
-	mux.HandleFunc("GET /config/document", c.document)
-	mux.HandleFunc("POST /config", c.push)
+	mux.HandleFunc("GET /config/document", c.serveDocument)
+	mux.HandleFunc("POST /config", c.servePush)
 	for path, pinned := range map[string]bool{"POST /config/pin": true, "POST /config/unpin": false} {
 		mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
 			manager.Pin(pinned)
@@ -74,7 +74,7 @@
 	}
 }
 
-func (c configCalls) writeStatus(w http.ResponseWriter) {
+func (c configHandlers) writeStatus(w http.ResponseWriter) {
 	status, ok := c.manager.Status()
 	if !ok {
 		http.Error(w, "the gateway is ending", http.StatusServiceUnavailable)
@@ -83,10 +83,10 @@
 	w.Header().Set("Content-Type", "application/json")
 	out := json.NewEncoder(w)
 	out.SetIndent("", "  ")
-	out.Encode(configOf(status))
+	out.Encode(configFromStatus(status))
 }
 
-func (c configCalls) document(w http.ResponseWriter, r *http.Request) {
+func (c configHandlers) serveDocument(w http.ResponseWriter, r *http.Request) {
 	number := int64(-1)
 	if text := r.FormValue("version"); text != "" {
 		var err error
@@ -104,7 +104,7 @@
 }
 
 // push offers the version that a request brings, and writes the status once it is in force.
-func (c configCalls) push(w http.ResponseWriter, r *http.Request) {
+func (c configHandlers) servePush(w http.ResponseWriter, r *http.Request) {
 	offer, code, err := readOffer(w, r)
 	if err != nil {
 		http.Error(w, err.Error(), code)
@@ -118,7 +118,7 @@
 		}
 	}
 	c.manager.Offer(offer)
-	wait := time.NewTimer(pushWait)
+	wait := time.NewTimer(pushTimeout)
 	defer wait.Stop()
 	select {
 	case reason := <-answer:
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -36,14 +36,14 @@
 			s.Sites = &report
 		}
 		if st, ok := manager.Status(); ok {
-			s.Config = configOf(st)
+			s.Config = configFromStatus(st)
 		}
 		w.Header().Set("Content-Type", "application/json")
-		in := json.NewEncoder(w)
-		in.SetIndent("", "  ")
-		in.Encode(s)
+		out := json.NewEncoder(w)
+		out.SetIndent("", "  ")
+		out.Encode(s)
 	})
-	serveConfig(mux, manager)
+	registerConfig(mux, manager)
 	management.Calls(mux, hooks, log)
 	return mux
 }
--- a/internal/retune/retune.go
+++ b/internal/retune/retune.go
@@ -18,9 +18,9 @@
 
 // Entry is one number's.
 type Entry[T comparable] struct {
-	Name  string
-	Rules T
-	Named bool // by the settings in force: new requests may name it
+	Name   string
+	Rules  T
+	Active bool // by the settings in force: new requests may name it
 }
 
 // Start is the table of the settings at the start.
@@ -45,7 +45,7 @@
 	for i := range from {
 		from[i] = i
 		if i >= len(t.Classes) {
-			from[i] = latest(t.Classes, next.Classes[i].Name)
+			from[i] = lastIndex(t.Classes, next.Classes[i].Name)
 		}
 	}
 	return next, from
@@ -56,11 +56,11 @@
 func renumber[T comparable](old []Entry[T], names []string, rules []T) []Entry[T] {
 	out := append([]Entry[T](nil), old...)
 	for i := range out {
-		out[i].Named = false
+		out[i].Active = false
 	}
 	for i, name := range names {
-		if at := latest(old, name); at >= 0 && old[at].Rules == rules[i] {
-			out[at].Named = true
+		if number := lastIndex(old, name); number >= 0 && old[number].Rules == rules[i] {
+			out[number].Active = true
 			continue
 		}
 		out = append(out, Entry[T]{name, rules[i], true})
@@ -69,7 +69,7 @@
 }
 
 // latest is the highest number that bears the name, or -1.
-func latest[T comparable](entries []Entry[T], name string) int {
+func lastIndex[T comparable](entries []Entry[T], name string) int {
 	for i := len(entries) - 1; i >= 0; i-- {
 		if entries[i].Name == name {
 			return i
@@ -82,15 +82,15 @@
 func Names[T comparable](entries []Entry[T]) []string {
 	out := make([]string, len(entries))
 	for i, e := range entries {
-		if e.Named {
+		if e.Active {
 			out[i] = e.Name
 		}
 	}
 	return out
 }
 
-// All are the names of all numbers, named or not: figures count a dropped class's held requests under its name.
-func All[T comparable](entries []Entry[T]) []string {
+// AllNames are the names of all numbers, named or not: figures count a dropped class's held requests under its name.
+func AllNames[T comparable](entries []Entry[T]) []string {
 	out := make([]string, len(entries))
 	for i, e := range entries {
 		out[i] = e.Name
--- a/internal/retune/retune_test.go
+++ b/internal/retune/retune_test.go
@@ -37,7 +37,7 @@
 	if r := Rules(t2.Classes); r[1] != move || r[3] != unkeyed {
 		t.Errorf("the old number of move has %+v, the new %+v", r[1], r[3])
 	}
-	if got := All(t2.Classes); !slices.Equal(got, []string{"view", "move", "view-ii", "move"}) {
+	if got := AllNames(t2.Classes); !slices.Equal(got, []string{"view", "move", "view-ii", "move"}) {
 		t.Errorf("all: %q", got)
 	}
 	if got := Names(t2.Plans); !slices.Equal(got, []string{"", "league"}) || t2.Attempts != 1 || t2.Reconfigs != 2 {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -42,8 +42,8 @@
 	return f
 }
 
-// Classes names the classes by their number in the settings in force. A name seen before keeps its counts.
-func (f *Figures) Classes(names []string) {
+// SetClasses names the classes by their number in the settings in force. A name seen before keeps its counts.
+func (f *Figures) SetClasses(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	index := make([]*Counts, len(names))
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -9,10 +9,10 @@
 // no longer named; a number out of range counts into nothing.
 func TestFiguresKeepTheirNames(t *testing.T) {
 	f := New("svc")
-	f.Classes([]string{"view", "move"})
+	f.SetClasses([]string{"view", "move"})
 	f.Class(1).Success.Add(3)
 	f.Class(0).Dispatches.Add(2)
-	f.Classes([]string{"view", "move", "view-ii", "move"}) // move changed its rules: a second number, one name
+	f.SetClasses([]string{"view", "move", "view-ii", "move"}) // move changed its rules: a second number, one name
 	f.Class(3).Success.Add(1)
 	f.Class(2).Overload.Add(1)
 	if f.Class(9) != nil || f.Class(-1) != nil {
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -20,7 +20,7 @@
 	listKinds = map[string]control.MembersKind{
 		"diff": control.Delta, "snapshot": control.Snapshot, "disk": control.Cached, "error": control.Failed,
 	}
-	conditions = map[string]control.MemberState{
+	memberStates = map[string]control.MemberState{
 		"active": control.Ready, "leaving": control.Draining, "left": control.Removed,
 	}
 	statuses = map[int]control.Status{
@@ -34,7 +34,7 @@
 type host struct {
 	now      control.Seconds
 	inBatch  bool
-	turn     int64
+	batch    int64
 	gateways map[int]*control.Gateway
 	lists    map[int][]control.Member
 	actions  []control.Action
@@ -49,7 +49,7 @@
 	for n := 1; ; n++ {
 		line, err := in.ReadBytes('\n')
 		if text := bytes.TrimSpace(line); len(text) > 0 {
-			done, lineErr := h.line(text)
+			done, lineErr := h.handleLine(text)
 			if lineErr != nil {
 				return fmt.Errorf("line %d: %w", n, lineErr)
 			}
@@ -74,18 +74,18 @@
 
 // fields reads the values of one message in turn. The first fault sticks.
 type fields struct {
-	name string
-	vals []json.RawMessage
-	at   int
-	err  error
+	name   string
+	values []json.RawMessage
+	next   int
+	err    error
 }
 
 func parse(text []byte) (*fields, error) {
 	f := &fields{}
-	if err := json.Unmarshal(text, &f.vals); err != nil {
+	if err := json.Unmarshal(text, &f.values); err != nil {
 		return nil, fmt.Errorf("not a message: %w", err)
 	}
-	if len(f.vals) == 0 {
+	if len(f.values) == 0 {
 		return nil, errors.New("an empty message")
 	}
 	f.read(&f.name, "name")
@@ -94,19 +94,19 @@
 
 // read fills into from the next value; null and absent leave it alone.
 func (f *fields) read(into any, what string) {
-	at := f.at
-	f.at++
-	if f.err != nil || at >= len(f.vals) {
+	i := f.next
+	f.next++
+	if f.err != nil || i >= len(f.values) {
 		return
 	}
-	if err := json.Unmarshal(f.vals[at], into); err != nil {
+	if err := json.Unmarshal(f.values[i], into); err != nil {
 		f.err = fmt.Errorf("%s: %s: %w", f.name, what, err)
 	}
 }
 
 // need is read for a value that must be there.
-func (f *fields) need(into any, what string) {
-	if f.err == nil && (f.at >= len(f.vals) || string(f.vals[f.at]) == "null") {
+func (f *fields) require(into any, what string) {
+	if f.err == nil && (f.next >= len(f.values) || string(f.values[f.next]) == "null") {
 		f.err = fmt.Errorf("%s: %s is missing", f.name, what)
 	}
 	f.read(into, what)
@@ -114,7 +114,7 @@
 
 func (f *fields) status() control.Status {
 	var code int
-	f.need(&code, "Disposition")
+	f.require(&code, "Disposition")
 	if f.err != nil {
 		return 0
 	}
@@ -126,7 +126,7 @@
 }
 
 // line takes one line in and tells whether a reply is ready.
-func (h *host) line(text []byte) (done bool, err error) {
+func (h *host) handleLine(text []byte) (done bool, err error) {
 	f, err := parse(text)
 	if err != nil {
 		return false, err
@@ -136,8 +136,8 @@
 			return false, fmt.Errorf("%s: a batch is already open", f.name)
 		}
 		h.inBatch = true
-		f.need(&h.now, "clock")
-		f.need(&h.turn, "batch number")
+		f.require(&h.now, "clock")
+		f.require(&h.batch, "batch number")
 		return false, f.err
 	}
 	if !h.inBatch {
@@ -146,58 +146,58 @@
 	switch f.name {
 	case "Commit":
 		h.inBatch = false
-		h.put("Finished")
-		h.out = strconv.AppendInt(append(h.out, ','), h.turn, 10)
+		h.beginMessage("Finished")
+		h.out = strconv.AppendInt(append(h.out, ','), h.batch, 10)
 		h.out = append(h.out, ']', '\n')
 		return true, nil
 	case "Inventory":
-		return false, h.inventory(f)
+		return false, h.setMembers(f)
 	}
-	var who int
-	f.need(&who, "Who")
+	var instance int
+	f.require(&instance, "Who")
 	if f.err != nil {
 		return false, f.err
 	}
 	switch f.name {
 	case "Configure":
-		return false, h.configure(who, f)
+		return false, h.configure(instance, f)
 	case "Down":
-		delete(h.gateways, who)
+		delete(h.gateways, instance)
 		return false, nil
 	}
 	ev, err := h.event(f)
 	if err != nil {
 		return false, err
 	}
-	g := h.gateways[who]
+	g := h.gateways[instance]
 	if g == nil {
-		return false, fmt.Errorf("%s: instance %d has not been configured", f.name, who)
+		return false, fmt.Errorf("%s: instance %d has not been configured", f.name, instance)
 	}
-	h.guard(who, func() {
+	h.reportPanic(instance, func() {
 		h.actions = g.Handle(h.now, ev, h.actions[:0])
 		for _, a := range h.actions {
-			h.action(who, a)
+			h.writeAction(instance, a)
 		}
 	})
 	return false, nil
 }
 
 // guard reports a panic of the decisions as the wire wants it told.
-func (h *host) guard(who int, decide func()) {
+func (h *host) reportPanic(instance int, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.put("Bug")
-			h.vals(who, fmt.Sprint(p))
+			h.beginMessage("Bug")
+			h.endMessage(instance, fmt.Sprint(p))
 		}
 	}()
 	decide()
 }
 
-func (h *host) configure(who int, f *fields) error {
+func (h *host) configure(instance int, f *fields) error {
 	var seed uint64
 	var raw json.RawMessage
-	f.need(&seed, "InitSeed")
-	f.need(&raw, "Setup")
+	f.require(&seed, "InitSeed")
+	f.require(&raw, "Setup")
 	if f.err != nil {
 		return f.err
 	}
@@ -209,32 +209,32 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.name, err)
 	}
-	h.gateways[who] = g
+	h.gateways[instance] = g
 	return nil
 }
 
-func (h *host) inventory(f *fields) error {
+func (h *host) setMembers(f *fields) error {
 	var number int
 	var rows [][]json.RawMessage
-	f.need(&number, "List")
-	f.need(&rows, "Elements")
+	f.require(&number, "List")
+	f.require(&rows, "Elements")
 	members := make([]control.Member, 0, len(rows))
 	for _, row := range rows {
-		e := &fields{name: "Inventory", vals: row}
+		e := &fields{name: "Inventory", values: row}
 		var m control.Member
 		var state string
 		e.read(&m.Weight, "Rating")
-		e.need(&m.Server, "Worker")
+		e.require(&m.Server, "Worker")
 		e.read(&m.Cell, "Bay")
 		e.read(&m.Since, "Since")
 		e.read(&m.Zone, "RegionPart")
 		e.read(&m.Kind, "Flavor")
-		e.need(&state, "Condition")
+		e.require(&state, "Condition")
 		if e.err != nil {
 			return e.err
 		}
 		var err error
-		if m.State, err = config.Word(conditions, state, "condition"); err != nil {
+		if m.State, err = config.Word(memberStates, state, "condition"); err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
 		members = append(members, m)
@@ -251,7 +251,7 @@
 		var e control.Members
 		var kind string
 		var number int
-		f.need(&kind, "Kind")
+		f.require(&kind, "Kind")
 		f.read(&e.Version, "Stamp")
 		f.read(&number, "List")
 		if f.err != nil {
@@ -272,11 +272,11 @@
 	case "NewRequest":
 		var e control.Request
 		var bits int
-		f.need(&e.ID, "Txn")
-		f.need(&e.Class, "Grade")
-		f.need(&e.Plan, "GradeOfService")
-		f.need(&e.Customer, "Member")
-		f.need(&e.TimeLeft, "TimeLeft")
+		f.require(&e.ID, "Txn")
+		f.require(&e.Class, "Grade")
+		f.require(&e.Plan, "GradeOfService")
+		f.require(&e.Customer, "Member")
+		f.require(&e.TimeLeft, "TimeLeft")
 		f.read(&e.Units, "CostUnits")
 		f.read(&e.Spread, "Spread")
 		f.read(&e.First, "FirstDoor")
@@ -285,46 +285,46 @@
 		ev = e
 	case "HeadReceived":
 		var e control.Started
-		f.need(&e.ID, "Txn")
+		f.require(&e.ID, "Txn")
 		f.read(&e.Server, "Worker")
-		f.need(&e.Attempt, "Go")
+		f.require(&e.Attempt, "Go")
 		f.read(&e.Elapsed, "Spent")
 		ev = e
 	case "Ended":
 		var e control.Outcome
-		f.need(&e.ID, "Txn")
+		f.require(&e.ID, "Txn")
 		f.read(&e.Use, "FleetUse")
 		f.read(&e.Units, "Cost")
 		e.Status = f.status()
 		f.read(&e.Closed, "Closed")
-		f.need(&e.Server, "Worker")
-		f.need(&e.Attempt, "Go")
+		f.require(&e.Server, "Worker")
+		f.require(&e.Attempt, "Go")
 		f.read(&e.Elapsed, "Spent")
 		f.read(&e.Load, "Telemetry")
 		ev = e
 	case "Vanished":
 		var e control.ClientGone
-		f.need(&e.ID, "Txn")
+		f.require(&e.ID, "Txn")
 		ev = e
 	case "Wake":
 		var e control.Timer
-		f.need(&e.Token, "Nonce")
+		f.require(&e.Token, "Nonce")
 		ev = e
 	case "StatusBack":
 		var e control.Probed
 		f.read(&e.Elapsed, "Spent")
 		e.Status = f.status()
-		f.need(&e.Server, "Worker")
+		f.require(&e.Server, "Worker")
 		f.read(&e.Load, "Telemetry")
 		ev = e
 	case "NoteFrom":
 		var e control.PeerMessage
-		f.need(&e.From, "Neighbour")
+		f.require(&e.From, "Neighbour")
 		f.read(&e.Data, "Octets")
 		ev = e
 	case "Reckoned":
 		var e control.Counted
-		f.need(&e.Name, "TallyId")
+		f.require(&e.Name, "TallyId")
 		e.Status = f.status()
 		f.read(&e.Total, "NowAt")
 		f.read(&e.Elapsed, "Spent")
@@ -336,57 +336,57 @@
 }
 
 // action writes one action of instance who.
-func (h *host) action(who int, a control.Action) {
+func (h *host) writeAction(instance int, a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
-		h.put("Try")
-		h.vals(who, a.ID, a.Server, a.Timeout)
+		h.beginMessage("Try")
+		h.endMessage(instance, a.ID, a.Server, a.Timeout)
 	case control.Cancel:
-		h.put("Retract")
-		h.vals(who, a.ID, a.Attempt)
+		h.beginMessage("Retract")
+		h.endMessage(instance, a.ID, a.Attempt)
 	case control.Refuse:
-		h.put("TurnAway")
-		h.vals(who, a.ID, a.RetryAfter)
+		h.beginMessage("TurnAway")
+		h.endMessage(instance, a.ID, a.RetryAfter)
 	case control.Fail:
-		h.put("EndFailed")
-		h.vals(who, a.ID)
+		h.beginMessage("EndFailed")
+		h.endMessage(instance, a.ID)
 	case control.SetTimer:
-		h.put("WakeAt")
-		h.vals(who, a.Delay, a.Token)
+		h.beginMessage("WakeAt")
+		h.endMessage(instance, a.Delay, a.Token)
 	case control.Probe:
-		h.put("Touch")
-		h.vals(who, a.Server)
+		h.beginMessage("Touch")
+		h.endMessage(instance, a.Server)
 	case control.CloseIdle:
-		h.put("CloseIdle")
-		h.vals(who, a.Server)
+		h.beginMessage("CloseIdle")
+		h.endMessage(instance, a.Server)
 	case control.MessagePeer:
-		h.put("Share")
-		h.vals(who, a.Peer, a.Data)
+		h.beginMessage("Share")
+		h.endMessage(instance, a.Peer, a.Data)
 	case control.Count:
-		h.put("AddTo")
-		h.vals(who, a.TTL, a.Amount, a.Name)
+		h.beginMessage("AddTo")
+		h.endMessage(instance, a.TTL, a.Amount, a.Name)
 	case control.Watch:
-		h.put("Follow")
-		h.vals(who, a.On)
+		h.beginMessage("Follow")
+		h.endMessage(instance, a.On)
 	case control.Fetch:
-		h.put("ListAll")
-		h.vals(who)
+		h.beginMessage("ListAll")
+		h.endMessage(instance)
 	case control.Log:
-		h.put("SayLog")
-		h.vals(who, a.Text)
+		h.beginMessage("SayLog")
+		h.endMessage(instance, a.Text)
 	default:
 		panic(fmt.Sprintf("action %T has no message", a))
 	}
 }
 
 // put begins a message; vals writes its values and ends it.
-func (h *host) put(name string) {
+func (h *host) beginMessage(name string) {
 	h.out = append(h.out, '[', '"')
 	h.out = append(h.out, name...)
 	h.out = append(h.out, '"')
 }
 
-func (h *host) vals(values ...any) {
+func (h *host) endMessage(values ...any) {
 	for _, v := range values {
 		h.out = append(h.out, ',')
 		switch v := v.(type) {
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const setupLine = `{"Balancers":2,"Ordinal":0,"Zone":0,"Discovery":"automatic","NoSuchKey":[1,{"a":2}],` +
+const setupJSON = `{"Balancers":2,"Ordinal":0,"Zone":0,"Discovery":"automatic","NoSuchKey":[1,{"a":2}],` +
 	`"RequestClasses":[{"Aim":1,"HardLimit":3,"Worth":2,"Repeat":"read_like","Name":"x"},` +
 	`{"Aim":1,"HardLimit":3,"Worth":2,"Repeat":"idempotency_key","Group":"zone","Window":2}],` +
 	`"Plans":[{"PerSecond":2,"PeakUnits":8,"WorthFactor":1,"ExcessCost":1}],` +
@@ -16,9 +16,9 @@
 	`"Guarantees":{"ColdFrom":0.2,"RampTime":5,"OverloadFactor":2,"OverloadFor":1}}`
 
 // opening configures instance 7 and gives it one server.
-func opening() string {
+func setupBatch() string {
 	return `["Clock",5,1]` + "\n" +
-		`["Configure",7,99,` + setupLine + "]\n" +
+		`["Configure",7,99,` + setupJSON + "]\n" +
 		`["Inventory",3,[[1,"worker-a",0,null,0,0,"active"]]]` + "\n" +
 		`["Announce",7,"disk",1,3]` + "\n" + `["Commit"]` + "\n"
 }
@@ -31,7 +31,7 @@
 }
 
 func TestServeAnswersEachBatchOnce(t *testing.T) {
-	in := opening() +
+	in := setupBatch() +
 		`["Clock",5.004,2]` + "\n" + `["NewRequest",7,11,0,0,4242,2.5,1,2,0,0]` + "\n" + `["Commit"]` + "\n" +
 		`["Clock",5.1,3]` + "\n" + `["Ended",7,11,0,0,0,true,"worker-a",0,0.096,[2]]` + "\n" + `["Commit"]` + "\n" +
 		`["Clock",6.9,4]` + "\n" + `["Wake",7,0]` + "\n" + `["Commit"]` + "\n" +
@@ -54,7 +54,7 @@
 }
 
 func TestServeTakesEveryEvent(t *testing.T) {
-	in := opening() + `["Clock",5.01,2]` + "\n"
+	in := setupBatch() + `["Clock",5.01,2]` + "\n"
 	for _, line := range []string{
 		`["HeadReceived",7,11,"worker-a",0,0.01]`,
 		`["Ended",7,11,0,0,13,false,"worker-a",0,0.01,null]`,
@@ -93,7 +93,7 @@
 		{"bad settings", `["Clock",6,2]` + "\n" + `["Configure",9,1,{"Balancers":1}]`, "no classes"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := serve(t, opening()+c.lines+"\n")
+			_, err := serve(t, setupBatch()+c.lines+"\n")
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want an error with %q", err, c.want)
 			}
@@ -103,7 +103,7 @@
 
 // Instances share nothing: what one is told must not change what another does.
 func TestInstancesShareNothing(t *testing.T) {
-	day := func(who int) string {
+	requests := func(who int) string {
 		var b strings.Builder
 		for i := range 40 {
 			fmt.Fprintf(&b, "[\"NewRequest\",%d,%d,0,0,%d,2.5,1,2,0,0]\n", who, i, i%3)
@@ -111,31 +111,31 @@
 		return b.String()
 	}
 	configure := func(who int) string {
-		return fmt.Sprintf("[\"Configure\",%d,99,%s]\n[\"Announce\",%d,\"disk\",1,3]\n", who, setupLine, who)
+		return fmt.Sprintf("[\"Configure\",%d,99,%s]\n[\"Announce\",%d,\"disk\",1,3]\n", who, setupJSON, who)
 	}
 	list := `["Inventory",3,[[1,"worker-a",0,null,0,0,"active"],[1,"worker-b",0,null,0,0,"active"]]]` + "\n"
-	alone, err := serve(t, "[\"Clock\",5,1]\n"+list+configure(1)+day(1)+"[\"Commit\"]\n")
+	alone, err := serve(t, "[\"Clock\",5,1]\n"+list+configure(1)+requests(1)+"[\"Commit\"]\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	both, err := serve(t, "[\"Clock\",5,1]\n"+list+configure(1)+configure(2)+day(2)+day(1)+"[\"Commit\"]\n")
+	both, err := serve(t, "[\"Clock\",5,1]\n"+list+configure(1)+configure(2)+requests(2)+requests(1)+"[\"Commit\"]\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var ofFirst []string
+	var fromFirst []string
 	for _, line := range strings.SplitAfter(both, "\n") {
 		if strings.Contains(line, `",1,`) && !strings.HasPrefix(line, `["Finished"`) {
-			ofFirst = append(ofFirst, line)
+			fromFirst = append(fromFirst, line)
 		}
 	}
-	if got := strings.Join(ofFirst, "") + "[\"Finished\",1]\n"; got != alone {
+	if got := strings.Join(fromFirst, "") + "[\"Finished\",1]\n"; got != alone {
 		t.Errorf("instance 1 acted differently beside another:\nalone:\n%s\nbeside:\n%s", alone, got)
 	}
 }
 
 func FuzzServe(f *testing.F) {
-	f.Add(opening())
-	f.Add(opening() + `["Clock",6,2]` + "\n" + `["NewRequest",7,11,0,0,4242,2.5,1,2,0,0]` + "\n" + `["Commit"]` + "\n")
+	f.Add(setupBatch())
+	f.Add(setupBatch() + `["Clock",6,2]` + "\n" + `["NewRequest",7,11,0,0,4242,2.5,1,2,0,0]` + "\n" + `["Commit"]` + "\n")
 	f.Add("[\"Clock\",1e300,1]\n[\"Commit\"]\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		var out bytes.Buffer
