--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,5 @@
-// Package gateway puts an operator's gateway together: the core with its modules, egress by site, the counter,
-// the route table and the front. It owns how the parts are joined and in what order they start, and takes no
-// part in what they do.
+// Package gateway assembles an operator's gateway: the core with its modules, egress by site, the counter, the route
+// table and the front. It connects the parts and starts them in order, and does none of their work.
 package gateway
 
 import (
@@ -29,13 +28,13 @@
 )
 
 const (
-	connectTimeout  = 250 * time.Millisecond // to an egress target near by
-	connIdleTimeout = 10 * time.Second       // after which most servers close a connection
-	dialRoundTrips  = 3                      // round trips that a dial may take: a link loses packets
-	minSiteConns    = 8                      // to the targets of one site
+	connectTimeout  = 250 * time.Millisecond // to an egress target at the gateway's own site
+	connIdleTimeout = 10 * time.Second       // most servers close a connection that is idle for longer
+	dialRoundTrips  = 3                      // allowed for a dial over a link, which may lose packets
+	minSiteConns    = 8                      // connections to the targets of one site
 )
 
-// Gateway is an operator's gateway.
+// Gateway is an operator's gateway with all its parts.
 type Gateway struct {
 	Core          *core.Core
 	Figures       *telemetry.Figures
@@ -44,13 +43,13 @@
 	settings      *config.Operator
 	redisCounter  *counter.Redis
 	roster        *routetable.Roster
-	fence         *fence.Gate // of the operators' calls
-	inUse         targetList  // as the core was told last
+	fence         *fence.Gate // for the operators' calls
+	inUse         targetList  // the targets that the core was given last
 	log           *slog.Logger
 }
 
-// New joins the parts; nothing runs yet. base is what the file says; where a snapshot is kept the gateway begins
-// with the last good version instead.
+// New creates the parts and connects them, but starts nothing. base holds the settings of the file; if a snapshot is
+// kept, the gateway starts with the last good version instead.
 func New(base *config.Operator, log *slog.Logger, seed uint64) (*Gateway, error) {
 	base.KeyPlans()
 	o, number, content := lastGood(base, log)
@@ -74,7 +73,7 @@
 		return nil, err
 	}
 	fencePath := ""
-	if base.Versions.Snapshot != "" { // as lasting as the versions that the calls set
+	if base.Versions.Snapshot != "" { // kept on disk, since the versions that the calls set are kept, too
 		fencePath = base.Versions.Snapshot + ".fence"
 	}
 	gate, err := fence.Open(fencePath)
@@ -87,7 +86,8 @@
 	return g, nil
 }
 
-// lastGood is the version that a gateway begins with. A snapshot that can't be used is named, and the file serves.
+// lastGood returns the version that a gateway starts with. If the snapshot can't be used, it logs why and returns the
+// settings of the file.
 func lastGood(base *config.Operator, log *slog.Logger) (o *config.Operator, number int64, content []byte) {
 	path := base.Versions.Snapshot
 	if path == "" {
@@ -96,21 +96,21 @@
 	v, err := snapshot.Load(path)
 	if err != nil {
 		if !errors.Is(err, snapshot.ErrNone) {
-			log.Error("the snapshot is not used; the file is", "err", err)
+			log.Error("cannot load the snapshot; using the settings of the file", "err", err)
 		}
 		return base, 0, nil
 	}
 	next, faults := config.ReadVersion(v.Content, base)
 	if len(faults) > 0 {
-		log.Error("the snapshot's version does not fit the file any more; the file is used", "number", v.Number, "err", errors.Join(faults...))
+		log.Error("the snapshot's version does not match the file any more; using the settings of the file", "number", v.Number, "err", errors.Join(faults...))
 		return base, 0, nil
 	}
-	log.Info("begins with the last good version", "number", v.Number)
+	log.Info("starting with the last good version", "number", v.Number)
 	return next, v.Number, v.Content
 }
 
-// targets has the targets of a version that comes into force used. Most versions change none of them, and a list of
-// thousands costs the core more than all else of a version.
+// targets puts the targets of a version that comes into force to use. It skips an unchanged list: most versions
+// change no target, and a list of thousands costs the core more than the rest of a version.
 func (g *Gateway) targets(o *config.Operator) {
 	if !g.inUse.update(o.Targets) {
 		return
@@ -126,20 +126,20 @@
 	g.roster.Allow(allowed)
 }
 
-// Front is the handler for clients.
+// Front returns the handler for clients.
 func (g *Gateway) Front() http.Handler { return g.front }
 
-// Operations is the handler for operators. A call that carries a lease's token (fence.Header) is turned away once a
-// later holder has called.
+// Operations returns the handler for operators. A call that carries a fencing token (fence.Header) is refused once a
+// later holder of the lease has called.
 func (g *Gateway) Operations(hooks management.Hooks) http.Handler {
 	return g.fence.Guard(operations.New(g.settings, g.Core, g.Configuration, hooks, g.log))
 }
 
-// Start has the parts run until ctx ends, and returns once the route table is known; false: ready ended first.
+// Start runs the parts until ctx ends. It returns true once the route table is known, or false if ready ends first.
 func (g *Gateway) Start(ctx, ready context.Context) bool {
 	go g.Core.Run(ctx)
 	go g.redisCounter.Run(ctx)
-	g.targets(g.settings) // before a version can come
+	g.targets(g.settings) // before a new version can arrive
 	go g.Configuration.Run(ctx)
 	if g.settings.Discovery.Address == "" {
 		return true
@@ -162,11 +162,11 @@
 	}
 }
 
-// EgressConns is how many of a number of descriptors may be connections to egress targets.
+// EgressConns returns how many of the process's descriptors may be connections to egress targets.
 func EgressConns(sockets int) int { return max(16, sockets*2/5) }
 
-// egressOptions are the options of egress, by site. Each site has descriptors of its own, the near one most:
-// what hangs over a link takes none from near requests.
+// egressOptions returns the egress options by site. Each site has its own share of the descriptors, so that attempts
+// that hang on a link take none from requests to the near site. The near site gets the largest share.
 func egressOptions(o *config.Operator) (all []egress.Options) {
 	base := egress.Options{ConnectTimeout: connectTimeout, ConnIdle: connIdleTimeout, Conns: EgressConns(o.Limits.Sockets)}
 	if len(o.Sites) == 0 {
--- a/internal/gateway/targets.go
+++ b/internal/gateway/targets.go
@@ -6,14 +6,13 @@
 	"junctionring/internal/config"
 )
 
-// targetList is the targets of the version in force. Its zero value is no list at all, which differs from an empty
-// one.
+// targetList holds the targets of the version in force. Its zero value holds no list, which differs from an empty list.
 type targetList struct {
 	known   bool
 	targets []config.TargetSettings
 }
 
-// change takes the targets of a version that comes into force, and tells whether they differ from those before.
+// update stores the targets of a version that comes into force, and reports whether they differ from those before.
 func (l *targetList) update(targets []config.TargetSettings) bool {
 	if l.known && slices.Equal(l.targets, targets) {
 		return false
--- a/internal/gateway/targets_test.go
+++ b/internal/gateway/targets_test.go
@@ -13,7 +13,7 @@
 		targets []config.TargetSettings
 		want    bool
 	}{
-		{nil, true}, // the first is always told
+		{nil, true}, // the first list always counts as a change
 		{nil, false},
 		{one, true},
 		{append([]config.TargetSettings(nil), one...), false},
@@ -23,7 +23,7 @@
 		{nil, true},
 	} {
 		if got := l.update(step.targets); got != step.want {
-			t.Errorf("step %d: changed %v, want %v", i, got, step.want)
+			t.Errorf("step %d: update returned %v, want %v", i, got, step.want)
 		}
 	}
 }
--- a/internal/gateway/twosites_test.go
+++ b/internal/gateway/twosites_test.go
@@ -20,8 +20,8 @@
 	"junctionring/sites"
 )
 
-// testEnv is two sites on loopback, 40 ms apart over a link that loses one packet in fifty, and gateways at the
-// near one.
+// testEnv is two sites on loopback and gateways at the near site. The link between the sites has a delay of 40 ms and
+// loses one packet in fifty.
 type testEnv struct {
 	t         *testing.T
 	record    *standin.Record
@@ -36,8 +36,8 @@
 
 type envOptions struct {
 	gateways, near, far int
-	work                time.Duration // of every request
-	group               string        // of moves
+	work                time.Duration // service time of every request
+	group               string        // of the move class
 	queue               int
 	coldFar             bool
 }
@@ -113,16 +113,16 @@
 	return w
 }
 
-// response is what a client got.
+// response is what a client received.
 type response struct {
-	status  int // 0: none
+	status  int // 0: no answer
 	server  string
 	elapsed time.Duration
 }
 
 func (a response) site() string { s, _, _ := strings.Cut(a.server, "-"); return s }
 
-// send sends one request to a gateway and waits for its answer. A move without a key gets a fresh one.
+// send sends one request to a gateway and waits for its answer. A move without a key gets a new one.
 func (w *testEnv) send(gate int, class, key string) (a response) {
 	method, body := http.MethodGet, io.Reader(nil)
 	if class == "move-submit" {
@@ -148,7 +148,7 @@
 	defer func() { a.elapsed = time.Since(start) }()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		w.t.Error(err) // each is owed a whole answer
+		w.t.Error(err) // every request must get a complete answer
 		return a
 	}
 	defer resp.Body.Close()
@@ -164,7 +164,7 @@
 	return a
 }
 
-// runClients keeps so many clients asking, one request after the other, until each has asked n times.
+// runClients runs the given number of clients at once; each sends n requests, one after the other.
 func (w *testEnv) runClients(clients, n int, class string) (all []response) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -191,38 +191,38 @@
 	return n
 }
 
-// report is what one gateway says of its sites.
+// report returns the site report of one gateway.
 func (w *testEnv) report(gate int) sites.Report {
 	r, ok := w.gateways[gate].Core.Sites()
 	if !ok {
-		w.t.Fatal("no report")
+		w.t.Fatalf("gateway %d has no site report", gate)
 	}
 	return r
 }
 
-// waitFor waits for something that gateways or stand-ins come to.
+// waitFor waits until a condition of the gateways or the simulated servers holds.
 func (w *testEnv) waitFor(what string, reached func() bool) {
 	w.t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
 	for !reached() {
 		if time.Now().After(deadline) {
-			w.t.Fatalf("in vain for 15 s: %s", what)
+			w.t.Fatalf("not reached within 15 s: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// checkInvariants holds the checkInvariants that every story must keep.
+// checkInvariants checks what must hold in every test.
 func (w *testEnv) checkInvariants() {
 	w.t.Helper()
 	if twice := w.record.TwiceRun(); len(twice) > 0 {
-		w.t.Errorf("keys ran twice: %v", twice)
+		w.t.Errorf("keys that ran twice: %v", twice)
 	}
 	if twice := w.record.TwiceOut(150 * time.Millisecond); len(twice) > 0 {
-		w.t.Errorf("two attempts were out at once: %v", twice)
+		w.t.Errorf("requests with two attempts in flight at once: %v", twice)
 	}
 	if fallen := w.record.Fallen(); len(fallen) > 0 {
-		w.t.Errorf("cold servers fell: %v", fallen)
+		w.t.Errorf("cold servers that were overloaded: %v", fallen)
 	}
 }
 
@@ -230,13 +230,13 @@
 	w := newTestEnv(t, envOptions{gateways: 2, near: 3, far: 2, work: 20 * time.Millisecond, group: "site"})
 	all := append(w.runClients(3, 40, "table-view"), w.runClients(3, 40, "move-submit")...)
 	if near := count(all, "near"); near != len(all) {
-		t.Errorf("%d of %d served near", near, len(all))
+		t.Errorf("%d of %d served at the near site", near, len(all))
 	}
 	w.checkInvariants()
 }
 
-// A hall drains with moves in flight: those end with their own answers, what follows is served far, and nothing
-// reaches the hall later than 1 s after it was told.
+// A hall drains with moves in flight: those get their own answers, later requests are served at the far site, and
+// nothing reaches the hall more than 1 s after the drain was announced.
 func TestHallDrainsWithMovesInFlight(t *testing.T) {
 	w := newTestEnv(t, envOptions{gateways: 2, near: 2, far: 2, work: 150 * time.Millisecond, group: "site"})
 	inFlight := make(chan []response, 1)
@@ -244,7 +244,7 @@
 	w.waitFor("four moves at near servers", func() bool { return len(w.record.All()) >= 4 })
 	w.registry.Drain("near-0", "near-1")
 	drained := time.Now()
-	w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Draining == 2 && w.report(1).Sites[0].Draining == 2 })
+	w.waitFor("the drain to be reported", func() bool { return w.report(0).Sites[0].Draining == 2 && w.report(1).Sites[0].Draining == 2 })
 	after := w.runClients(4, 6, "move-submit")
 	for _, a := range <-inFlight {
 		if a.status != http.StatusOK || a.site() != "near" {
@@ -252,29 +252,30 @@
 		}
 	}
 	if n := count(after, "far"); n != len(after) {
-		t.Errorf("%d of %d served far: %+v", n, len(after), after)
+		t.Errorf("%d of %d served at the far site after the drain: %+v", n, len(after), after)
 	}
 	for _, a := range w.record.All() {
 		if a.Site == "near" && a.At.After(drained.Add(time.Second)) {
-			t.Errorf("sent to %s %v after the notice", a.Server, a.At.Sub(drained))
+			t.Errorf("attempt sent to %s %v after the drain was announced", a.Server, a.At.Sub(drained))
 		}
 	}
 	crossings := uint64(0)
 	for gate := range w.gateways {
 		for _, c := range w.report(gate).Sites[1].Crossed {
 			if c.Cause != "near draining" {
-				t.Errorf("crossed for %q", c.Cause)
+				t.Errorf("requests crossed with cause %q, want near draining", c.Cause)
 			}
 			crossings += c.Count
 		}
 	}
 	if crossings < uint64(len(after)) {
-		t.Errorf("%d crossings counted of %d", crossings, len(after))
+		t.Errorf("%d crossings counted, want at least %d", crossings, len(after))
 	}
 	w.checkInvariants()
 }
 
-// The near site turns work away that it cannot hold: proven not to have run, it crosses, keyed or not.
+// The near site refuses requests that exceed its queue. A refusal proves that the request did not run, so it crosses to
+// the far site, with or without a key.
 func TestTurnedAwayCrosses(t *testing.T) {
 	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 2, work: 400 * time.Millisecond, group: "site", queue: 1})
 	all := w.runClients(6, 2, "move-submit")
@@ -284,47 +285,47 @@
 	w.checkInvariants()
 }
 
-// A link that says nothing, or is cut, costs what is out over it an early answer, near requests nothing, and is
-// used again once it is back.
+// When a link goes silent or is cut, requests in flight over it get an early failure, near requests are not affected,
+// and the link is used again once it is restored.
 func TestLinkIsLostAndComesBack(t *testing.T) {
 	for name, lose := range map[string]func(*standin.Link){"silent": (*standin.Link).Silence, "cut": (*standin.Link).Cut} {
 		t.Run(name, func(t *testing.T) {
 			w := newTestEnv(t, envOptions{gateways: 1, near: 2, far: 2, work: 100 * time.Millisecond, group: "site"})
 			w.registry.Drain("near-0", "near-1")
-			w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Draining == 2 })
+			w.waitFor("the drain to be reported", func() bool { return w.report(0).Sites[0].Draining == 2 })
 			if all := w.runClients(2, 2, "move-submit"); count(all, "far") != len(all) {
-				t.Fatalf("before: %+v", all)
+				t.Fatalf("before the link is lost: %+v", all)
 			}
 			lose(w.link)
 			lost := make(chan []response, 1)
 			go func() { lost <- w.runClients(4, 1, "move-submit") }()
 			w.waitFor("the link to count as down", func() bool { return w.report(0).Sites[1].Link == "down" })
-			for _, a := range <-lost { // called off, not left to hang until the client gives up
+			for _, a := range <-lost { // cancelled early instead of hanging until the client gives up
 				if a.status == http.StatusOK || a.elapsed > 3*time.Second {
-					t.Errorf("over a lost link: %+v", a)
+					t.Errorf("in flight over a lost link: %+v", a)
 				}
 			}
 			w.registry.Put(w.near[0].Instance(w.near[0].Addr()))
 			w.waitFor("a near server", func() bool { return w.report(0).Sites[0].Ready == 1 })
 			if all := w.runClients(2, 5, "move-submit"); count(all, "near") != len(all) {
-				t.Errorf("near requests while the link is lost: %+v", all)
+				t.Errorf("not all served at the near site while the link is lost: %+v", all)
 			}
 			w.registry.Drain("near-0")
 			if err := w.link.Heal(); err != nil {
 				t.Fatal(err)
 			}
 			w.waitFor("the link to be up", func() bool { return w.report(0).Sites[1].Link == "up" })
-			w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Ready == 0 })
+			w.waitFor("the drain to be reported", func() bool { return w.report(0).Sites[0].Ready == 0 })
 			if all := w.runClients(2, 2, "move-submit"); count(all, "far") != len(all) {
-				t.Errorf("after: %+v", all)
+				t.Errorf("after the link is restored: %+v", all)
 			}
 			w.checkInvariants()
 		})
 	}
 }
 
-// A move that may have run at the near site is not run at the far one, neither as a retry nor when its client
-// asks again: nobody there would drop it.
+// A move that may have run at the near site does not run at the far site, neither as a retry nor when its client
+// sends it again, because no server there knows the key and would detect the duplicate.
 func TestMoveInDoubtStaysAtItsSite(t *testing.T) {
 	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 2, work: 300 * time.Millisecond, group: "site"})
 	got := make(chan response, 1)
@@ -333,41 +334,41 @@
 	w.near[0].Crash()
 	w.registry.Drain("near-0")
 	if a := <-got; a.status != http.StatusBadGateway {
-		t.Errorf("in doubt: %+v", a)
+		t.Errorf("a move that may have run: %+v", a)
 	}
 	if a := w.send(0, "move-submit", "doubtful"); a.status == http.StatusOK {
-		t.Errorf("asked again: %+v", a)
+		t.Errorf("the same move sent again: %+v", a)
 	}
 	if a := w.send(0, "move-submit", "another"); a.site() != "far" {
 		t.Errorf("a new move: %+v", a)
 	}
 	for _, a := range w.record.All() {
 		if a.Key == "doubtful" && a.Site == "far" {
-			t.Error("the move in doubt crossed")
+			t.Error("a move that may have run crossed to the far site")
 		}
 	}
 	w.checkInvariants()
 }
 
-// Where its key is known at all sites, such a move crosses.
+// If all sites share the keys, a move that may have run at the near site is retried at the far one.
 func TestMoveInDoubtCrossesWithinItsGroup(t *testing.T) {
 	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 2, work: 300 * time.Millisecond, group: "all"})
 	got := make(chan response, 1)
 	go func() { got <- w.send(0, "move-submit", "doubtful") }()
 	w.waitFor("the move at the near server", func() bool { return len(w.record.All()) == 1 })
 	w.registry.Drain("near-0")
-	w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Draining == 1 })
+	w.waitFor("the drain to be reported", func() bool { return w.report(0).Sites[0].Draining == 1 })
 	w.near[0].Crash()
 	if a := <-got; a.site() != "far" {
 		t.Errorf("%+v", a)
 	}
 }
 
-// Both sites drain at the same moment: each request is refused, early.
+// Both sites drain at the same time: every request is refused early, within 2 s.
 func TestBothSitesDrain(t *testing.T) {
 	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 1, work: 50 * time.Millisecond, group: "site"})
 	w.registry.Drain("near-0", "far-0")
-	w.waitFor("the notice", func() bool {
+	w.waitFor("the drain to be reported", func() bool {
 		r := w.report(0)
 		return r.Sites[0].Draining == 1 && r.Sites[1].Draining == 1
 	})
@@ -377,27 +378,27 @@
 		}
 	}
 	if r := w.report(0).Refused; len(r) != 1 || r[0].Why != "far gone" || r[0].Count != 6 {
-		t.Errorf("counted as %+v", r)
+		t.Errorf("refusals counted as %+v", r)
 	}
 }
 
-// A far site that has just started takes the whole spill of two gateways, and none of its servers falls.
+// A far site that has just started takes the whole overflow of two gateways, and none of its cold servers is overloaded.
 func TestColdFarSiteTakesTheSpill(t *testing.T) {
 	w := newTestEnv(t, envOptions{gateways: 2, near: 2, far: 3, work: 60 * time.Millisecond, group: "site", coldFar: true})
 	w.runClients(8, 4, "table-view")
 	w.registry.Drain("near-0", "near-1")
 	all := w.runClients(24, 6, "table-view")
 	if count(all, "far") == 0 {
-		t.Error("nothing was served far")
+		t.Error("no request was served at the far site")
 	}
 	w.checkInvariants()
 }
 
-// Four gateways ask more of the near site than it can do in time: the excess crosses, nobody is left without an
-// answer, and when the crowd is gone everything is served near again.
+// Four gateways send the near site more than it can serve in time: the excess crosses, every request gets an answer,
+// and once the overload ends everything is served at the near site again.
 func TestOverloadCrossesAndComesBack(t *testing.T) {
 	w := newTestEnv(t, envOptions{gateways: 4, near: 1, far: 3, work: 40 * time.Millisecond, group: "site", queue: 200})
-	all := w.runClients(60, 6, "move-submit") // 60 at once where 2 are done in 40 ms: more than a second's work
+	all := w.runClients(60, 6, "move-submit") // 60 at once, of which two are served in 40 ms: more than a second of work
 	if near, far := count(all, "near"), count(all, "far"); near == 0 || far == 0 {
 		t.Errorf("%d near, %d far", near, far)
 	}
@@ -410,36 +411,36 @@
 		}
 	}
 	if slow < uint64(count(all, "far")) {
-		t.Errorf("%d crossings counted as near too slow, %d served far", slow, count(all, "far"))
+		t.Errorf("%d crossings counted as near too slow, %d requests served at the far site", slow, count(all, "far"))
 	}
 	w.waitFor("the late answers to be forgotten", func() bool {
 		resp := w.send(0, "table-view", "")
 		return resp.site() == "near" && w.report(0).Sites[0].Late < 0.1
 	})
 	if after := w.runClients(4, 6, "table-view"); count(after, "near") < len(after)-1 {
-		t.Errorf("after: %d of %d near", count(after, "near"), len(after))
+		t.Errorf("after the overload: %d of %d served at the near site", count(after, "near"), len(after))
 	}
 	w.checkInvariants()
 }
 
-// The far site drains while it serves for a near one that drains, too, and comes back: what was under way ends
-// with its own answer, what comes meanwhile is refused early, and then served again.
+// The far site drains while it serves in place of a draining near site, and later comes back: requests in flight get
+// their own answers, requests that arrive meanwhile are refused early, and later ones are served again.
 func TestFarDrainsWhileItServes(t *testing.T) {
 	w := newTestEnv(t, envOptions{gateways: 1, near: 1, far: 2, work: 100 * time.Millisecond, group: "site"})
 	w.registry.Drain("near-0")
-	w.waitFor("the notice", func() bool { return w.report(0).Sites[0].Draining == 1 })
+	w.waitFor("the drain to be reported", func() bool { return w.report(0).Sites[0].Draining == 1 })
 	inFlight := make(chan []response, 1)
 	go func() { inFlight <- w.runClients(2, 1, "move-submit") }()
 	w.waitFor("two moves at far servers", func() bool { return len(w.record.All()) == 2 })
 	w.registry.Drain("far-0", "far-1")
 	for _, a := range <-inFlight {
 		if a.site() != "far" {
-			t.Errorf("under way: %+v", a)
+			t.Errorf("in flight when the far site drained: %+v", a)
 		}
 	}
-	w.waitFor("the notice", func() bool { return w.report(0).Sites[1].Draining == 2 })
+	w.waitFor("the drain to be reported", func() bool { return w.report(0).Sites[1].Draining == 2 })
 	if a := w.send(0, "move-submit", ""); a.status != http.StatusServiceUnavailable {
-		t.Errorf("with both drained: %+v", a)
+		t.Errorf("with both sites drained: %+v", a)
 	}
 	address, err := w.link.To(w.far[0].Addr())
 	if err != nil {
@@ -448,7 +449,7 @@
 	w.registry.Put(w.far[0].Instance(address))
 	w.waitFor("a far server", func() bool { return w.report(0).Sites[1].Ready == 1 })
 	if a := w.send(0, "move-submit", ""); a.site() != "far" {
-		t.Errorf("back: %+v", a)
+		t.Errorf("with the far site back: %+v", a)
 	}
 	w.checkInvariants()
 }
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -1,7 +1,7 @@
-// Package management is the operators' front: a second address with four calls, HTTP/1.1, one call per
-// connection. Each answer is due within a second whatever the load, so no handler waits on the core or on
-// another caller: they read atomics or set a flag. A call that carries a lease's token (fence.Header) is turned away
-// with 409 when a later holder has called.
+// Package management serves the operators' calls on an address of their own: HTTP/1.1, one call per connection.
+// It carries out none of them itself: Hooks do. Each answer is due within a second at any load, so no handler waits
+// for the core or for another caller; handlers only read atomics or set a flag. A call that carries a fencing token
+// (fence.Header) is refused with 409 once a later holder of the lease has called.
 package management
 
 import (
@@ -16,29 +16,29 @@
 )
 
 const (
-	headerTimeout  = 500 * time.Millisecond // a caller who sends nothing, or half a head, is let go by then
-	callTimeout    = time.Second            // the whole call, head and body
-	writeTimeout   = time.Second            // a caller who does not read its answer
+	headerTimeout  = 500 * time.Millisecond // for the request header; the connection of a caller that sends less is closed
+	callTimeout    = time.Second            // for the whole request, header and body
+	writeTimeout   = time.Second            // for a caller to read the answer
 	maxHeaderBytes = 8 << 10
 	maxBodyBytes   = 4 << 10
 )
 
-// Hooks are what the calls do; each returns at once.
+// Hooks are the functions behind the calls. None of them may block.
 type Hooks struct {
-	Ready     func() bool           // this process takes clients
-	Telemetry func(*bytes.Buffer)   // the figures
-	Draining  func() map[string]int // work under way at targets that take nothing new; nil: the call is not there
-	Evacuate  func()                // send clients away
-	Rejoin    func()                // back to work
+	Ready     func() bool           // reports whether this process accepts clients
+	Telemetry func(*bytes.Buffer)   // writes the metrics
+	Draining  func() map[string]int // attempts in flight at each draining target; nil: the call does not exist
+	Evacuate  func()                // makes clients leave for another gateway
+	Rejoin    func()                // accepts clients again
 }
 
-// Server serves the calls.
+// Server is the HTTP server of the management address.
 type Server struct{ http *http.Server }
 
-// New serves h.
+// New returns a server for the calls of h.
 func New(h Hooks, log *slog.Logger) *Server {
 	mux := http.NewServeMux()
-	gate, _ := fence.Open("") // as lasting as what the calls set: it ends with the process
+	gate, _ := fence.Open("") // kept in memory: the state that the calls set ends with the process, too
 	Calls(mux, h, log)
 	guarded := gate.Guard(mux)
 	s := &http.Server{
@@ -54,7 +54,7 @@
 	return &Server{http: s}
 }
 
-// Calls adds the calls to a handler.
+// Calls registers the calls with mux.
 func Calls(mux *http.ServeMux, h Hooks, log *slog.Logger) {
 	mux.HandleFunc("GET /api/ready", func(w http.ResponseWriter, r *http.Request) {
 		if !h.Ready() {
@@ -64,7 +64,7 @@
 		w.Write([]byte("ready\n"))
 	})
 	mux.HandleFunc("GET /api/telemetry", func(w http.ResponseWriter, r *http.Request) {
-		var b bytes.Buffer // written whole, so that a slow reader holds no figure back
+		var b bytes.Buffer // completed before it is sent, so that a slow reader does not delay the reading of the metrics
 		h.Telemetry(&b)
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Write(b.Bytes())
@@ -88,7 +88,7 @@
 	})
 }
 
-// Serve takes calls on l until Close.
+// Serve accepts calls on l until Close.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.http.Serve(l); err != http.ErrServerClosed {
 		return err
@@ -96,5 +96,5 @@
 	return nil
 }
 
-// Close ends the server and every call on it.
+// Close stops the server and closes all of its connections.
 func (s *Server) Close() error { return s.http.Close() }
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -46,7 +46,7 @@
 	return resp, string(body)
 }
 
-// The four calls do what they say; another path or method is turned down; each connection takes one call.
+// Each of the four calls has its effect, other paths and methods are refused, and a connection serves one call.
 func TestCalls(t *testing.T) {
 	var ready, evacuated atomic.Bool
 	address := serve(t, Hooks{
@@ -56,11 +56,11 @@
 		Rejoin:    func() { evacuated.Store(false) },
 	})
 	if resp, _ := send(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 503 {
-		t.Errorf("not ready, and said %d", resp.StatusCode)
+		t.Errorf("ready, while the process is not ready: status %d, want 503", resp.StatusCode)
 	}
 	ready.Store(true)
 	if resp, _ := send(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("ready, and said %d (close %v)", resp.StatusCode, resp.Close)
+		t.Errorf("ready, while the process is ready: status %d, connection closed %v", resp.StatusCode, resp.Close)
 	}
 	if resp, body := send(t, address, "GET /api/telemetry HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || body != "svc.concurrent:3|g\n" {
 		t.Errorf("telemetry: %d %q", resp.StatusCode, body)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Callers that send nothing, or half a call, and stay, hold up neither each other nor the next caller, and are
-// let go well before they would leave by themselves.
+// Callers that send nothing or half a request and stay connected delay neither each other nor the next caller, and
+// the server closes their connections in less than 4 s.
 func TestSlowCallersHoldNobody(t *testing.T) {
 	address := serve(t, Hooks{Ready: func() bool { return true }})
 	var slow []net.Conn
@@ -102,13 +102,13 @@
 	}
 	asked := time.Now()
 	if resp, _ := send(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 {
-		t.Errorf("beside slow callers: %d", resp.StatusCode)
+		t.Errorf("ready, with 40 slow callers connected: status %d, want 200", resp.StatusCode)
 	}
 	for _, c := range slow {
 		c.SetReadDeadline(asked.Add(4 * time.Second))
 		if _, err := io.Copy(io.Discard, c); err != nil {
 			if e, ok := err.(net.Error); ok && e.Timeout() {
-				t.Fatal("a slow caller is held for 4 s")
+				t.Fatal("the connection of a slow caller is still open after 4 s")
 			}
 		}
 	}
--- a/internal/operations/config.go
+++ b/internal/operations/config.go
@@ -12,19 +12,19 @@
 	"junctionring/versions"
 )
 
-const pushTimeout = 30 * time.Second // for the answer to a version that was pushed
+const pushTimeout = 30 * time.Second // for the outcome of a pushed version
 
-// Config is what the status says of versions.
+// Config is the state of the configuration versions.
 type Config struct {
-	Version      int64     `json:"version"` // in force; 0: the file
+	Version      int64     `json:"version"` // the version in force; 0: the file
 	Age          float64   `json:"age_s"`
 	Pinned       bool      `json:"pinned"`
 	InProgress   int64     `json:"on_its_way,omitempty"`
-	LastRejected *History  `json:"turned_down,omitempty"` // the last
+	LastRejected *History  `json:"turned_down,omitempty"` // the last one
 	History      []History `json:"history"`
 }
 
-// History is a line of the history.
+// History is one version in the history.
 type History struct {
 	Version int64  `json:"version"`
 	State   string `json:"state"`
@@ -55,12 +55,13 @@
 	return c
 }
 
-// configCalls answers the calls for versions.
+// configHandlers handles the calls for configuration versions.
 type configHandlers struct {
 	manager *configuration.Manager
 }
 
-// serveConfig adds the calls for versions: GET /config and /config/document, POST /config, /config/pin, /config/unpin.
+// registerConfig registers the calls for configuration versions: GET /config and /config/document, and POST /config,
+// /config/pin and /config/unpin.
 func registerConfig(mux *http.ServeMux, manager *configuration.Manager) {
 	c := configHandlers{manager}
 	mux.HandleFunc("GET /config", func(w http.ResponseWriter, _ *http.Request) { c.writeStatus(w) })
@@ -103,7 +104,7 @@
 	w.Write(text)
 }
 
-// push offers the version that a request brings, and writes the status once it is in force.
+// servePush offers the version in the request to the manager, and writes the status once the version is in force.
 func (c configHandlers) servePush(w http.ResponseWriter, r *http.Request) {
 	offer, code, err := readOffer(w, r)
 	if err != nil {
@@ -133,13 +134,13 @@
 	}
 }
 
-// readOffer reads the version that a request brings. code is the status that an error is answered with.
+// readOffer reads the version in the request. If err is set, code is the HTTP status to answer with.
 func readOffer(w http.ResponseWriter, r *http.Request) (offer configuration.Offer, code int, err error) {
 	offer.Source, offer.Rollback = versions.FromOperator, r.FormValue("rollback") == "true"
 	if offer.Number, err = strconv.ParseInt(r.FormValue("version"), 10, 64); err != nil {
 		return offer, http.StatusBadRequest, fmt.Errorf("version: %q is no number", r.FormValue("version"))
 	}
-	// One byte more than is allowed is read, so that too long a document is told from one that is cut.
+	// One byte above the limit is read, to tell a document that is too long from one that is truncated.
 	offer.Content, err = io.ReadAll(http.MaxBytesReader(w, r.Body, configuration.MaxDocument+1))
 	if err != nil {
 		return offer, http.StatusRequestEntityTooLarge, err
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -1,6 +1,6 @@
-// Package operations is the listener for operators: what the gateway knows and counts, as JSON. It owns the
-// words under which that is shown, and the calls by which they set versions; what is
-// done about those is decided elsewhere.
+// Package operations is the HTTP handler for operators: it shows the state of the gateway as JSON and takes
+// configuration versions. It defines the field names of that JSON and the calls, but does not decide what is done with
+// a version: package configuration does.
 package operations
 
 import (
@@ -19,12 +19,12 @@
 type Status struct {
 	Ordinal  int           `json:"ordinal"`
 	Gateways int           `json:"gateways"`
-	Classes  []string      `json:"classes"` // by the numbers used below
+	Classes  []string      `json:"classes"` // by the class numbers that Sites uses
 	Sites    *sites.Report `json:"sites,omitempty"`
 	Config   *Config       `json:"config,omitempty"`
 }
 
-// New is the handler of the listener. It has the calls of package management too.
+// New returns the handler, which also serves the calls of package management.
 func New(o *config.Operator, c *core.Core, manager *configuration.Manager, hooks management.Hooks, log *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/retune/retune.go
+++ b/internal/retune/retune.go
@@ -1,29 +1,29 @@
-// Package retune decides how settings that come with SIGHUP take the place of those in force: which numbers
-// classes and plans keep, which are new, and which are no longer named. It is pure: no I/O, no clock.
+// Package retune assigns numbers to classes and plans when SIGHUP replaces the settings in force: it decides which
+// numbers stay, which are new and which are no longer active. It does no I/O and reads no clock.
 //
-// A number once given keeps its meaning for as long as the process runs, since requests that are held were
-// decided under it and end under it. A class whose rules change gets a new number, starting from what was
-// learned under the old one; a class that is dropped keeps its number, but no new request may name it.
+// A number keeps its meaning for as long as the process runs, because requests in progress were admitted under it
+// and finish under it. A class whose rules change gets a new number, which starts with the times learned under the
+// old one. A class that is removed keeps its number, but new requests may not name it.
 package retune
 
 import "junctionring/control"
 
-// Table is the classes and plans by number, and whether the settings in force still name each.
+// Table holds the classes and plans by number, and whether the settings in force still contain each.
 type Table struct {
 	Classes   []Entry[control.Class]
 	Plans     []Entry[control.Plan]
-	Attempts  int // the settings' MaxAttempts in force
-	Reconfigs int // how many settings were taken after the first
+	Attempts  int // MaxAttempts of the settings in force
+	Reconfigs int // number of times that settings were replaced
 }
 
-// Entry is one number's.
+// Entry is the class or plan of one number.
 type Entry[T comparable] struct {
 	Name   string
 	Rules  T
-	Active bool // by the settings in force: new requests may name it
+	Active bool // contained in the settings in force, so that new requests may name it
 }
 
-// Start is the table of the settings at the start.
+// Start returns the table for the settings that the process starts with.
 func Start(classNames []string, classes []control.Class, planNames []string, plans []control.Plan, attempts int) Table {
 	var t Table
 	for i, c := range classes {
@@ -36,8 +36,8 @@
 	return t
 }
 
-// Next is the table once new settings are taken, and for each class number the one whose learned times it
-// begins with (itself where it goes on, -1 for none), as control.Reconfigured wants it.
+// Next returns the table for new settings and, for each class number, the class number whose learned times it
+// starts with: itself if it stays, -1 for none, as control.Reconfigured.From expects.
 func (t Table) Next(classNames []string, classes []control.Class, planNames []string, plans []control.Plan, attempts int) (Table, []int) {
 	next := Table{Attempts: attempts, Reconfigs: t.Reconfigs + 1}
 	next.Classes, next.Plans = renumber(t.Classes, classNames, classes), renumber(t.Plans, planNames, plans)
@@ -51,8 +51,8 @@
 	return next, from
 }
 
-// renumber keeps the number of each name whose rules stay, gives a new one where they change or the name is
-// new, and marks every name that is not given as no longer named.
+// renumber keeps the number of each name whose rules are unchanged, adds a number for each name that is new or
+// whose rules changed, and marks all other numbers as inactive.
 func renumber[T comparable](old []Entry[T], names []string, rules []T) []Entry[T] {
 	out := append([]Entry[T](nil), old...)
 	for i := range out {
@@ -68,7 +68,7 @@
 	return out
 }
 
-// latest is the highest number that bears the name, or -1.
+// lastIndex returns the highest number with the given name, or -1.
 func lastIndex[T comparable](entries []Entry[T], name string) int {
 	for i := len(entries) - 1; i >= 0; i-- {
 		if entries[i].Name == name {
@@ -78,7 +78,7 @@
 	return -1
 }
 
-// Names are the names of the numbers that new requests may name, "" for the others, by number.
+// Names returns by number the names that new requests may use; an inactive number has "".
 func Names[T comparable](entries []Entry[T]) []string {
 	out := make([]string, len(entries))
 	for i, e := range entries {
@@ -89,7 +89,8 @@
 	return out
 }
 
-// AllNames are the names of all numbers, named or not: figures count a dropped class's held requests under its name.
+// AllNames returns the names of all numbers, also the inactive ones: the metrics count the requests that a removed
+// class still has in progress under its name.
 func AllNames[T comparable](entries []Entry[T]) []string {
 	out := make([]string, len(entries))
 	for i, e := range entries {
@@ -98,7 +99,7 @@
 	return out
 }
 
-// Rules are the rules by number.
+// Rules returns the rules by number.
 func Rules[T comparable](entries []Entry[T]) []T {
 	out := make([]T, len(entries))
 	for i, e := range entries {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package telemetry holds the figures that operators fetch: counts by class of the answers given and the
-// attempts written, and gauges of what is held now. Each is an atomic written where its event happens, never
-// estimated; all start at 0 with the process.
+// Package telemetry holds the metrics that operators fetch: counters by class of the answers given and the
+// attempts written, and gauges of the current state. It estimates nothing and stores nothing: each metric is an
+// atomic that is updated where its event happens, and all of them start at 0 with the process.
 package telemetry
 
 import (
@@ -10,39 +10,40 @@
 	"sync/atomic"
 )
 
-// Counts are one class's.
+// Counts are the counters of one class.
 type Counts struct {
-	Success    atomic.Int64 // served: a target's 200
-	Late       atomic.Int64 // of those, after the class's aim
-	Overload   atomic.Int64 // refused: shed or beyond the quota
-	Error      atomic.Int64 // failed
-	Dispatches atomic.Int64 // attempts written whole to a target
+	Success    atomic.Int64 // requests served: a target answered 200
+	Late       atomic.Int64 // of those, the ones that took longer than the class's aim
+	Overload   atomic.Int64 // requests refused: shed, or above the customer's quota
+	Error      atomic.Int64 // requests that failed
+	Dispatches atomic.Int64 // attempts written completely to a target
 }
 
-// Figures are a gateway's.
+// Figures are the metrics of one gateway.
 type Figures struct {
-	Concurrent    atomic.Int64 // requests taken and not yet ended
-	Targets       atomic.Int64 // in the route table
-	Disabled      atomic.Int64 // of those, avoided now
+	Concurrent    atomic.Int64 // requests accepted and not yet finished
+	Targets       atomic.Int64 // targets in the route table
+	Disabled      atomic.Int64 // of those, the ones that are avoided at present
 	ReloadSuccess atomic.Int64
 	ReloadFailure atomic.Int64
-	Unread        func() int64                   // answers cut since their clients did not read them; nil: none are counted
-	Draining      atomic.Pointer[map[string]int] // attempts out at each target that takes nothing new; nil: none does so
-	Prefix        string                         // of every name
+	Unread        func() int64                   // answers cut off because their clients did not read them; nil: not counted
+	Draining      atomic.Pointer[map[string]int] // attempts in flight at each draining target; nil: no target is draining
+	Prefix        string                         // of every metric name
 	mu            sync.Mutex
-	names         []string           // in the order written: each class once, dropped ones too
-	byName        map[string]*Counts // never removed: a count runs from the start
-	byIndex       atomic.Pointer[[]*Counts]
+	names         []string                  // of the classes in output order, each once, including removed classes
+	byName        map[string]*Counts        // entries are never removed, since a counter runs from the start of the process
+	byIndex       atomic.Pointer[[]*Counts] // by class number in the settings in force
 }
 
-// New has no classes yet; prefix "svc" gives "svc.replies.C.success".
+// New returns metrics without classes. With the prefix "svc", a counter of class C is "svc.replies.C.success".
 func New(prefix string) *Figures {
 	f := &Figures{Prefix: prefix, byName: map[string]*Counts{}}
 	f.byIndex.Store(&[]*Counts{})
 	return f
 }
 
-// SetClasses names the classes by their number in the settings in force. A name seen before keeps its counts.
+// SetClasses sets the names of the classes by their number in the settings in force. A name that was set before keeps
+// its counters.
 func (f *Figures) SetClasses(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,8 +60,8 @@
 	f.byIndex.Store(&index)
 }
 
-// Class is the counts of the class numbered so in the settings in force, or nil for a number out of range:
-// counting into nothing is safe.
+// Class returns the counters of class number i in the settings in force, or nil if i is out of range or f is nil.
+// Callers check for nil before they count.
 func (f *Figures) Class(i int) *Counts {
 	if f == nil {
 		return nil
@@ -72,7 +73,7 @@
 	return index[i]
 }
 
-// WriteTo writes the figures in statsd's form, a line each.
+// WriteTo writes the metrics in the statsd format, one a line.
 func (f *Figures) WriteTo(w io.Writer) (int64, error) {
 	f.mu.Lock()
 	names := append([]string(nil), f.names...)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// Every figure is written from 0; a class keeps its counts under its name when numbers change, also when it is
-// no longer named; a number out of range counts into nothing.
+// Every metric is written, starting at 0. A class keeps its counters under its name when class numbers change and
+// also when the class is removed. A class number out of range has no counters.
 func TestFiguresKeepTheirNames(t *testing.T) {
 	f := New("svc")
 	f.SetClasses([]string{"view", "move"})
 	f.Class(1).Success.Add(3)
 	f.Class(0).Dispatches.Add(2)
-	f.SetClasses([]string{"view", "move", "view-ii", "move"}) // move changed its rules: a second number, one name
+	f.SetClasses([]string{"view", "move", "view-ii", "move"}) // the rules of move changed: it has two numbers and one name
 	f.Class(3).Success.Add(1)
 	f.Class(2).Overload.Add(1)
 	if f.Class(9) != nil || f.Class(-1) != nil {
-		t.Error("a number out of range has counts")
+		t.Error("a class number out of range has counters")
 	}
-	f.Concurrent.Add(-1) // a moment's skew between taking and ending is never written below 0
+	f.Concurrent.Add(-1) // an end may be counted before its start; the gauge is never written below 0
 	f.ReloadFailure.Add(1)
 	f.Unread = func() int64 { return 2 }
 	var b bytes.Buffer
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -1,5 +1,5 @@
-// Package wire hosts instances of the decision module on the bench's wire.
-// It turns lines into events and actions into lines, and decides nothing.
+// Package wire runs instances of the decision module for the simulator, which talks to it over a line protocol.
+// It decodes messages into events and encodes actions as messages, and makes no decisions of its own.
 package wire
 
 import (
@@ -15,7 +15,7 @@
 	"junctionring/internal/config"
 )
 
-// The words of the wire and what they stand for.
+// The protocol's words and codes, and the values that they stand for.
 var (
 	listKinds = map[string]control.MembersKind{
 		"diff": control.Delta, "snapshot": control.Snapshot, "disk": control.Cached, "error": control.Failed,
@@ -29,8 +29,8 @@
 	}
 )
 
-// host holds the instances of one process. They share nothing but the
-// server lists that the wire sends once for all.
+// host holds the instances of one process. They share only the server lists, which the simulator sends once for all
+// instances.
 type host struct {
 	now      control.Seconds
 	inBatch  bool
@@ -41,8 +41,8 @@
 	out      []byte
 }
 
-// Serve answers batches from r on w until r ends. An error names the line
-// that could not be read.
+// Serve reads batches from r and writes the replies to w until r ends. An error names the line that could not be
+// read.
 func Serve(r io.Reader, w io.Writer) error {
 	h := &host{gateways: map[int]*control.Gateway{}, lists: map[int][]control.Member{}}
 	in := bufio.NewReaderSize(r, 1<<20)
@@ -72,7 +72,7 @@
 	}
 }
 
-// fields reads the values of one message in turn. The first fault sticks.
+// fields reads the values of one message in order. It keeps the first error.
 type fields struct {
 	name   string
 	values []json.RawMessage
@@ -92,7 +92,7 @@
 	return f, f.err
 }
 
-// read fills into from the next value; null and absent leave it alone.
+// read decodes the next value into the given variable, which stays as it is if the value is null or absent.
 func (f *fields) read(into any, what string) {
 	i := f.next
 	f.next++
@@ -104,7 +104,7 @@
 	}
 }
 
-// need is read for a value that must be there.
+// require is read for a value that must be present.
 func (f *fields) require(into any, what string) {
 	if f.err == nil && (f.next >= len(f.values) || string(f.values[f.next]) == "null") {
 		f.err = fmt.Errorf("%s: %s is missing", f.name, what)
@@ -125,7 +125,7 @@
 	return s
 }
 
-// line takes one line in and tells whether a reply is ready.
+// handleLine processes one line and reports whether a reply is ready.
 func (h *host) handleLine(text []byte) (done bool, err error) {
 	f, err := parse(text)
 	if err != nil {
@@ -182,7 +182,7 @@
 	return false, nil
 }
 
-// guard reports a panic of the decisions as the wire wants it told.
+// reportPanic calls decide and reports a panic of the decision module as a Bug message.
 func (h *host) reportPanic(instance int, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -243,7 +243,7 @@
 	return f.err
 }
 
-// event reads the rest of a message as an event of the module.
+// event decodes the rest of a message into an event for the decision module.
 func (h *host) event(f *fields) (control.Event, error) {
 	var ev control.Event
 	switch f.name {
@@ -335,7 +335,7 @@
 	return ev, f.err
 }
 
-// action writes one action of instance who.
+// writeAction writes one action of an instance.
 func (h *host) writeAction(instance int, a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
@@ -379,7 +379,7 @@
 	}
 }
 
-// put begins a message; vals writes its values and ends it.
+// beginMessage writes the start of a message; endMessage writes its values and its end.
 func (h *host) beginMessage(name string) {
 	h.out = append(h.out, '[', '"')
 	h.out = append(h.out, name...)
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -15,7 +15,7 @@
 	`"Domain":{"MayCount":true,"CountLimit":0.05},"LoadInfo":{"Fields":["q"],"Via":"answers"},` +
 	`"Guarantees":{"ColdFrom":0.2,"RampTime":5,"OverloadFactor":2,"OverloadFor":1}}`
 
-// opening configures instance 7 and gives it one server.
+// setupBatch returns a batch that configures instance 7 and gives it one server.
 func setupBatch() string {
 	return `["Clock",5,1]` + "\n" +
 		`["Configure",7,99,` + setupJSON + "]\n" +
@@ -42,14 +42,14 @@
 	}
 	for turn := 1; turn <= 5; turn++ {
 		if n := strings.Count(out, fmt.Sprintf("[\"Finished\",%d]\n", turn)); n != 1 {
-			t.Errorf("batch %d was finished %d times:\n%s", turn, n, out)
+			t.Errorf("batch %d was finished %d times, want once:\n%s", turn, n, out)
 		}
 	}
 	if !strings.Contains(out, `["Try",7,11,"worker-a",`) {
-		t.Errorf("the request was not sent on:\n%s", out)
+		t.Errorf("no attempt was sent for the request:\n%s", out)
 	}
 	if !strings.Contains(out, `["AddTo",7,`) {
-		t.Errorf("the counter was not asked:\n%s", out)
+		t.Errorf("nothing was added to the counter:\n%s", out)
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 }
 
-// Instances share nothing: what one is told must not change what another does.
+// Instances are independent: messages to one instance must not change the actions of another.
 func TestInstancesShareNothing(t *testing.T) {
 	requests := func(who int) string {
 		var b strings.Builder
@@ -129,7 +129,7 @@
 		}
 	}
 	if got := strings.Join(fromFirst, "") + "[\"Finished\",1]\n"; got != alone {
-		t.Errorf("instance 1 acted differently beside another:\nalone:\n%s\nbeside:\n%s", alone, got)
+		t.Errorf("instance 1 acts differently if there is a second instance:\nalone:\n%s\nwith the second:\n%s", alone, got)
 	}
 }
 
@@ -139,13 +139,13 @@
 	f.Add("[\"Clock\",1e300,1]\n[\"Commit\"]\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		var out bytes.Buffer
-		err := Serve(strings.NewReader(in), &out) // must return, never panic
+		err := Serve(strings.NewReader(in), &out) // must not panic
 		if err == nil && strings.Count(out.String(), `["Finished"`) != strings.Count(out.String(), "\n[\"Finished\"")+
 			boolInt(strings.HasPrefix(out.String(), `["Finished"`)) {
-			t.Errorf("a reply does not stand on a line of its own:\n%s", out.String())
+			t.Errorf("a reply is not on a line of its own:\n%s", out.String())
 		}
 		if strings.Contains(out.String(), `["Bug"`) {
-			t.Errorf("the decisions panicked:\n%s", out.String())
+			t.Errorf("the decision module panicked:\n%s", out.String())
 		}
 	})
 }
