--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -153,7 +153,7 @@
 	}
 	var concurrent *atomic.Int64
 	if metrics != nil {
-		metrics.Classes([]string{"table-view", "move-submit"})
+		metrics.SetClasses([]string{"table-view", "move-submit"})
 		c.SetMetrics(metrics)
 		concurrent = &metrics.Concurrent
 	}
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -25,7 +25,7 @@
 	return l.Addr().String()
 }
 
-func call(t *testing.T, address, message string) (*http.Response, string) {
+func send(t *testing.T, address, message string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return resp, string(body)
 }
 
-// The four calls do what they say; another path or method is turned down; each connection takes one call.
+// Each of the four calls has its effect, other paths and methods are refused, and a connection serves one call.
 func TestCalls(t *testing.T) {
 	var ready, evacuated atomic.Bool
 	address := serve(t, Hooks{
@@ -55,20 +55,20 @@
 		Evacuate:  func() { evacuated.Store(true) },
 		Rejoin:    func() { evacuated.Store(false) },
 	})
-	if resp, _ := call(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 503 {
-		t.Errorf("not ready, and said %d", resp.StatusCode)
+	if resp, _ := send(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 503 {
+		t.Errorf("ready, while the process is not ready: status %d, want 503", resp.StatusCode)
 	}
 	ready.Store(true)
-	if resp, _ := call(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("ready, and said %d (close %v)", resp.StatusCode, resp.Close)
+	if resp, _ := send(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("ready, while the process is ready: status %d, connection closed %v", resp.StatusCode, resp.Close)
 	}
-	if resp, body := call(t, address, "GET /api/telemetry HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || body != "svc.concurrent:3|g\n" {
+	if resp, body := send(t, address, "GET /api/telemetry HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || body != "svc.concurrent:3|g\n" {
 		t.Errorf("telemetry: %d %q", resp.StatusCode, body)
 	}
-	if resp, _ := call(t, address, "PUT /api/evacuate HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n"); resp.StatusCode != 200 || !evacuated.Load() {
+	if resp, _ := send(t, address, "PUT /api/evacuate HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n"); resp.StatusCode != 200 || !evacuated.Load() {
 		t.Errorf("evacuate: %d, evacuated %v", resp.StatusCode, evacuated.Load())
 	}
-	if resp, _ := call(t, address, "PUT /api/rejoin HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || evacuated.Load() {
+	if resp, _ := send(t, address, "PUT /api/rejoin HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 || evacuated.Load() {
 		t.Errorf("rejoin: %d, evacuated %v", resp.StatusCode, evacuated.Load())
 	}
 	for message, want := range map[string]int{
@@ -78,14 +78,14 @@
 		"GET /health/ready HTTP/1.1\r\nHost: m\r\n\r\n":  404,
 		"PUT /api/rejoin HTTP/1.1\r\nHost: m\r\n\r\nxyz": 200,
 	} {
-		if resp, _ := call(t, address, message); resp.StatusCode != want {
+		if resp, _ := send(t, address, message); resp.StatusCode != want {
 			t.Errorf("%q: %d, want %d", strings.SplitN(message, "\r\n", 2)[0], resp.StatusCode, want)
 		}
 	}
 }
 
-// Callers that send nothing, or half a call, and stay, hold up neither each other nor the next caller, and are
-// let go well before they would leave by themselves.
+// Callers that send nothing or half a request and stay connected delay neither each other nor the next caller, and
+// the server closes their connections in less than 4 s.
 func TestSlowCallersHoldNobody(t *testing.T) {
 	address := serve(t, Hooks{Ready: func() bool { return true }})
 	var slow []net.Conn
@@ -101,14 +101,14 @@
 		slow = append(slow, c)
 	}
 	asked := time.Now()
-	if resp, _ := call(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 {
-		t.Errorf("beside slow callers: %d", resp.StatusCode)
+	if resp, _ := send(t, address, "GET /api/ready HTTP/1.1\r\nHost: m\r\n\r\n"); resp.StatusCode != 200 {
+		t.Errorf("ready, with 40 slow callers connected: status %d, want 200", resp.StatusCode)
 	}
 	for _, c := range slow {
 		c.SetReadDeadline(asked.Add(4 * time.Second))
 		if _, err := io.Copy(io.Discard, c); err != nil {
 			if e, ok := err.(net.Error); ok && e.Timeout() {
-				t.Fatal("a slow caller is held for 4 s")
+				t.Fatal("the connection of a slow caller is still open after 4 s")
 			}
 		}
 	}
--- a/internal/operations/config.go
+++ b/internal/operations/config.go
@@ -12,27 +12,27 @@
 	"junctionring/versions"
 )
 
-const pushWait = 30 * time.Second // for the answer to a version that was pushed
+const pushTimeout = 30 * time.Second // for the outcome of a pushed version
 
-// Config is what the status says of versions.
+// Config is the state of the configuration versions.
 type Config struct {
-	Version  int64     `json:"version"` // in force; 0: the file
-	Age      float64   `json:"age_s"`
-	Pinned   bool      `json:"pinned"`
-	OnItsWay int64     `json:"on_its_way,omitempty"`
-	Down     *History  `json:"turned_down,omitempty"` // the last
-	History  []History `json:"history"`
+	Version      int64     `json:"version"` // the version in force; 0: the file
+	Age          float64   `json:"age_s"`
+	Pinned       bool      `json:"pinned"`
+	InProgress   int64     `json:"on_its_way,omitempty"`
+	LastRejected *History  `json:"turned_down,omitempty"` // the last one
+	History      []History `json:"history"`
 }
 
-// History is a line of the history.
+// History is one version in the history.
 type History struct {
 	Version int64  `json:"version"`
 	State   string `json:"state"`
-	Why     string `json:"why,omitempty"`
+	Reason  string `json:"why,omitempty"`
 	Source  string `json:"source"`
 }
 
-func historyOf(e versions.Entry) History {
+func historyFromEntry(e versions.Entry) History {
 	source := fmt.Sprintf("control service %d", e.Source)
 	switch e.Source {
 	case versions.FromOperator:
@@ -40,32 +40,33 @@
 	case versions.FromDisk:
 		source = "disk"
 	}
-	return History{Version: e.Number, State: e.State.String(), Why: e.Reason, Source: source}
+	return History{Version: e.Number, State: e.State.String(), Reason: e.Reason, Source: source}
 }
 
-func configOf(s configuration.Status) *Config {
-	c := &Config{Version: s.InForce.Number, Age: s.Age.Seconds(), Pinned: s.Pinned, OnItsWay: s.InProgress}
+func configFromStatus(s configuration.Status) *Config {
+	c := &Config{Version: s.InForce.Number, Age: s.Age.Seconds(), Pinned: s.Pinned, InProgress: s.InProgress}
 	if s.LastRejected.Reason != "" {
-		h := historyOf(s.LastRejected)
-		c.Down = &h
+		h := historyFromEntry(s.LastRejected)
+		c.LastRejected = &h
 	}
 	for _, e := range s.History {
-		c.History = append(c.History, historyOf(e))
+		c.History = append(c.History, historyFromEntry(e))
 	}
 	return c
 }
 
-// configCalls answers the calls for versions.
-type configCalls struct {
+// configHandlers handles the calls for configuration versions.
+type configHandlers struct {
 	manager *configuration.Manager
 }
 
-// serveConfig adds the calls for versions: GET /config and /config/document, POST /config, /config/pin, /config/unpin.
-func serveConfig(mux *http.ServeMux, manager *configuration.Manager) {
-	c := configCalls{manager}
+// registerConfig registers the calls for configuration versions: GET /config and /config/document, and POST /config,
+// /config/pin and /config/unpin.
+func registerConfig(mux *http.ServeMux, manager *configuration.Manager) {
+	c := configHandlers{manager}
 	mux.HandleFunc("GET /config", func(w http.ResponseWriter, _ *http.Request) { c.writeStatus(w) })
-	mux.HandleFunc("GET /config/document", c.document)
-	mux.HandleFunc("POST /config", c.push)
+	mux.HandleFunc("GET /config/document", c.serveDocument)
+	mux.HandleFunc("POST /config", c.servePush)
 	for path, pinned := range map[string]bool{"POST /config/pin": true, "POST /config/unpin": false} {
 		mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
 			manager.Pin(pinned)
@@ -74,7 +75,7 @@
 	}
 }
 
-func (c configCalls) writeStatus(w http.ResponseWriter) {
+func (c configHandlers) writeStatus(w http.ResponseWriter) {
 	status, ok := c.manager.Status()
 	if !ok {
 		http.Error(w, "the gateway is ending", http.StatusServiceUnavailable)
@@ -83,10 +84,10 @@
 	w.Header().Set("Content-Type", "application/json")
 	out := json.NewEncoder(w)
 	out.SetIndent("", "  ")
-	out.Encode(configOf(status))
+	out.Encode(configFromStatus(status))
 }
 
-func (c configCalls) document(w http.ResponseWriter, r *http.Request) {
+func (c configHandlers) serveDocument(w http.ResponseWriter, r *http.Request) {
 	number := int64(-1)
 	if text := r.FormValue("version"); text != "" {
 		var err error
@@ -103,8 +104,8 @@
 	w.Write(text)
 }
 
-// push offers the version that a request brings, and writes the status once it is in force.
-func (c configCalls) push(w http.ResponseWriter, r *http.Request) {
+// servePush offers the version in the request to the manager, and writes the status once the version is in force.
+func (c configHandlers) servePush(w http.ResponseWriter, r *http.Request) {
 	offer, code, err := readOffer(w, r)
 	if err != nil {
 		http.Error(w, err.Error(), code)
@@ -118,7 +119,7 @@
 		}
 	}
 	c.manager.Offer(offer)
-	wait := time.NewTimer(pushWait)
+	wait := time.NewTimer(pushTimeout)
 	defer wait.Stop()
 	select {
 	case reason := <-answer:
@@ -133,13 +134,13 @@
 	}
 }
 
-// readOffer reads the version that a request brings. code is the status that an error is answered with.
+// readOffer reads the version in the request. If err is set, code is the HTTP status to answer with.
 func readOffer(w http.ResponseWriter, r *http.Request) (offer configuration.Offer, code int, err error) {
 	offer.Source, offer.Rollback = versions.FromOperator, r.FormValue("rollback") == "true"
 	if offer.Number, err = strconv.ParseInt(r.FormValue("version"), 10, 64); err != nil {
 		return offer, http.StatusBadRequest, fmt.Errorf("version: %q is no number", r.FormValue("version"))
 	}
-	// One byte more than is allowed is read, so that too long a document is told from one that is cut.
+	// One byte above the limit is read, to tell a document that is too long from one that is truncated.
 	offer.Content, err = io.ReadAll(http.MaxBytesReader(w, r.Body, configuration.MaxDocument+1))
 	if err != nil {
 		return offer, http.StatusRequestEntityTooLarge, err
