--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,16 +21,16 @@
 	Units         float64
 	Spread, First int
 	Repeat        bool
-	DecisionOnly  bool      // only the decision is wanted; nothing is sent to a target
+	VerdictOnly   bool      // only the decision is wanted; nothing is sent to a target
 	Deadline      time.Time // the client waits for an answer until then
 	Pinned        bool      // a request with its key may have run at PinnedSite; no other site knows the key
 	PinnedSite    int
 	Payload       any // the request for egress to send; opaque to the core
 
-	// Arriving: the body is still being received and is forwarded as it arrives. ResponseTimeout is how long the client
+	// BodyIncoming: the body is still being received and is forwarded as it arrives. ResponseTimeout is how long the client
 	// waits for an answer after the last byte of the body, and Deadline is the time until which the body may arrive.
 	// BodyConsumed reports whether a part of the body was forwarded, which cannot be sent again.
-	Arriving        bool
+	BodyIncoming    bool
 	ResponseTimeout time.Duration
 	BodyConsumed    func() bool
 }
@@ -43,7 +43,7 @@
 	Failed  Kind = iota // no statement on whether the request ran
 	Refused             // shed or over quota: a retry is harmless
 	Served
-	Allowed    // the decision to admit an exchange with DecisionOnly
+	Allowed    // the decision to admit an exchange with VerdictOnly
 	ClientGone // the client disconnected; nobody reads the answer
 )
 
@@ -455,8 +455,8 @@
 		c.handleEvent(control.ClientGone{ID: m.h.id})
 		c.removeIfDone(m.h)
 	case bodySent:
-		if h := m.h; h.Arriving && !h.answered {
-			h.Arriving, h.Deadline = false, time.Now().Add(h.ResponseTimeout)
+		if h := m.h; h.BodyIncoming && !h.answered {
+			h.BodyIncoming, h.Deadline = false, time.Now().Add(h.ResponseTimeout)
 			h.overdueTimer.Reset(h.ResponseTimeout + overdueGrace)
 			c.handleEvent(control.BodyReceived{ID: h.id})
 		}
@@ -516,13 +516,13 @@
 	c.held[h.id] = h
 	h.overdueTimer = time.AfterFunc(remaining+overdueGrace, func() { c.post(deadlinePassed{h}) })
 	h.receivedAt = time.Now()
-	if h.Arriving {
+	if h.BodyIncoming {
 		remaining = h.ResponseTimeout
 	}
 	c.handleEvent(control.Request{
-		BodyIncoming: h.Arriving, Reach: c.route(h, remaining),
+		BodyIncoming: h.BodyIncoming, Reach: c.route(h, remaining),
 		ID: h.id, Class: h.Class, Plan: h.Plan, Customer: h.Customer, TimeLeft: remaining.Seconds(),
-		Units: h.Units, Spread: h.Spread, First: h.First, Repeat: h.Repeat, VerdictOnly: h.DecisionOnly,
+		Units: h.Units, Spread: h.Spread, First: h.First, Repeat: h.Repeat, VerdictOnly: h.VerdictOnly,
 	})
 	c.removeIfDone(h)
 }
@@ -607,7 +607,7 @@
 		}
 	case control.Refuse:
 		if h := c.held[a.ID]; h != nil {
-			if c.sites != nil && !a.Over && !h.DecisionOnly && !h.answered {
+			if c.sites != nil && !a.Over && !h.VerdictOnly && !h.answered {
 				c.sites.Refused(h.Class, h.verdict)
 			}
 			c.answer(h, Answer{Kind: Refused, RetryAfter: duration(a.RetryAfter), OverQuota: a.Over})
@@ -646,7 +646,7 @@
 		return
 	}
 	deadline := h.Deadline
-	if a.Timeout > 0 && !h.Arriving { // while the body arrives, the time has not begun: it runs from the last byte
+	if a.Timeout > 0 && !h.BodyIncoming { // while the body arrives, the time has not begun: it runs from the last byte
 		if t := time.Now().Add(duration(a.Timeout)); t.Before(deadline) {
 			deadline = t
 		}
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -9,14 +9,14 @@
 
 // route returns the sites to which the next attempt of an exchange may go.
 func (c *Core) route(h *heldExchange, remaining time.Duration) control.Reach {
-	if c.sites == nil || h.DecisionOnly {
+	if c.sites == nil || h.VerdictOnly {
 		return control.Reach{}
 	}
 	try := sites.Try{Class: h.Class, Elapsed: time.Since(h.receivedAt).Seconds(), Left: remaining.Seconds(),
-		Bound: h.Pinned, At: h.PinnedSite}
+		Pinned: h.Pinned, PinnedSite: h.PinnedSite}
 	class := &c.classes[h.Class]
 	if h.mayHaveRun && class.Repeat == control.Keyed && class.Group != control.GroupAll {
-		try.Bound, try.At = true, h.ranAtSite
+		try.Pinned, try.PinnedSite = true, h.ranAtSite
 	}
 	h.verdict = c.sites.Route(c.now(), try)
 	return h.verdict.Reach
--- a/internal/egress/egress.go
+++ b/internal/egress/egress.go
@@ -167,7 +167,7 @@
 func WithExchange(r *http.Request, x *core.Exchange, body []byte, rest *Upload,
 	onAnswer func(core.Answer)) *http.Request {
 	if rest != nil {
-		x.Arriving, x.BodyConsumed = true, rest.Spent
+		x.BodyIncoming, x.BodyConsumed = true, rest.BodyConsumed
 	}
 	return r.WithContext(context.WithValue(r.Context(), exchangeKey{},
 		&carriedExchange{r.RequestURI, x, body, rest, onAnswer}))
--- a/internal/egress/upload.go
+++ b/internal/egress/upload.go
@@ -24,8 +24,8 @@
 	done   atomic.Bool
 }
 
-// Spent reports whether some of it was read: the message cannot be sent again.
-func (u *Upload) Spent() bool { return u.spent.Load() }
+// BodyConsumed reports whether some of it was read: the message cannot be sent again.
+func (u *Upload) BodyConsumed() bool { return u.spent.Load() }
 
 // Done reports whether all of it has come in.
 func (u *Upload) Done() bool { return u.done.Load() }
--- a/internal/egress/upload_test.go
+++ b/internal/egress/upload_test.go
@@ -86,7 +86,7 @@
 			case <-time.After(mostWait):
 				t.Errorf("still waits for the client after %v", mostWait)
 			}
-			if !r.Rest.Spent() {
+			if !r.Rest.BodyConsumed() {
 				t.Error("the message may be sent again, though a part of its body is lost")
 			}
 		})
--- a/internal/forwardauth/forwardauth.go
+++ b/internal/forwardauth/forwardauth.go
@@ -183,7 +183,7 @@
 		front.Reject(w, r, err)
 		return
 	}
-	x.DecisionOnly = true
+	x.VerdictOnly = true
 	ctx, cancel := context.WithDeadline(r.Context(), x.Deadline)
 	defer cancel()
 	identity, no := f.identify(ctx, r.Header, origin, true)
--- a/sites/route.go
+++ b/sites/route.go
@@ -8,11 +8,11 @@
 
 // Try is a request that needs a server for its first or a later attempt.
 type Try struct {
-	Class   int
-	Elapsed Seconds // since the request arrived
-	Left    Seconds // until the client's deadline
-	Bound   bool    // an earlier attempt may have run, and only one site recognizes its key
-	At      int     // the site of a bound try
+	Class      int
+	Elapsed    Seconds // since the request arrived
+	Left       Seconds // until the client's deadline
+	Pinned     bool    // an earlier attempt may have run, and only one site recognizes its key
+	PinnedSite int     // the site of a pinned try
 }
 
 const (
@@ -32,11 +32,11 @@
 		r.updateWeight(own)
 	}
 	verdict := Verdict{Reach: control.Reach{First: own, Then: own}}
-	if t.Bound { // only the site of the earlier attempt recognizes a repeat
-		verdict.Reach = control.Reach{First: t.At, Then: t.At}
-		if t.At != own {
+	if t.Pinned { // only the site of the earlier attempt recognizes a repeat
+		verdict.Reach = control.Reach{First: t.PinnedSite, Then: t.PinnedSite}
+		if t.PinnedSite != own {
 			verdict.CrossReason = r.crossReason(local)
-			if r.sites[t.At].link.down {
+			if r.sites[t.PinnedSite].link.down {
 				// At the local site control finds no server of the try's group.
 				verdict.Reach, verdict.DenyReason = control.Reach{First: own, Then: own}, LinkDown
 			}
--- a/sites/sites_test.go
+++ b/sites/sites_test.go
@@ -165,12 +165,12 @@
 
 func TestBoundTryStaysAtItsSite(t *testing.T) {
 	r := newTestRouter(t, 4)
-	v := r.Route(100, Try{Class: move, Left: 4, Bound: true, At: 1})
+	v := r.Route(100, Try{Class: move, Left: 4, Pinned: true, PinnedSite: 1})
 	if v.Reach != (control.Reach{First: 1, Then: 1}) {
 		t.Errorf("after an attempt at the remote site: %+v", v)
 	}
 	r.Members(100, serverList(4, control.Draining, control.Ready))
-	if v = r.Route(100, Try{Class: move, Left: 4, Bound: true}); v.Reach != (control.Reach{}) {
+	if v = r.Route(100, Try{Class: move, Left: 4, Pinned: true}); v.Reach != (control.Reach{}) {
 		t.Errorf("after an attempt at the local site: %+v", v)
 	}
 }
@@ -330,7 +330,7 @@
 }
 
 // For any sequence of events: a try may use the remote site only if its link is up, it has ready servers and capacity,
-// and enough time is left; a bound try uses its own site or none; counts match the attempts sent; limits and learned
+// and enough time is left; a pinned try uses its own site or none; counts match the attempts sent; limits and learned
 // times stay valid.
 func TestRouterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -375,15 +375,15 @@
 				try := Try{Class: c, Left: rapid.Float64Range(0.01, 7).Draw(t, "left"),
 					Elapsed: rapid.Float64Range(0, 1).Draw(t, "elapsed")}
 				if rapid.IntRange(0, 9).Draw(t, "bound") == 0 {
-					try.Bound, try.At = true, rapid.IntRange(0, 1).Draw(t, "at")
+					try.Pinned, try.PinnedSite = true, rapid.IntRange(0, 1).Draw(t, "at")
 				}
 				v := r.Route(now, try)
 				local, remote := &r.sites[0], &r.sites[1]
 				crosses := v.Reach.First == 1 || v.Reach.Then == 1
 				switch {
-				case try.Bound && crosses != (try.At == 1 && !remote.link.down):
-					t.Fatalf("bound to %d: %+v", try.At, v)
-				case try.Bound:
+				case try.Pinned && crosses != (try.PinnedSite == 1 && !remote.link.down):
+					t.Fatalf("bound to %d: %+v", try.PinnedSite, v)
+				case try.Pinned:
 				case crosses && (remote.link.down || remote.ready == 0 || remote.classes[c].highTime+remote.link.rtt > try.Left):
 					t.Fatalf("may cross with no usable server or too little time: %+v, left %g", v, try.Left)
 				case crosses && float64(remote.attempts.count)+1 > max(1, r.remoteLimit(remote, c)):
