--- a/control/control.go
+++ b/control/control.go
@@ -145,9 +145,9 @@
 	// seconds.
 	peerFallbackDelay = 0.3
 
-	// peerFallbackMisses is the number of consecutive calls without an answer before peers are told. A single
+	// peerFallbackFailures is the number of consecutive calls without an answer before peers are told. A single
 	// one is a sign of overload, not of an outage.
-	peerFallbackMisses = 2
+	peerFallbackFailures = 2
 
 	// minPeerInterval is the shortest time between rounds of messages, in seconds. A total read from the
 	// counter would be about a tenth of a second old, too.
@@ -444,11 +444,11 @@
 // sweep does the periodic work of a timer: messages to peers, hedges, a new subscription and the eviction of
 // idle customers.
 func (g *Gateway) sweep() {
-	silent := g.missedCalls >= peerFallbackMisses && g.now-g.firstMissAt > peerFallbackDelay
-	if g.settings.Limits.Peers && silent && g.now-g.peersToldAt > g.peerInterval {
-		g.tellPeers()
+	silent := g.failedCalls >= peerFallbackFailures && g.now-g.firstFailureAt > peerFallbackDelay
+	if g.settings.Limits.Peers && silent && g.now-g.peersReportedAt > g.peerInterval {
+		g.reportToPeers()
 	}
-	if g.wakeAt = 0; g.missedCalls > 0 {
+	if g.wakeAt = 0; g.failedCalls > 0 {
 		g.wakeBy(g.now + max(minPeerInterval, g.peerInterval))
 	}
 	g.wakeBy(g.now + maxFlushDelay)
@@ -465,7 +465,7 @@
 	g.customersByArrival = slices.DeleteFunc(g.customersByArrival, func(c *customer) bool {
 		idle := g.now-c.lastRequestAt > max(idleEvictionWindows*c.plan.windowLength(minWindow),
 			c.plan.ceilingRefillTime())
-		if c.evicted = idle && !c.callInFlight && c.uncertainUnits == 0 && c.openAttempts == 0; c.evicted {
+		if c.evicted = idle && !c.callInFlight && c.uncertainUnits == 0 && c.attemptsInFlight == 0; c.evicted {
 			delete(g.customers, c.id)
 		}
 		return c.evicted
@@ -545,16 +545,16 @@
 		return 0 // the hard ceiling holds whatever a request would gain
 	}
 	share := g.share(c)
-	gain := p.OverWorth - p.OverCost // of a request beyond the quota, per unit of worth
+	overQuotaGain := p.OverWorth - p.OverCost // of a request beyond the quota, per unit of worth
 	atOpenLimit := g.atOpenLimit(c)
-	if atOpenLimit && (p.Rate <= 0 || c.openAttempts >= p.Open) {
+	if atOpenLimit && (p.Rate <= 0 || c.attemptsInFlight >= p.Open) {
 		return 0
 	}
-	if p.Rate <= 0 || gain > 0 {
+	if p.Rate <= 0 || overQuotaGain > 0 {
 		return 1
 	}
 	age, othersRate := c.viewAge(g.now), c.othersRate
-	if g.missedCalls > 0 && g.now-g.peerHeardAt < viewStaleAfter {
+	if g.failedCalls > 0 && g.now-g.peerHeardAt < viewStaleAfter {
 		age = min(age, g.peerInterval) // peers report at this interval: what they have not reported is no older
 	}
 	othersDemand := g.demand(c, units) * (1 - share)
@@ -582,12 +582,12 @@
 	}
 	if atOpenLimit { // the same for attempts in flight: others have as many as they send during one answer time
 		answerTime := g.poolOf(g.settings.Site).classes[class].typicalTime
-		chance *= poissonAtMost(p.Open-1-c.openAttempts,
+		chance *= poissonAtMost(p.Open-1-c.attemptsInFlight,
 			max(othersRate, openSpikeShare*othersDemand)/g.meanUnits*answerTime)
 	}
 	// A unit that is not spent now is spent later while demand exceeds the rate.
 	savedValue := min(1, g.demand(c, 0)/p.Rate) * (1 - c.level/p.Burst)
-	return chance*(1-savedValue) + (1-chance)*gain
+	return chance*(1-savedValue) + (1-chance)*overQuotaGain
 }
 
 // retryAfter is the hint when a client should try again, in seconds: the wait for the units, or a short
@@ -704,8 +704,8 @@
 // missing. The step is proportional to the time since the last answer, so that calls rejected at once do not
 // dominate it.
 func (g *Gateway) adaptCallRate(quick bool) {
-	sinceAnswer := g.now - g.counterAnsweredAt
-	g.counterAnsweredAt = g.now
+	sinceAnswer := g.now - g.lastResultAt
+	g.lastResultAt = g.now
 	gateways := float64(g.settings.Gateways)
 	if quick { // it grows faster far below the initial rate
 		step := min(1, callRateGrowth*sinceAnswer*
@@ -733,8 +733,8 @@
 		return
 	}
 	if e.Status != OK {
-		if g.missedCalls++; g.missedCalls == 1 {
-			g.firstMissAt = g.now
+		if g.failedCalls++; g.failedCalls == 1 {
+			g.firstFailureAt = g.now
 		}
 		g.wakeBy(g.now + peerFallbackDelay)
 		g.adaptCallRate(false)
@@ -748,7 +748,7 @@
 		c.callDueAt = max(c.callDueAt, g.now+g.settings.Counter.Timeout*(1+g.rng.Float64()))
 		return
 	}
-	g.missedCalls = 0
+	g.failedCalls = 0
 	clear(g.unclaimedPeerUnits)
 	g.adaptCallRate(e.Elapsed <= slowCallShare*g.settings.Counter.Timeout)
 	c.refill(g.now, rateTimeConstant)
@@ -792,7 +792,7 @@
 	}
 	others := total - c.ownCounted
 	newUnits := max(0, others-c.othersCounted-c.unitsFromPeers)
-	c.unitsFromPeers, c.unitsToldPeers = 0, 0
+	c.unitsFromPeers, c.unitsReported = 0, 0
 	c.othersCounted = max(c.othersCounted, others)
 	age := c.viewAge(g.now)
 	// A total covers its window only; before that, others are assumed to have drawn at their rate.
@@ -817,14 +817,15 @@
 	c.viewedAt = g.now
 }
 
-// tellPeers sends the units that may not have been added to the customers' other gateways while the counter
+// reportToPeers sends the units that may not have been added to the customers' other gateways while the counter
 // does not answer. The interval grows with the messages sent, to keep within what a receiver takes in.
-func (g *Gateway) tellPeers() {
+func (g *Gateway) reportToPeers() {
 	var uses []peerUse
 	for _, c := range g.customersByArrival {
-		if untold := c.unflushed + c.unitsInFlight + c.uncertainUnits - c.unitsToldPeers; untold > 0 {
-			uses = append(uses, peerUse{c.id, untold, c.firstGateway, int(c.gatewayCount)})
-			c.unitsToldPeers += untold
+		if unreported := c.unflushed + c.unitsInFlight + c.uncertainUnits -
+			c.unitsReported; unreported > 0 {
+			uses = append(uses, peerUse{c.id, unreported, c.firstGateway, int(c.gatewayCount)})
+			c.unitsReported += unreported
 		}
 	}
 	sent := 0
@@ -834,7 +835,7 @@
 			g.emit(MessagePeer{Peer: peer, Data: encodeUse(entries)})
 		}
 	}
-	g.peersToldAt, g.peerInterval = g.now, max(minPeerInterval,
+	g.peersReportedAt, g.peerInterval = g.now, max(minPeerInterval,
 		float64(sent)/(peerIntakeShare*max(1, g.settings.Limits.PeerIntake)))
 }
 
@@ -858,11 +859,11 @@
 		g.retryBudget = min(retryBudgetMax, g.retryBudget+retryBudgetRatio)
 		g.meanUnits += (units - g.meanUnits) * poolSampleWeight
 	}
-	gain := g.admissionValue(c, e.Class, units)
-	if gain > 0 && e.heldRequest == nil && g.holdForLookup(c, e, units) {
+	value := g.admissionValue(c, e.Class, units)
+	if value > 0 && e.heldRequest == nil && g.holdForLookup(c, e, units) {
 		return
 	}
-	if gain <= 0 {
+	if value <= 0 {
 		g.emit(Refuse{ID: e.ID, RetryAfter: g.retryAfter((units - c.level) / max(c.plan.Rate, 1e-9)), Over: true})
 		g.scheduleCall(c)
 		return
@@ -873,7 +874,7 @@
 		return
 	}
 	r := &request{id: e.ID, class: e.Class, customer: c, units: units, deadline: g.now + e.TimeLeft}
-	s := g.selectServer(r, e.Reach, gain)
+	s := g.selectServer(r, e.Reach, value)
 	if s == nil {
 		g.emit(Refuse{ID: e.ID, RetryAfter: g.retryAfter(0)})
 		return
@@ -889,7 +890,7 @@
 // reports whether it did: of many gateways, each sees little of a customer. It does not wait for a counter
 // with missed calls.
 func (g *Gateway) holdForLookup(c *customer, e Request, units float64) bool {
-	canCall := g.settings.Counter.Allowed && c.plan.Rate > 0 && g.missedCalls == 0 &&
+	canCall := g.settings.Counter.Allowed && c.plan.Rate > 0 && g.failedCalls == 0 &&
 		(c.callInFlight || g.callTokens >= 1)
 	known := c.viewAge(g.now) < lookupViewAge || c.splitLevel*g.share(c) >= units
 	if !canCall || known || g.customers[c.id] != c || e.TimeLeft < minHoldTimeouts*g.settings.Counter.Timeout {
@@ -912,11 +913,11 @@
 // selectServer returns a server at the first site within reach or, if there is none or the request is shed
 // there, at the second; nil if there is none. A retry (gain 0) is not shed, nor a request for which package
 // sites reports room at the first site; shed still updates its estimates from the latter.
-func (g *Gateway) selectServer(r *request, reach Reach, gain float64) *server {
+func (g *Gateway) selectServer(r *request, reach Reach, value float64) *server {
 	for i, site := range [...]int{reach.First, reach.Then} {
 		lastSite := i > 0 || reach.Then == reach.First
 		s := g.chooseServer(r, g.poolOf(site), lastSite)
-		if s != nil && (gain <= 0 || !reach.Full && (!g.shed(r, gain, s.pool) || i == 0 && reach.Room)) {
+		if s != nil && (value <= 0 || !reach.Full && (!g.shed(r, value, s.pool) || i == 0 && reach.Room)) {
 			return s
 		}
 		if lastSite {
@@ -928,7 +929,7 @@
 
 // shed reports whether a request is refused because of overload, and updates the pool's estimates of it. The
 // less a request is worth compared with others, the more likely it is shed.
-func (g *Gateway) shed(r *request, gain float64, p *pool) bool {
+func (g *Gateway) shed(r *request, value float64, p *pool) bool {
 	class := &g.settings.Classes[r.class]
 	// With little time left, the answer is likely too late, and the request is worth less.
 	cs := &p.classes[r.class]
@@ -936,22 +937,22 @@
 	if inTimeChance < minInTimeChance { // it decays: if all are refused, no answer would lower it again
 		cs.typicalTime -= cs.typicalTime * typicalTimeDecay
 	}
-	worth := inTimeChance * gain * class.Worth * r.customer.plan.Worth * r.units / max(cs.workTime, 1e-4)
+	worth := inTimeChance * value * class.Worth * r.customer.plan.Worth * r.units / max(cs.workTime, 1e-4)
 	meanRatio := p.recordWorth(worth)
 	// In a large fleet, a gateway with one attempt in flight can't see overload in its own limits; late
 	// answers of any server show it.
 	p.fleetOverload *= math.Exp(-(g.now - p.overloadDecayedAt) / overloadTimeConstant)
 	p.overloadDecayedAt = g.now
 	// If answers get lost, attempts in flight for long while others are answered quickly keep no server busy.
-	sparse, maxAge, workShare := initialServerLimit < p.gateways, math.Inf(1), 1.0
-	if sparse && p.lossy() {
+	fewPerServer, maxAge, workShare := initialServerLimit < p.gateways, math.Inf(1), 1.0
+	if fewPerServer && p.lossy() {
 		maxAge, workShare = lostAfterTypicals, p.inTimeShare
 	}
 	limit, inFlight, servers := p.occupancy(g.now, maxAge)
 	limit, inFlight = limit+minLimit, inFlight*workShare
 	// A gateway that seldom sends to a server knows nothing about it, so one limit is pooled over all. With
 	// few attempts in flight their number is mostly chance, and is averaged.
-	if sparse {
+	if fewPerServer {
 		decay := math.Exp(-(g.now - p.meanInFlightAt) / inFlightTimeConstant)
 		p.meanInFlight, p.meanInFlightAt = p.meanInFlight*decay+inFlight*(1-decay), g.now
 		limit, inFlight = minLimit+p.pooledLimit*servers, p.meanInFlight
@@ -1023,7 +1024,7 @@
 	}
 	a := r.startAttempt(s, g.now)
 	if !r.bodyIncoming {
-		g.bookAtServer(r, a)
+		g.countAsSent(r, a)
 	}
 	p.attemptRate = p.attemptRate*math.Exp(-(g.now-p.lastAttemptAt)/rateTimeConstant) + 1/rateTimeConstant
 	p.lastAttemptAt, p.shedSinceAttempt = g.now, 0
@@ -1031,12 +1032,12 @@
 	g.scheduleHedge(r)
 }
 
-// bookAtServer counts an attempt as work of its server from now on, when the server is about to have the
+// countAsSent counts an attempt as work of its server from now on, when the server is about to have the
 // whole request. Counted from the first byte, a slow upload would look like overdue work.
-func (g *Gateway) bookAtServer(r *request, a *attempt) {
+func (g *Gateway) countAsSent(r *request, a *attempt) {
 	cs := &a.server.pool.classes[r.class]
 	a.sentAt, a.bodySent, cs.undecided = g.now, true, append(cs.undecided, a)
-	a.server.addAttempt(openAttempt{r.id, g.now, cs.typicalTime})
+	a.server.addAttempt(sentAttempt{r.id, g.now, cs.typicalTime})
 }
 
 // handleOutcome processes the end of an attempt, and retries or finishes the request.
@@ -1134,13 +1135,13 @@
 	}
 	if e.Kind != Delta { // a server that a full list does not name is removed
 		for _, s := range g.servers {
-			s.listed, s.member.State = false, Removed
+			s.ready, s.member.State = false, Removed
 		}
 	}
 	for _, m := range e.Entries {
 		s, p := g.servers[m.Server], g.poolOf(m.Site)
 		if s != nil && s.pool != p { // it moved: its attempts in flight end in the old pool
-			s.listed, s.member.State = false, Removed
+			s.ready, s.member.State = false, Removed
 			s = nil
 		}
 		if s == nil {
@@ -1155,7 +1156,7 @@
 			s.clearFailures()
 		}
 		s.member = m
-		s.listed = m.State == Ready
+		s.ready = m.State == Ready
 	}
 	for _, p := range g.pools {
 		g.forgetRemoved(p)
@@ -1228,7 +1229,7 @@
 		return best
 	}
 	for _, s := range p.servers { // never eject all servers: use the least bad one
-		if cost := g.cost(r, s); s.listed && !s.cold && g.mayServe(r, s) && cost < bestCost {
+		if cost := g.cost(r, s); s.ready && !s.cold && g.mayServe(r, s) && cost < bestCost {
 			best, bestCost = s, cost
 		}
 	}
@@ -1270,9 +1271,9 @@
 		slowness = 1 + (slowness-1)*math.Exp(-idle/slownessTimeConstant)
 	}
 	cost := slowness * (1 + float64(s.limiter.inFlight))
-	if len(s.openAttempts) > 0 {
+	if len(s.sentAttempts) > 0 {
 		// A server that hangs gives no answers to learn from; the age of its oldest attempt shows it.
-		cost += max(0, (g.now-s.openAttempts[0].sentAt)/s.openAttempts[0].typicalTime-2)
+		cost += max(0, (g.now-s.sentAttempts[0].sentAt)/s.sentAttempts[0].typicalTime-2)
 	}
 	for i := range r.attempts {
 		if r.attempts[i].server == s {
--- a/control/copies.go
+++ b/control/copies.go
@@ -61,7 +61,7 @@
 
 // atOpenLimit reports whether a customer's plan permits this gateway no further attempt in flight.
 func (g *Gateway) atOpenLimit(c *customer) bool {
-	return c.plan.Open > 0 && float64(c.openAttempts+1) > max(1, float64(c.plan.Open)*g.share(c))
+	return c.plan.Open > 0 && float64(c.attemptsInFlight+1) > max(1, float64(c.plan.Open)*g.share(c))
 }
 
 // isInFlightAt reports whether an attempt of the request is in flight at s.
--- a/control/state.go
+++ b/control/state.go
@@ -28,15 +28,15 @@
 	customersByArrival   []*customer        // the same customers, oldest first: a map has no order
 	callQueue            []*customer        // customers that need a counter call
 	callRate, callTokens float64            // counter calls a second, and calls that may be made now
-	missedCalls          int                // consecutive calls without an answer
-	firstMissAt          Seconds            // time of the first of them
+	failedCalls          int                // consecutive calls without an answer
+	firstFailureAt       Seconds            // time of the first of them
 	peerHeardAt          Seconds            // time of the last message from a peer
 	unclaimedPeerUnits   map[uint64]float64 // units that peers reported of customers unknown here, by customer
 	// Time of the last messages to peers, and the interval until the next.
-	peersToldAt, peerInterval Seconds
-	tokensRefilledAt          Seconds                // when callTokens was last refilled
-	counterAnsweredAt         Seconds                // time of the last answer of the counter, of any status
-	callsInFlight             map[uint64][]*customer // by name of the count, in order of the calls
+	peersReportedAt, peerInterval Seconds
+	tokensRefilledAt              Seconds                // when callTokens was last refilled
+	lastResultAt                  Seconds                // time of the last answer of the counter, of any status
+	callsInFlight                 map[uint64][]*customer // by name of the count, in order of the calls
 
 	requests    map[uint64]*request
 	retryBudget float64       // retries that may be made
@@ -110,7 +110,7 @@
 	level, splitLevel float64
 	refilledAt        Seconds // when the levels were last refilled
 	ceilingLevel      float64 // units left in this gateway's split of the hard ceiling
-	openAttempts      int     // attempts of this gateway in flight
+	attemptsInFlight  int     // attempts of this gateway in flight
 
 	// Units a second: admitted here, used at other gateways, and asked for here.
 	ownRate, othersRate, ownDemandRate float64
@@ -121,7 +121,7 @@
 	unflushed      float64 // units not yet added to the counter
 	unitsInFlight  float64 // units in the call in flight
 	uncertainUnits float64 // units of a call that timed out: they may have been added
-	unitsToldPeers float64 // units reported to peers, of those that are not certainly added
+	unitsReported  float64 // units reported to peers, of those that are not certainly added
 	unitsFromPeers float64 // others' units that peers reported since the last view
 	ownCounted     float64 // own units certainly added to this window's count
 	othersCounted  float64 // highest seen number of others' units in this window's count
@@ -171,7 +171,7 @@
 	a := &attempt{server: s, sentAt: now}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	r.customer.openAttempts++
+	r.customer.attemptsInFlight++
 	return a
 }
 
@@ -184,7 +184,7 @@
 	a := r.attempts[number]
 	a.ended = true
 	r.inFlight--
-	r.customer.openAttempts--
+	r.customer.attemptsInFlight--
 	return a
 }
 
@@ -194,10 +194,10 @@
 	ringPosition uint64 // place in the order that all gateways share
 	pool         *pool
 	member       Member
-	listed       bool // on the list and ready
+	ready        bool // on the list and ready
 
 	limiter          limiter
-	openAttempts     []openAttempt // attempts in flight, oldest first
+	sentAttempts     []sentAttempt // attempts in flight, oldest first
 	slowness         float64       // time to answer, as a multiple of the class's typical time; averaged
 	lastOutcomeAt    Seconds       // when an attempt last ended
 	lastSuccessAt    Seconds       // time of the last good answer
@@ -215,8 +215,8 @@
 	budgetRefilledAt Seconds
 }
 
-// openAttempt identifies an attempt in flight.
-type openAttempt struct {
+// sentAttempt identifies an attempt in flight.
+type sentAttempt struct {
 	requestID   uint64
 	sentAt      Seconds
 	typicalTime Seconds // typical answer time of its class when it was sent
@@ -269,9 +269,9 @@
 }
 
 // addAttempt records an attempt as in flight at s.
-func (s *server) addAttempt(a openAttempt) {
+func (s *server) addAttempt(a sentAttempt) {
 	s.limiter.inFlight++
-	s.openAttempts = append(s.openAttempts, a)
+	s.sentAttempts = append(s.sentAttempts, a)
 	if s.cold {
 		s.coldBudget--
 	}
@@ -281,7 +281,7 @@
 // times.
 func (s *server) recentAttempts(now, typicals float64) float64 {
 	n := 0.0
-	for _, a := range s.openAttempts {
+	for _, a := range s.sentAttempts {
 		if now-a.sentAt <= typicals*a.typicalTime {
 			n++
 		}
@@ -303,10 +303,10 @@
 // removeAttempt records the end of an attempt at s.
 func (s *server) removeAttempt(id uint64, at Seconds) {
 	s.limiter.inFlight--
-	if i := slices.IndexFunc(s.openAttempts, func(a openAttempt) bool {
+	if i := slices.IndexFunc(s.sentAttempts, func(a sentAttempt) bool {
 		return a.requestID == id && a.sentAt == at
 	}); i >= 0 {
-		s.openAttempts = slices.Delete(s.openAttempts, i, i+1)
+		s.sentAttempts = slices.Delete(s.sentAttempts, i, i+1)
 	}
 }
 
@@ -400,7 +400,7 @@
 	}
 	r.bodyIncoming, r.deadline = false, g.now+r.timeLeft
 	if a := r.attempts[len(r.attempts)-1]; !a.ended {
-		g.bookAtServer(r, a)
+		g.countAsSent(r, a)
 	}
 }
 
@@ -501,11 +501,11 @@
 }
 
 // warmShare is the least share of its capacity that a server has at this age, the time since its start.
-func (r *Guarantees) warmShare(age Seconds) float64 {
-	if age >= r.Ramp {
+func (guarantees *Guarantees) warmShare(age Seconds) float64 {
+	if age >= guarantees.Ramp {
 		return 1
 	}
-	return r.ColdFrom + (1-r.ColdFrom)*max(0, age/r.Ramp)
+	return guarantees.ColdFrom + (1-guarantees.ColdFrom)*max(0, age/guarantees.Ramp)
 }
 
 // windowLength is the time in which the bucket refills, or the first multiple of it that is at least the
@@ -573,7 +573,7 @@
 
 // usable reports whether s may be sent requests: ready, not ejected, and no trial in flight if it needs one.
 func (s *server) usable(now Seconds) bool {
-	return s.listed && now >= s.ejectedUntil && !((s.onTrial || s.suspectedRestart) && s.limiter.inFlight > 0)
+	return s.ready && now >= s.ejectedUntil && !((s.onTrial || s.suspectedRestart) && s.limiter.inFlight > 0)
 }
 
 // drawUnits draws units from both estimates of the level: those of an admitted request, and later the
@@ -746,7 +746,7 @@
 			continue
 		}
 		listed++
-		if !s.listed || g.now < s.ejectedUntil {
+		if !s.ready || g.now < s.ejectedUntil {
 			avoided++
 		}
 	}
--- a/internal/egress/attempt.go
+++ b/internal/egress/attempt.go
@@ -63,7 +63,7 @@
 		return nil, control.ConnectFailed
 	}
 	if status, over := overBeforeSend(a); over {
-		t.post(connUnused{c})
+		t.post(connReturned{c})
 		return nil, status
 	}
 	return c, 0
@@ -90,7 +90,7 @@
 		return o
 	}
 	c.Close()
-	closed := connClosed{answered: c.gotAnswer || o.Reply != nil, replace: c.replace, unsolicited: c.unsolicited}
+	closed := connClosed{answered: c.gotAnswer || o.Reply != nil, openReplacement: c.openReplacement, unsolicited: c.unsolicited}
 	if o.Status == control.Timeout && !c.gotAnswer {
 		closed.unansweredSince = sent
 	}
@@ -107,5 +107,5 @@
 		return
 	}
 	c.Close()
-	t.post(connClosed{answered: reuse, replace: reuse && !c.unsolicited, unsolicited: c.unsolicited})
+	t.post(connClosed{answered: reuse, openReplacement: reuse && !c.unsolicited, unsolicited: c.unsolicited})
 }
--- a/internal/egress/conn.go
+++ b/internal/egress/conn.go
@@ -58,10 +58,10 @@
 	answered       bool          // a request was answered on it
 	answerTime     time.Duration // from the last request to its answer
 
-	inFlight    identity // the request under way
-	unsolicited bool     // bytes came on it that no request had asked for
-	replace     bool     // only its last answer's status rules out further use: another connection is to be opened
-	gotAnswer   bool     // an answer came while the present request was under way
+	inFlight        identity // the request under way
+	unsolicited     bool     // bytes came on it that no request had asked for
+	openReplacement bool     // only its last answer's status rules out further use: another connection is to be opened
+	gotAnswer       bool     // an answer came while the present request was under way
 
 	stats       *answerStats // shared with the target's other connections
 	pastAnswers []pastAnswer // the distinct answers that came on it
@@ -209,8 +209,8 @@
 	// A target may answer twice. A duplicate refusal has no body to recognize it by, and taken for the next
 	// request's answer it would say that this request never ran. For a long answer, its stream decides on reuse.
 	keepAlive := reply.Long == nil && !resp.Close && c.in.Buffered() == 0
-	c.replace = keepAlive && o.Status != control.OK
-	return o, keepAlive && !c.replace
+	c.openReplacement = keepAlive && o.Status != control.OK
+	return o, keepAlive && !c.openReplacement
 }
 
 // announcesClose reports whether the next answer's head says that the connection will be closed. http.ReadResponse
--- a/internal/egress/dial.go
+++ b/internal/egress/dial.go
@@ -32,9 +32,9 @@
 	if time.Since(t.lastDialFailure) >= t.idleLimit()/4 {
 		warm = max(0, t.site.Warm-t.unusedIdle())
 	}
-	for t.ready && t.dialing < needed+warm && (t.dialOne() || t.dialing < needed && t.dialReplacingUnsuitable()) {
+	for t.ready && t.openings < needed+warm && (t.dialOne() || t.openings < needed && t.dialReplacingUnsuitable()) {
 	}
-	if t.open == 0 {
+	if t.permitsHeld == 0 {
 		t.failWaiting() // no permit is left, and there is no connection that could be released
 	}
 }
@@ -42,7 +42,7 @@
 // failOne tells a waiting request that it could not connect, after a failed dial, unless the connections being
 // opened are enough for all that wait. It picks the first request that can use none of the idle connections.
 func (t *target) failOne() {
-	if t.connsNeeded() <= t.dialing {
+	if t.connsNeeded() <= t.openings {
 		return
 	}
 	i := max(0, slices.IndexFunc(t.waiting, func(req *connRequest) bool {
@@ -91,14 +91,14 @@
 // dialOne opens a connection, in place of a used one that is not needed, else if the limits allow one more. Each
 // request that needs an unused connection leaves a used one behind, and a target holds only so many.
 func (t *target) dialOne() bool {
-	if t.dialing >= maxDials {
+	if t.openings >= maxDials {
 		return false
 	}
 	if i := t.surplusUsed(); i >= 0 {
 		t.replaceIdle(i)
 		return true
 	}
-	if t.open >= maxConns || !t.acquirePermit() {
+	if t.permitsHeld >= maxConns || !t.acquirePermit() {
 		return false
 	}
 	t.startOpening()
@@ -117,7 +117,7 @@
 // dialReplacingUnsuitable opens a connection in place of an idle one that no waiting request can use. It returns
 // false if there is none, or if enough dials are under way.
 func (t *target) dialReplacingUnsuitable() bool {
-	if t.dialing >= maxDials {
+	if t.openings >= maxDials {
 		return false
 	}
 	i := slices.IndexFunc(t.idle, func(c *conn) bool { return !t.hasWaiter(c) })
@@ -137,7 +137,7 @@
 
 // startOpening opens a connection, for which the caller has a permit.
 func (t *target) startOpening() {
-	t.dialing++
+	t.openings++
 	t.startDial(&opening{deadline: time.Now().Add(t.site.ConnectTimeout)})
 }
 
@@ -145,7 +145,7 @@
 func (t *target) acquirePermit() bool {
 	select {
 	case t.site.permits <- struct{}{}:
-		t.open++
+		t.permitsHeld++
 		return true
 	default:
 		return false
@@ -162,7 +162,7 @@
 // startDial starts a dial, for which the caller has a permit.
 func (t *target) startDial(o *opening) {
 	o.dials++
-	t.dials++
+	t.dialsInFlight++
 	go t.connect(o, t.address, o.deadline, t.overdueAfter())
 }
 
@@ -199,7 +199,7 @@
 // startParallelDial starts a further dial beside an overdue one, if a request waits: an overdue dial may not
 // succeed before its deadline. All dials of an opening have the same deadline, so that no request waits longer.
 func (t *target) startParallelDial(o *opening) {
-	if o.connected || o.dials == 0 || o.dials >= maxDialsPerConn || t.dials >= maxDials || t.open >= maxConns {
+	if o.connected || o.dials == 0 || o.dials >= maxDialsPerConn || t.dialsInFlight >= maxDials || t.permitsHeld >= maxConns {
 		return
 	}
 	if t.ready && t.connsNeeded() > 0 && t.acquirePermit() {
@@ -211,7 +211,7 @@
 // request.
 func (t *target) handleDialResult(d dialResult) {
 	d.opening.dials--
-	t.dials--
+	t.dialsInFlight--
 	if d.c == nil {
 		t.releasePermit()
 		t.openingFailed(d.opening)
@@ -220,7 +220,7 @@
 	}
 	if !d.opening.connected {
 		d.opening.connected = true
-		t.dialing--
+		t.openings--
 	}
 	if t.dialTime == 0 {
 		t.dialTime = d.elapsed
@@ -234,7 +234,7 @@
 	if o.connected || o.dials > 0 {
 		return
 	}
-	t.dialing--
+	t.openings--
 	t.lastDialFailure = time.Now()
 	t.failOne()
 }
@@ -242,8 +242,8 @@
 // replaceIdleForFirst opens a connection in place of an idle one if the first waiting request can use none of the
 // idle ones and the limits allow no further connection: later requests could otherwise overtake it forever.
 func (t *target) replaceIdleForFirst() {
-	atLimit := t.open >= maxConns || len(t.site.permits) == cap(t.site.permits)
-	if len(t.waiting) == 0 || len(t.idle) == 0 || t.dialing > 0 || !atLimit ||
+	atLimit := t.permitsHeld >= maxConns || len(t.site.permits) == cap(t.site.permits)
+	if len(t.waiting) == 0 || len(t.idle) == 0 || t.openings > 0 || !atLimit ||
 		slices.ContainsFunc(t.idle, t.waiting[0].canUse) {
 		return
 	}
--- a/internal/egress/dial_test.go
+++ b/internal/egress/dial_test.go
@@ -139,7 +139,7 @@
 		synctest.Wait() // until the goroutine waits for the permit
 		next := &connRequest{result: make(chan *conn, 1), unusedOnly: true}
 		a.handle(next)
-		for a.dialing > 0 && len(next.result) == 0 {
+		for a.openings > 0 && len(next.result) == 0 {
 			a.handle(<-a.mailbox) // a dialResult; a reuseDue may come before or after it
 		}
 		if len(next.result) == 0 {
@@ -159,7 +159,7 @@
 	a.site.permits = make(chan struct{}, 4)
 	a.site.permits <- struct{}{}
 	a.dial()
-	if a.dialing != 1 {
-		t.Errorf("%d connections are being opened", a.dialing)
+	if a.openings != 1 {
+		t.Errorf("%d connections are being opened", a.openings)
 	}
 }
--- a/internal/egress/reuse_test.go
+++ b/internal/egress/reuse_test.go
@@ -233,8 +233,8 @@
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	dials := 0
-	for len(next.result) == 0 && a.dialing > 0 && dials < 100 {
-		dials += a.dialing
+	for len(next.result) == 0 && a.openings > 0 && dials < 100 {
+		dials += a.openings
 		a.handle(<-a.mailbox) // the dial failed
 	}
 	if len(next.result) == 0 || dials > 1 {
@@ -259,7 +259,7 @@
 		a.handle(later) // there is always one more waiting
 		c.lastUsed = time.Now().Add(-maxReuseDelay)
 		a.handle(connReleased{c})
-		if len(first.result) > 0 || a.dialing > 0 {
+		if len(first.result) > 0 || a.openings > 0 {
 			t.Logf("after %d others", passed)
 			return
 		}
@@ -277,7 +277,7 @@
 	h := sampledStats()
 	a.stats.tracker = h.tracker
 	a.idle = nil // its attempt is under way
-	a.site.permits, a.open = make(chan struct{}, maxConns), 1
+	a.site.permits, a.permitsHeld = make(chan struct{}, maxConns), 1
 	a.site.permits <- struct{}{}
 	for range maxIdle {
 		near, far := net.Pipe()
@@ -287,7 +287,7 @@
 			[]pastAnswer{newPastAnswer([]byte("ok"), identity{})}
 		a.idle = append(a.idle, other)
 		a.site.permits <- struct{}{}
-		a.open++
+		a.permitsHeld++
 	}
 	for i := range 2 { // the answer becomes common
 		h.tracker.record(fingerprintOf([]byte("ok")), fingerprint(5000+i), time.Now())
--- a/internal/egress/target.go
+++ b/internal/egress/target.go
@@ -58,11 +58,11 @@
 	}
 	dialOverdue  struct{ opening *opening }
 	connReleased struct{ c *conn } // free for the next attempt
-	connUnused   struct{ c *conn } // its attempt was over before anything was sent
+	connReturned struct{ c *conn } // its attempt was over before anything was sent
 	connClosed   struct {
 		unansweredSince time.Time // if not zero, no answer came to an attempt sent then
 		answered        bool      // the target answered on it
-		replace         bool      // it was closed only because of its answer's status
+		openReplacement bool      // it was closed only because of its answer's status
 		unsolicited     bool      // bytes came on it that no request had asked for
 	}
 	route struct {
@@ -87,9 +87,9 @@
 	ready           bool
 	idle            []*conn // the most recently used one last
 	waiting         []*connRequest
-	dialing         int           // connections being opened
-	dials           int           // for those, or left over after another one succeeded first
-	open            int           // connections, and dials
+	openings        int           // connections being opened
+	dialsInFlight   int           // for those, or left over after another one succeeded first
+	permitsHeld     int           // connections, and dials
 	reuseScheduled  bool          // a reuseDue is to come
 	answerTime      time.Duration // average time from a request to its answer
 	dialTime        time.Duration // average time of a successful dial
@@ -112,7 +112,7 @@
 	sweep := time.NewTicker(t.idleLimit()/4 + time.Millisecond)
 	defer sweep.Stop()
 	defer t.stop()
-	for !t.removed || t.open > 0 { // attempts under way when the target leaves the route table are still awaited
+	for !t.removed || t.permitsHeld > 0 { // attempts under way when the target leaves the route table are still awaited
 		select {
 		case m := <-t.mailbox:
 			t.handle(m)
@@ -153,7 +153,7 @@
 		t.answerTime += (m.c.answerTime - t.answerTime) / answerTimeSamples
 		t.stats.meanTime.Store(int64(t.answerTime))
 		t.putIdle(m.c)
-	case connUnused:
+	case connReturned:
 		t.putIdle(m.c)
 	case connClosed:
 		t.releasePermit()
@@ -166,7 +166,7 @@
 		if m.unansweredSince.After(t.lastAnswered) { // a host that is gone sends no reset: the next attempt is to dial anew
 			t.closeIdle(0)
 		}
-		if m.replace && t.ready && len(t.idle)+t.dialing < maxIdle {
+		if m.openReplacement && t.ready && len(t.idle)+t.openings < maxIdle {
 			t.dialOne() // so that the next request need not wait for a handshake
 		}
 		t.dial()
@@ -282,7 +282,7 @@
 			return i
 		}
 	}
-	if t.open <= maxDelayedConns {
+	if t.permitsHeld <= maxDelayedConns {
 		return -1
 	}
 	return slices.IndexFunc(t.idle, func(c *conn) bool { return c.answered && req.canUse(c) })
@@ -322,7 +322,7 @@
 }
 
 func (t *target) releasePermit() {
-	t.open--
+	t.permitsHeld--
 	<-t.site.permits
 }
 
--- a/internal/egress/target_test.go
+++ b/internal/egress/target_test.go
@@ -144,8 +144,8 @@
 	if rest := time.Since(c.lastUsed); rest < maxReuseDelay {
 		t.Errorf("it was idle for only %v", rest)
 	}
-	if a.open != 1 || a.dialing != 0 {
-		t.Errorf("%d open, %d dialling", a.open, a.dialing)
+	if a.permitsHeld != 1 || a.openings != 0 {
+		t.Errorf("%d open, %d dialling", a.permitsHeld, a.openings)
 	}
 }
 
@@ -172,7 +172,7 @@
 // Many open connections mean a load that reuse delays would hold up: each is used again at once.
 func TestManyConnectionsAreReusedAtOnce(t *testing.T) {
 	a, c, _ := newReusedTarget(t)
-	a.open += maxDelayedConns
+	a.permitsHeld += maxDelayedConns
 	next := &connRequest{result: make(chan *conn, 1)}
 	a.handle(next)
 	if len(next.result) == 0 || <-next.result != c {
@@ -187,8 +187,8 @@
 	a, first, far = newReusedTarget(t)
 	near, other := net.Pipe()
 	t.Cleanup(func() { near.Close(); other.Close() })
-	a.site.permits, a.open = make(chan struct{}, 2*maxDelayedConns), maxDelayedConns+1
-	for range a.open {
+	a.site.permits, a.permitsHeld = make(chan struct{}, 2*maxDelayedConns), maxDelayedConns+1
+	for range a.permitsHeld {
 		a.site.permits <- struct{}{}
 	}
 	second = newConn(near, a.address, &a.stats)
@@ -223,8 +223,8 @@
 	if _, err := first.Write(nil); err == nil {
 		t.Error("the connection with an answer on it is still open")
 	}
-	if a.dialing != 1 {
-		t.Errorf("%d connections are being opened for the one that waits", a.dialing)
+	if a.openings != 1 {
+		t.Errorf("%d connections are being opened for the one that waits", a.openings)
 	}
 	a.lastUnsolicited = time.Now().Add(-unsolicitedWindow)
 	a.handle(reuseDue{})
@@ -241,9 +241,9 @@
 	a, c, _ := newReusedTarget(t)
 	a.idle = nil // its attempt is under way
 	c.Close()
-	a.handle(connClosed{answered: true, replace: true})
-	if a.open != 1 || a.dialing != 1 {
-		t.Fatalf("%d open, %d dialling", a.open, a.dialing)
+	a.handle(connClosed{answered: true, openReplacement: true})
+	if a.permitsHeld != 1 || a.openings != 1 {
+		t.Fatalf("%d open, %d dialling", a.permitsHeld, a.openings)
 	}
 	a.handle(<-a.mailbox) // a dialResult
 	if len(a.idle) != 1 || a.idle[0].answered {
--- a/internal/egress/used_connection_test.go
+++ b/internal/egress/used_connection_test.go
@@ -296,11 +296,11 @@
 	a.site.Dial = refuseDial
 	next := &connRequest{result: make(chan *conn, 1), identity: identity{request: 7}}
 	a.handle(next)
-	if a.dialing != 1 {
-		t.Fatalf("%d dialling", a.dialing)
+	if a.openings != 1 {
+		t.Fatalf("%d dialling", a.openings)
 	}
 	a.handle(<-a.mailbox) // the dial failed
-	if len(next.result) == 0 && a.dialing == 0 && !a.reuseScheduled {
+	if len(next.result) == 0 && a.openings == 0 && !a.reuseScheduled {
 		t.Errorf("%d wait, with %d idle that they may not use, and nothing that could end that", len(a.waiting), len(a.idle))
 	}
 }
@@ -318,7 +318,7 @@
 		all = append(all, &connRequest{result: make(chan *conn, 1)})
 		a.handle(all[len(all)-1])
 	}
-	for a.dialing > 0 {
+	for a.openings > 0 {
 		a.handle(<-a.mailbox)
 	}
 	if len(a.waiting) > 0 && !a.reuseScheduled {
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -16,8 +16,8 @@
 
 // Validity returns how long after sending a renewal a holder may act. The coordinators' clock may run fast by Drift,
 // and the holder's own slow.
-func (r Timing) Validity() time.Duration {
-	return time.Duration(float64(r.TTL)*(1-r.Drift)/(1+r.Drift)) - r.Margin
+func (t Timing) Validity() time.Duration {
+	return time.Duration(float64(t.TTL)*(1-t.Drift)/(1+t.Drift)) - t.Margin
 }
 
 // Cause is the reason why a holder stopped acting.
@@ -92,8 +92,8 @@
 }
 
 // NewHolder returns the holder of a session that has not been opened yet.
-func NewHolder(r Timing) *Holder {
-	return &Holder{timing: r, sentAt: map[uint64]time.Duration{}, leases: map[string]*localLease{}}
+func NewHolder(timing Timing) *Holder {
+	return &Holder{timing: timing, sentAt: map[uint64]time.Duration{}, leases: map[string]*localLease{}}
 }
 
 // Ended reports whether the session has ended, and why.
@@ -199,16 +199,16 @@
 // Report sends the coordinators the current description of this member.
 func (h *Holder) Report(m Member) { h.enqueue(Request{Op: Report, Member: m}) }
 
-func (h *Holder) enqueue(a Request) {
+func (h *Holder) enqueue(r Request) {
 	h.lastSeq++
-	a.Seq = h.lastSeq
-	h.requests = append(h.requests, a)
+	r.Seq = h.lastSeq
+	h.requests = append(h.requests, r)
 }
 
 // NextRequest returns the request that is to be sent, or sent again if its answer may have been lost.
-func (h *Holder) NextRequest() (a Request, ok bool) {
+func (h *Holder) NextRequest() (r Request, ok bool) {
 	if len(h.requests) == 0 || h.endCause != "" {
-		return a, false
+		return r, false
 	}
 	return h.requests[0], true
 }
@@ -221,24 +221,24 @@
 	if o.Status == Full {
 		return actions // the request stays first and is sent again later
 	}
-	a := h.requests[0]
+	r := h.requests[0]
 	h.requests = h.requests[1:]
-	l := h.leases[a.Name]
+	l := h.leases[r.Name]
 	if l == nil {
 		return h.ViewReceived(now, v, actions)
 	}
-	moreQueued := slices.ContainsFunc(h.requests, func(b Request) bool { return b.Name == a.Name })
+	moreQueued := slices.ContainsFunc(h.requests, func(b Request) bool { return b.Name == r.Name })
 	switch {
-	case a.Op == Release && l.phase == Releasing && !moreQueued:
+	case r.Op == Release && l.phase == Releasing && !moreQueued:
 		// A lease that was granted after the release was requested, and before it was applied, has a token that the
 		// release did not name.
-		if i := slices.IndexFunc(v.Held, func(g Grant) bool { return g.Name == a.Name }); i >= 0 {
+		if i := slices.IndexFunc(v.Held, func(g Grant) bool { return g.Name == r.Name }); i >= 0 {
 			l.token = v.Held[i].Token
-			h.requestRelease(a.Name, l)
+			h.requestRelease(r.Name, l)
 			break
 		}
 		l.phase = None
-	case a.Op == Acquire && o.Status == Waiting && l.phase == Requested && !moreQueued:
+	case r.Op == Acquire && o.Status == Waiting && l.phase == Requested && !moreQueued:
 		l.phase = Queued
 	}
 	return h.ViewReceived(now, v, actions)
--- a/lease/watch.go
+++ b/lease/watch.go
@@ -26,98 +26,98 @@
 
 // NewExpiryTracker starts a leader's term. The state holds everything that earlier leaders applied.
 func NewExpiryTracker(now time.Duration, s *State, maxTTL time.Duration) *ExpiryTracker {
-	w := &ExpiryTracker{term: s.Term, maxTTL: maxTTL, expiresAt: map[string]time.Duration{}, expiring: map[string]bool{},
+	t := &ExpiryTracker{term: s.Term, maxTTL: maxTTL, expiresAt: map[string]time.Duration{}, expiring: map[string]bool{},
 		revoked: map[string]revocation{}, unsealAt: now + maxTTL, disabledGuard: s.disabledGuard}
 	for id, session := range s.Sessions {
-		w.expiresAt[id] = now + session.TTL
-		if w.disabledGuard == guardTTLAfterElection {
-			w.expiresAt[id] = now
+		t.expiresAt[id] = now + session.TTL
+		if t.disabledGuard == guardTTLAfterElection {
+			t.expiresAt[id] = now
 		}
 	}
 	for name, l := range s.Leases {
 		if l.Revoked {
-			w.revoke(now, s, name, l)
+			t.startRevocationWait(now, s, name, l)
 		}
 	}
-	return w
+	return t
 }
 
-// revoke starts the wait until the holder of a revoked lease can no longer act: the last renewal that still listed the
+// startRevocationWait starts the wait until the holder of a revoked lease can no longer act: the last renewal that still listed the
 // lease was received before now.
-func (w *ExpiryTracker) revoke(now time.Duration, s *State, name string, l *Lease) {
-	ttl := w.maxTTL
+func (t *ExpiryTracker) startRevocationWait(now time.Duration, s *State, name string, l *Lease) {
+	ttl := t.maxTTL
 	if session := s.Sessions[l.Holder]; session != nil {
 		ttl = session.TTL
 	}
-	if w.disabledGuard == guardRevocationWait {
+	if t.disabledGuard == guardRevocationWait {
 		ttl = 0
 	}
-	w.revoked[name] = revocation{token: l.Token, freeAt: now + ttl, holder: l.Holder}
+	t.revoked[name] = revocation{token: l.Token, freeAt: now + ttl, holder: l.Holder}
 }
 
 // Renewed records a session's renewal. received is when the renewal arrived; the leader has confirmed since then
 // that it is still the leader. An Open that was applied in this term counts as a renewal too, also a repeated one.
 // It returns false if the session does not exist or its expiry can no longer be stopped; the session must then not
 // be told that it is renewed.
-func (w *ExpiryTracker) Renewed(received time.Duration, s *State, id string) bool {
+func (t *ExpiryTracker) Renewed(received time.Duration, s *State, id string) bool {
 	session := s.Sessions[id]
-	if session == nil || w.expiring[id] {
+	if session == nil || t.expiring[id] {
 		return false
 	}
-	w.expiresAt[id] = max(w.expiresAt[id], received+session.TTL)
+	t.expiresAt[id] = max(t.expiresAt[id], received+session.TTL)
 	return true
 }
 
 // Applied updates the expiry times after a command was applied to the state.
-func (w *ExpiryTracker) Applied(now time.Duration, s *State, c Command, e Effect) {
+func (t *ExpiryTracker) Applied(now time.Duration, s *State, c Command, e Effect) {
 	switch c.Op {
 	case Open:
-		if _, tracked := w.expiresAt[c.Session]; s.Sessions[c.Session] != nil && !tracked {
-			w.expiresAt[c.Session] = now + c.TTL
+		if _, tracked := t.expiresAt[c.Session]; s.Sessions[c.Session] != nil && !tracked {
+			t.expiresAt[c.Session] = now + c.TTL
 		}
 	case Close, Expire:
 		if s.Sessions[c.Session] == nil {
-			delete(w.expiresAt, c.Session)
-			delete(w.expiring, c.Session)
+			delete(t.expiresAt, c.Session)
+			delete(t.expiring, c.Session)
 		}
 	case Revoke:
 		if l := s.Leases[c.Name]; e.Status == Done && l != nil {
-			if _, tracked := w.revoked[c.Name]; !tracked || w.revoked[c.Name].token != l.Token {
-				w.revoke(now, s, c.Name, l)
+			if _, tracked := t.revoked[c.Name]; !tracked || t.revoked[c.Name].token != l.Token {
+				t.startRevocationWait(now, s, c.Name, l)
 			}
 		}
 	}
-	for name, r := range w.revoked {
+	for name, r := range t.revoked {
 		if l := s.Leases[name]; l == nil || l.Token != r.token || !l.Revoked {
-			delete(w.revoked, name)
+			delete(t.revoked, name)
 		}
 	}
 }
 
 // Due returns the commands whose time has come. Each is returned once, and again after reproposeAfter if it was lost.
-func (w *ExpiryTracker) Due(now time.Duration, s *State) (due []Command) {
-	for _, id := range sortedKeys(w.expiresAt) {
-		if now >= w.expiresAt[id] {
-			w.expiring[id] = true
-			w.expiresAt[id] = now + reproposeAfter
-			due = append(due, Command{Op: Expire, Term: w.term, Session: id})
+func (t *ExpiryTracker) Due(now time.Duration, s *State) (due []Command) {
+	for _, id := range sortedKeys(t.expiresAt) {
+		if now >= t.expiresAt[id] {
+			t.expiring[id] = true
+			t.expiresAt[id] = now + reproposeAfter
+			due = append(due, Command{Op: Expire, Term: t.term, Session: id})
 		}
 	}
-	for _, name := range sortedKeys(w.revoked) {
-		if r := w.revoked[name]; now >= r.freeAt {
+	for _, name := range sortedKeys(t.revoked) {
+		if r := t.revoked[name]; now >= r.freeAt {
 			r.freeAt = now + reproposeAfter
-			w.revoked[name] = r
-			due = append(due, Command{Op: Free, Term: w.term, Name: name, Token: r.token})
+			t.revoked[name] = r
+			due = append(due, Command{Op: Free, Term: t.term, Name: name, Token: r.token})
 		}
 	}
-	if s.Sealed && now >= w.unsealAt {
-		w.unsealAt = now + reproposeAfter
-		due = append(due, Command{Op: Unseal, Term: w.term})
+	if s.Sealed && now >= t.unsealAt {
+		t.unsealAt = now + reproposeAfter
+		due = append(due, Command{Op: Unseal, Term: t.term})
 	}
 	return due
 }
 
 // Remaining returns how long a session has until its TTL has passed, as measured by this leader.
-func (w *ExpiryTracker) Remaining(now time.Duration, session string) time.Duration {
-	return w.expiresAt[session] - now
+func (t *ExpiryTracker) Remaining(now time.Duration, session string) time.Duration {
+	return t.expiresAt[session] - now
 }
