--- a/control/control.go
+++ b/control/control.go
@@ -1,13 +1,16 @@
 package control
 
-// This file makes the decisions. types.go declares the interface: settings, events and actions. state.go,
-// peers.go and copies.go hold the state, arithmetic on it, messages to peers and hedged requests.
+// This file makes the decisions. types.go declares the interface: settings, events and actions. state.go
+// holds the state, arithmetic on it, and the handlers of events that only change the state. peers.go
+// formats and handles messages to peers. copies.go carries out hedged requests and enforces the limit on
+// attempts in flight (Plan.Open).
 //
 // Reading order: the constants; New and Handle; then 1. customers and their quotas, the core of the package:
 // units are counted locally and added to the shared counter in batches; 2. the counter: when to call it, and
 // how its answers are used; 3. requests; 4. servers.
 //
-// docs/design.md says which parts come from the source of this design and which were changed.
+// docs/design.md says which parts come from the original design, on which this one is based, and which were
+// changed.
 
 import (
 	"cmp"
@@ -31,8 +34,9 @@
 	// after the closing read of that window, and no longer.
 	countTTLWindows = 4
 
-	// maxFlushDelay is the longest time that units wait to be added to the counter, in seconds: the periodic
-	// flush of the original design. It also bounds the time between two timers and between two sweeps.
+	// maxFlushDelay is the longest time that units wait to be added to the counter, in seconds: the
+	// periodic flush of the original design (see docs/design.md). It also bounds the time between two
+	// timers and between two sweeps.
 	maxFlushDelay = 1.0
 
 	// readIntervalUnits is the shortest time before a call that adds nothing, as a multiple of the time in
@@ -47,20 +51,21 @@
 	// doubled.
 	doublingCallPrice = 0.02
 
-	// counterLag is the time within which units used at other gateways cannot be seen, in seconds: a timer
-	// interval, a call and its transmission.
+	// counterLag is about the time within which units used at other gateways cannot be seen, in seconds: the
+	// wait for a timer or another event that lets a due call be made, the call and its transmission.
 	counterLag = 0.012
 
 	// demandPriorUnits is the weight of a customer's usual rate in an estimate of its demand, in units,
 	// against the units asked of this gateway. Customers differ widely.
 	demandPriorUnits = 0.5
 
-	// openSpikeShare is the share of the demand expected at other gateways that is assumed to be in flight
-	// there. It matters to plans that cap the attempts in flight.
+	// openSpikeShare is the least share of the demand expected at other gateways that is assumed to be in
+	// flight there: a sudden rise shows in the demand before it shows in any total. It matters to plans that
+	// cap the attempts in flight.
 	openSpikeShare = 0.7
 
 	// drawnSpikeShare is the least share of the demand expected at other gateways that is assumed to be drawn
-	// from the quota.
+	// from the quota, for the same reason.
 	drawnSpikeShare = 0.4
 
 	// viewStaleAfter is the age after which a view says little about demand at other gateways, in seconds.
@@ -131,7 +136,7 @@
 	// a lookup.
 	minCallBurst = 4.0
 
-	// lookupReserve is the number of calls that calls which only read leave to requests that wait for a
+	// lookupReserve is the number of call tokens that read-only calls leave unused, for requests that need a
 	// lookup.
 	lookupReserve = 3.0
 
@@ -141,12 +146,12 @@
 
 	// ---- Messages to peers while the counter does not answer ----
 
-	// peerFallbackDelay is the time without an answer of the counter before peers are told of use, in
-	// seconds.
+	// peerFallbackDelay is the time after the first of several consecutive failed calls from which use is
+	// reported to peers, in seconds.
 	peerFallbackDelay = 0.3
 
-	// peerFallbackFailures is the number of consecutive calls without an answer before peers are told. A single
-	// one is a sign of overload, not of an outage.
+	// peerFallbackFailures is the number of consecutive failed calls (of any status but OK) before use is
+	// reported to peers. A single one is a sign of overload, not of an outage.
 	peerFallbackFailures = 2
 
 	// minPeerInterval is the shortest time between rounds of messages, in seconds. A total read from the
@@ -157,7 +162,8 @@
 	// concentrated at some gateways.
 	peerIntakeShare = 0.5
 
-	// maxPeerEntries is the number of customers in one message, which has to fit into 256 bytes.
+	// maxPeerEntries is the number of customers in one message, to fit about 256 bytes: entries of about 18
+	// bytes do. The longest possible entries have 24 bytes and would make a message of 335.
 	maxPeerEntries = 14
 
 	// ---- Retry-After hints ----
@@ -172,8 +178,9 @@
 
 	// ---- Retries: the retry budget and the time-out of an attempt ----
 
-	// retryBudgetRatio is the number of retries that each request adds to the budget. It keeps a retry storm
-	// at a tenth of the load.
+	// retryBudgetRatio is the number of retries that each request adds to the budget. It keeps a storm of
+	// retries of requests that may have run at a tenth of the load. Retries of requests that certainly did not
+	// run take nothing from the budget, and are not limited by it.
 	retryBudgetRatio = 0.1
 
 	// retryBudgetMax is the most that the budget holds, in retries.
@@ -197,7 +204,9 @@
 	initialPooledLimit = 4.0
 
 	// minLimit is the least limit of one gateway at one server, in attempts. It is below 1 because many
-	// gateways share a server; then only some of the servers are in use at once.
+	// gateways share a server. One attempt is always allowed there; a limit below 1 lowers the sum over all
+	// servers, which shed compares with the attempts in flight where limits are not pooled. Then only some of
+	// the servers are in use at once.
 	minLimit = 0.2
 
 	// lostAfterTypicals is the age in typical answer times from which an attempt counts as lost while other
@@ -208,8 +217,8 @@
 	// where a gateway has only few in flight.
 	inFlightTimeConstant = 1.0
 
-	// minPooledLimitShare is the least pooled limit, as a share of its initial value. The overload estimate
-	// does the rest.
+	// minPooledLimitShare is the least pooled limit, as a share of its initial value. What is still too much
+	// load then is shed because of the estimate of overload.
 	minPooledLimitShare = 0.3
 
 	// limitGrowthFactor multiplies a limit after an answer in time.
@@ -232,10 +241,12 @@
 	lossyMaxLateShare = 0.07
 
 	// lossyMinInTimeShare is the share of all attempts that must be answered in time for missing answers to
-	// be taken as loss. No usable network loses more than the rest.
+	// be taken as loss. A network that loses more than the rest is of no use, so below this share overload is
+	// assumed instead.
 	lossyMinInTimeShare = 0.4
 
-	// overloadRise is the change a second of the fleet's overload while answers are late.
+	// overloadRise is the change a second of the fleet's overload (see pool.overload for its scale) while
+	// answers are late.
 	overloadRise = 1.0
 
 	// overloadFall is its fall a second while answers are in time. Rise and fall balance at one late answer
@@ -320,8 +331,8 @@
 
 	// ---- Outlier ejection, and slow start of cold servers ----
 
-	// ejectionFailures is the number of consecutive failures after which a server is ejected. A refused
-	// connection counts twice.
+	// ejectionFailures is the number of consecutive failures after which a server is ejected. ConnectFailed,
+	// such as a refused connection, counts twice.
 	ejectionFailures = 3
 
 	// minEjectionTime is the time for which a server is first ejected, in seconds. Each failed trial doubles
@@ -490,6 +501,15 @@
 // gateways spend in proportion: own units are divided by this gateway's share before they are drawn from it.
 // A request is admitted while splitLevel holds its units (the split of the original design), or while level
 // very likely does.
+//
+// Terms:
+//   - window: the period over which the units of a customer are summed up under one name, its count.
+//   - call: a counter call (Count), which adds an amount to a count and returns the total of all gateways.
+//   - flush: a call that adds units. Units that no call has been made for yet are unflushed.
+//   - read: a call that adds nothing. The closing read is that of a window that is over, to learn the units
+//     that other gateways have added to it.
+//   - lookup: a call for whose answer a request is held.
+//   - view: the last total that was applied to a customer, at viewedAt.
 
 // customerOf returns the customer of a request, and creates it if this gateway does not know it.
 func (g *Gateway) customerOf(e Request) *customer {
@@ -528,8 +548,9 @@
 	return even + max(0, min(1, share)-even)*math.Exp(-(g.now-c.viewedAt)/staleShareTimeConstant)
 }
 
-// demand estimates the units a second that the customer asks of all gateways, without some that were asked of
-// this one. The usual rate is a prior: at a share of 1%, a single request would otherwise count as a hundred.
+// demand estimates the units a second that the customer asks of all gateways. excluded is the number of
+// units recently asked of this one that do not count, such as those of the request being decided. The usual
+// rate is a prior: at a share of 1%, a single request would otherwise count as a hundred.
 func (g *Gateway) demand(c *customer, excluded float64) float64 {
 	share := g.share(c)
 	observed := max(0, c.ownDemandRate*rateTimeConstant-excluded)
@@ -537,8 +558,10 @@
 	return (demandPriorUnits + observed) / (demandPriorUnits/usual + share*rateTimeConstant)
 }
 
-// admissionValue is the expected gain of admitting a request, per unit of its worth: at most 1, for one
-// inside the quota, and 0 or less for one to refuse.
+// admissionValue is the expected gain of admitting a request, per unit of its worth. It is 0 or less for
+// one to refuse, and at most 1: for one inside the quota, and for any where the plan has no such quota or a
+// request beyond it still earns more than it costs. The hard ceiling and the limit on attempts in flight
+// come first.
 func (g *Gateway) admissionValue(c *customer, class int, units float64) float64 {
 	p := c.plan
 	if p.CeilingRate > 0 && c.ceilingLevel < units {
@@ -808,7 +831,8 @@
 	c.ownRecentUnits = c.ownRecentUnits*decay + c.unitsSinceView
 	c.allRecentUnits = c.allRecentUnits*decay + c.unitsSinceView + newUnits
 	c.level -= newUnits
-	// Requests beyond the quota draw nothing from the bucket that the quota is judged by.
+	// Requests beyond the quota draw nothing from the bucket that decides whether a request is inside it. Units
+	// that were drawn beyond an empty bucket are put back, and at least one, taken as a whole request.
 	for c.level < 0 {
 		c.level += max(1, -c.level)
 	}
@@ -817,8 +841,10 @@
 	c.viewedAt = g.now
 }
 
-// reportToPeers sends the units that may not have been added to the customers' other gateways while the counter
-// does not answer. The interval grows with the messages sent, to keep within what a receiver takes in.
+// reportToPeers is used while calls to the counter fail. For each customer, it reports the units that the
+// counter may not hold yet to the other gateways of that customer. Each of them gets the first
+// maxPeerEntries reports that concern it; the others are not sent, but count as reported. The interval
+// grows with the number of messages, to keep within what a receiver takes in.
 func (g *Gateway) reportToPeers() {
 	var uses []peerUse
 	for _, c := range g.customersByArrival {
@@ -886,9 +912,10 @@
 	g.send(r, s)
 }
 
-// holdForLookup holds a request that is admitted by an old view only until the counter has answered, and
-// reports whether it did: of many gateways, each sees little of a customer. It does not wait for a counter
-// with missed calls.
+// holdForLookup holds a request until the counter has answered if nothing but an old view admits it, and
+// reports whether it did. An old view says little of the present use: of many gateways, each sees little of
+// a customer. No request is held if the last call failed, if no call may be made now, or if it has too
+// little time left.
 func (g *Gateway) holdForLookup(c *customer, e Request, units float64) bool {
 	canCall := g.settings.Counter.Allowed && c.plan.Rate > 0 && g.failedCalls == 0 &&
 		(c.callInFlight || g.callTokens >= 1)
@@ -911,8 +938,9 @@
 }
 
 // selectServer returns a server at the first site within reach or, if there is none or the request is shed
-// there, at the second; nil if there is none. A retry (gain 0) is not shed, nor a request for which package
-// sites reports room at the first site; shed still updates its estimates from the latter.
+// there, at the second; nil if there is none. value is the request's admissionValue, or 0 for a retry. A
+// retry is not shed, nor a request at the first site if package sites reports room there; shed still
+// updates its estimates from the latter.
 func (g *Gateway) selectServer(r *request, reach Reach, value float64) *server {
 	for i, site := range [...]int{reach.First, reach.Then} {
 		lastSite := i > 0 || reach.Then == reach.First
@@ -934,7 +962,8 @@
 	// With little time left, the answer is likely too late, and the request is worth less.
 	cs := &p.classes[r.class]
 	inTimeChance := 1 - math.Exp2(-min(class.Aim, r.deadline-g.now)/cs.typicalTime)
-	if inTimeChance < minInTimeChance { // it decays: if all are refused, no answer would lower it again
+	// The typical time decays with each refusal: if all are refused, no answer would lower it again.
+	if inTimeChance < minInTimeChance {
 		cs.typicalTime -= cs.typicalTime * typicalTimeDecay
 	}
 	worth := inTimeChance * value * class.Worth * r.customer.plan.Worth * r.units / max(cs.workTime, 1e-4)
@@ -943,8 +972,9 @@
 	// answers of any server show it.
 	p.fleetOverload *= math.Exp(-(g.now - p.overloadDecayedAt) / overloadTimeConstant)
 	p.overloadDecayedAt = g.now
-	// If answers get lost, attempts in flight for long while others are answered quickly keep no server busy.
+	// With more gateways than attempts that a server's initial limit allows, each has few attempts at a server.
 	fewPerServer, maxAge, workShare := initialServerLimit < p.gateways, math.Inf(1), 1.0
+	// If answers get lost, attempts in flight for long while others are answered quickly keep no server busy.
 	if fewPerServer && p.lossy() {
 		maxAge, workShare = lostAfterTypicals, p.inTimeShare
 	}
@@ -961,7 +991,7 @@
 	p.overload = p.fleetOverload + max(0, inFlight-limit*busyLimitShare)/(limit*(1-busyLimitShare))
 	if inTimeChance < minInTimeChance || p.overload <= 0 ||
 		g.rng.Float64() <= math.Exp(-p.overload*meanRatio*meanRatio) {
-		return inTimeChance < minInTimeChance
+		return inTimeChance < minInTimeChance // if the chance is too low it is shed, otherwise it is admitted
 	}
 	// A gateway that sheds every request would not see the overload end: from time to time one is admitted.
 	p.shedSinceAttempt++
@@ -1032,8 +1062,8 @@
 	g.scheduleHedge(r)
 }
 
-// countAsSent counts an attempt as work of its server from now on, when the server is about to have the
-// whole request. Counted from the first byte, a slow upload would look like overdue work.
+// countAsSent counts an attempt as work of its server from now on, as the server is about to have the whole
+// request. Counted from the first byte, a slow upload would look like overdue work.
 func (g *Gateway) countAsSent(r *request, a *attempt) {
 	cs := &a.server.pool.classes[r.class]
 	a.sentAt, a.bodySent, cs.undecided = g.now, true, append(cs.undecided, a)
@@ -1339,7 +1369,8 @@
 			s.limiter.cut()
 		}
 	case ConnectFailed:
-		// The server may have crashed before the list shows it. When it answers again, it is treated as cold.
+		// No connection, or it broke before the whole request was written: the server may have crashed before
+		// the list shows it. When it answers again, it is treated as cold.
 		s.suspectedRestart = true
 		g.recordFailure(s, 2)
 	case Reset, Error: // no suspected restart: answers may be lost on most of the fleet
--- a/control/peers.go
+++ b/control/peers.go
@@ -12,8 +12,8 @@
 	firstGateway, gatewayCount int // the gateways its requests come through; not sent
 }
 
-// groupByGateway groups reports by the gateway to send them to, with at most limit for each and none for
-// self.
+// groupByGateway groups reports by the gateway to send them to, with none for self. Each gateway gets the
+// first limit reports that concern it; further ones are dropped.
 func groupByGateway(uses []peerUse, gateways, self, limit int) [][]peerUse {
 	by := make([][]peerUse, gateways)
 	for _, u := range uses {
--- a/control/state.go
+++ b/control/state.go
@@ -1,7 +1,7 @@
 package control
 
-// This file holds the state behind the decisions in control.go, and arithmetic on it. Thresholds, rates and
-// other tuning constants are all in control.go.
+// This file holds the state behind the decisions in control.go, arithmetic on it, and the handlers of events
+// that only change it. The named thresholds and rates are in control.go.
 
 import (
 	"cmp"
@@ -28,18 +28,18 @@
 	customersByArrival   []*customer        // the same customers, oldest first: a map has no order
 	callQueue            []*customer        // customers that need a counter call
 	callRate, callTokens float64            // counter calls a second, and calls that may be made now
-	failedCalls          int                // consecutive calls without an answer
+	failedCalls          int                // consecutive calls that failed: of any status but OK
 	firstFailureAt       Seconds            // time of the first of them
 	peerHeardAt          Seconds            // time of the last message from a peer
 	unclaimedPeerUnits   map[uint64]float64 // units that peers reported of customers unknown here, by customer
-	// Time of the last messages to peers, and the interval until the next.
+	// Time of the last reports to peers, and the interval until the next.
 	peersReportedAt, peerInterval Seconds
 	tokensRefilledAt              Seconds                // when callTokens was last refilled
-	lastResultAt                  Seconds                // time of the last answer of the counter, of any status
+	lastResultAt                  Seconds                // when the last call ended, with any status
 	callsInFlight                 map[uint64][]*customer // by name of the count, in order of the calls
 
 	requests    map[uint64]*request
-	retryBudget float64       // retries that may be made
+	retryBudget float64       // retries that may be made of requests that may have run
 	hedger      *hedge.Hedger // nil if hedging is off
 
 	meanUnits float64 // units of a request, averaged
@@ -59,17 +59,19 @@
 	lossShare         float64 // share of attempts that got no answer
 	lateShare         float64 // share of good answers that are late
 	inTimeShare       float64 // share of attempts that are answered before they are late
-	fleetOverload     float64 // overload of all servers, estimated from late answers; 0: none
+	fleetOverload     float64 // overload of all servers, from late answers; a part of overload; 0: none
 	overloadDecayedAt Seconds // when fleetOverload last decayed by itself
 	overloadUpdatedAt Seconds // time of the last answer or overdue attempt that changed fleetOverload
 	pooledLimit       float64 // attempts of this gateway that may be in flight at a server, pooled over all
 	meanInFlight      float64 // attempts in flight at all usable servers, averaged
 	meanInFlightAt    Seconds // when meanInFlight was last updated
 	nearLimit         bool    // most of the limit is in use
-	overload          float64 // fleetOverload plus the use of this gateway's limits beyond busyLimitShare
-	meanWorthRate     float64 // mean worth that requests are expected to earn per second of work
-	worthSamples      float64 // requests averaged in meanWorthRate
-	shedSinceAttempt  int     // requests refused because of overload since the last attempt
+	// fleetOverload plus the use of this gateway's limits beyond busyLimitShare. At an overload of x, a
+	// request of mean worth is admitted with probability exp(-x).
+	overload         float64
+	meanWorthRate    float64 // mean worth that requests are expected to earn per second of work
+	worthSamples     float64 // requests averaged in meanWorthRate
+	shedSinceAttempt int     // requests refused because of overload since the last attempt
 
 	attemptRate      float64 // this gateway's attempts a second, at all servers
 	lastAttemptAt    Seconds
@@ -110,7 +112,7 @@
 	level, splitLevel float64
 	refilledAt        Seconds // when the levels were last refilled
 	ceilingLevel      float64 // units left in this gateway's split of the hard ceiling
-	attemptsInFlight  int     // attempts of this gateway in flight
+	attemptsInFlight  int     // attempts of this gateway in flight, with those whose body is incoming
 
 	// Units a second: admitted here, used at other gateways, and asked for here.
 	ownRate, othersRate, ownDemandRate float64
@@ -121,7 +123,7 @@
 	unflushed      float64 // units not yet added to the counter
 	unitsInFlight  float64 // units in the call in flight
 	uncertainUnits float64 // units of a call that timed out: they may have been added
-	unitsReported  float64 // units reported to peers, of those that are not certainly added
+	unitsReported  float64 // units that count as reported to peers, of those not certainly added
 	unitsFromPeers float64 // others' units that peers reported since the last view
 	ownCounted     float64 // own units certainly added to this window's count
 	othersCounted  float64 // highest seen number of others' units in this window's count
@@ -197,17 +199,17 @@
 	ready        bool // on the list and ready
 
 	limiter          limiter
-	sentAttempts     []sentAttempt // attempts in flight, oldest first
+	sentAttempts     []sentAttempt // attempts in flight whose request was sent in full, oldest first
 	slowness         float64       // time to answer, as a multiple of the class's typical time; averaged
 	lastOutcomeAt    Seconds       // when an attempt last ended
 	lastSuccessAt    Seconds       // time of the last good answer
 	classSuccessAt   []Seconds     // the same by class
 	classRejectedAt  []Seconds     // by class: last rejection as full, if no good answer came since; 0: none
-	failures         int           // consecutive failures; a refused connection counts twice
+	failures         int           // consecutive failures; ConnectFailed counts twice
 	ejectedUntil     Seconds
 	ejectionTime     Seconds // length of the last ejection
 	onTrial          bool    // it was ejected and has not answered well since
-	suspectedRestart bool    // a connection failed: it may have restarted
+	suspectedRestart bool    // an attempt ended with ConnectFailed: it may have restarted
 
 	coldSince        Seconds // time of its last start, from the list or suspected
 	cold             bool
@@ -215,7 +217,7 @@
 	budgetRefilledAt Seconds
 }
 
-// sentAttempt identifies an attempt in flight.
+// sentAttempt identifies an attempt in flight whose request was sent in full.
 type sentAttempt struct {
 	requestID   uint64
 	sentAt      Seconds
@@ -225,7 +227,7 @@
 // limiter is the concurrency limit of one server.
 type limiter struct {
 	limit    float64 // attempts that may be in flight
-	inFlight int
+	inFlight int     // those in flight whose request was sent in full
 }
 
 // countName is the name of a customer's count in one window: a hash of its arguments in splitmix64 steps.
@@ -268,7 +270,7 @@
 	return 1
 }
 
-// addAttempt records an attempt as in flight at s.
+// addAttempt records an attempt as in flight at s, when its request was sent in full.
 func (s *server) addAttempt(a sentAttempt) {
 	s.limiter.inFlight++
 	s.sentAttempts = append(s.sentAttempts, a)
@@ -342,9 +344,10 @@
 	return now - float64(c.window)*c.plan.windowLength(minWindow)
 }
 
-// needsPreviousTotal reports whether the decision on a held request depends on the use in the previous
-// window: a bucket that was full at its end would admit it, and an empty one would not. It raises the levels
-// to the lowest level that the present total permits.
+// needsPreviousTotal raises the levels to the lowest level that the present total permits, and reports
+// whether the decision on the first held request still depends on the use in the previous window: if the
+// bucket was full at the end of that window the request would be admitted, and if it was empty it would
+// not.
 func (c *customer) needsPreviousTotal(now Seconds) bool {
 	if !c.levelUnknown || len(c.heldRequests) == 0 {
 		return false
@@ -549,8 +552,8 @@
 		classRejectedAt: make([]Seconds, len(p.classes))}
 }
 
-// forgetRemoved drops the servers of a pool that were removed and have no attempt in flight, and those that
-// moved to another pool.
+// forgetRemoved drops the servers of a pool that were removed and have no attempt in flight whose request was
+// sent in full, and those that moved to another pool.
 func (g *Gateway) forgetRemoved(p *pool) {
 	p.servers = slices.DeleteFunc(p.servers, func(s *server) bool {
 		if s.member.State == Removed && s.limiter.inFlight == 0 && g.servers[s.id] == s {
@@ -724,7 +727,8 @@
 func (s *Settings) Check() error { return s.validate() }
 
 // Draining returns the number of attempts in flight at each server that gets no new ones; nil if there is
-// none. It is for operators, and no decision depends on it.
+// no such server. Attempts whose body is still coming in are not counted. It is for operators, and no
+// decision depends on it.
 func (g *Gateway) Draining() *map[string]int {
 	var out *map[string]int
 	for id, s := range g.servers {
--- a/control/types.go
+++ b/control/types.go
@@ -1,6 +1,7 @@
-// Package control makes all decisions of a quota-keeping gateway: which requests to admit, which server to
-// send an attempt to, when to retry, and what to add to the shared counter. It does no I/O, starts no
-// goroutine and reads no clock, so the same events always give the same actions.
+// Package control decides on each request of a quota-keeping gateway: whether to admit it, which server to
+// send an attempt to, when to retry, and what to add to the shared counter. It does not choose between
+// sites (package sites does) or when a hedge is worth it (package hedge does); and it does no I/O, starts
+// no goroutine and reads no clock, so the same settings, seed and events always give the same actions.
 //
 // This file is its interface: settings, events and actions. The decisions are in control.go.
 package control
@@ -142,7 +143,7 @@
 	Error                // the server answered with an error; it may have run
 	Full                 // rejected by the server without processing
 	Timeout              // no answer in time; it may have run, or may run yet
-	ConnectFailed        // no connection was established
+	ConnectFailed        // no connection, or it broke before the whole request was written; it did not run
 	Reset                // the connection broke; it may have run
 	Cancelled            // cancelled by the gateway; it may have run
 	NotSent              // never sent
@@ -152,8 +153,8 @@
 // zero value is the first site alone.
 type Reach struct {
 	First, Then int
-	Room        bool // package sites reports room at the first site: nothing is shed there for full limits
-	Full        bool // the first site has no room, and no other helps: new requests are refused
+	Room        bool // package sites reports room at the first site: no request is shed there
+	Full        bool // the first site has no room, and no other helps: new requests are refused, retries are not
 }
 
 // Event is an input of a gateway.
@@ -211,7 +212,7 @@
 		Reach   Reach // of the attempt that may follow
 		Elapsed Seconds
 		Units   float64   // true units, if they are settled after the answer; 0: none
-		Use     int       // 1 + percent of the rate that the meter measured; 0: none
+		Use     int       // 1 plus the use that the fleet's meter measured, in percent of the rate; 0: no figure
 		Load    []float64 // as described by Settings.LoadFields; nil: none
 	}
 
@@ -264,7 +265,8 @@
 // MembersKind says how to read a server list.
 type MembersKind int
 
-// The kinds of list. Cached is a full list that may be out of date.
+// The kinds of list. Cached is a full list that may be out of date. Failed is no list: it says that the
+// subscription has failed.
 const (
 	Delta MembersKind = iota
 	Snapshot
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -27,8 +27,9 @@
 	PinnedSite    int
 	Payload       any // the request for egress to send; opaque to the core
 
-	// BodyIncoming: the body is still being received and is forwarded as it arrives. ResponseTimeout is how long the client
-	// waits for an answer after the last byte of the body, and Deadline is the time until which the body may arrive.
+	// BodyIncoming: the body is still being received and is forwarded as it arrives. ResponseTimeout is how long the
+	// client waits for an answer after the last byte of the body, and Deadline is the time until which the body may
+	// arrive.
 	// BodyConsumed reports whether a part of the body was forwarded, which cannot be sent again.
 	BodyIncoming    bool
 	ResponseTimeout time.Duration
--- a/internal/egress/conn.go
+++ b/internal/egress/conn.go
@@ -45,9 +45,9 @@
 	Length int64   // of Long in bytes; -1: unknown
 }
 
-// conn is one connection to a target; it carries one attempt at a time. It sends nothing by itself: net/http's
-// Transport would write a request again on a new connection without the core's knowledge, so that two attempts
-// could be under way.
+// conn is one connection to a target; it carries one attempt at a time. It never sends a request again by itself:
+// net/http's Transport would write a request again on a new connection without the core's knowledge, so that two
+// attempts could be under way.
 type conn struct {
 	net.Conn
 	address        string
@@ -55,13 +55,13 @@
 	readLimit      io.LimitedReader // bounds what is still read of the present answer: some never end
 	in             *bufio.Reader
 	lastUsed       time.Time
-	answered       bool          // a request was answered on it
+	answered       bool          // an earlier request was answered on it
 	answerTime     time.Duration // from the last request to its answer
 
 	inFlight        identity // the request under way
 	unsolicited     bool     // bytes came on it that no request had asked for
-	openReplacement bool     // only its last answer's status rules out further use: another connection is to be opened
-	gotAnswer       bool     // an answer came while the present request was under way
+	openReplacement bool     // another is to be opened: only its last answer's status rules out further use
+	gotAnswer       bool     // an answer came while the present request was under way, its own or another's
 
 	stats       *answerStats // shared with the target's other connections
 	pastAnswers []pastAnswer // the distinct answers that came on it
@@ -128,7 +128,7 @@
 		if ctx.Err() == context.Canceled {
 			return core.Outcome{Status: control.Cancelled}, false
 		}
-		return core.Outcome{Status: control.ConnectFailed}, false // the last byte was never sent
+		return core.Outcome{Status: control.ConnectFailed}, false // the last byte was never sent: it cannot have run
 	}
 	o, reuse = c.readOwnAnswer(ctx, r, fields)
 	o.Written = true
@@ -255,7 +255,8 @@
 		body = availableReader{c.in, body}
 	}
 	prefix := readPrefix(body)
-	// Danger: a malformed head. A body whose end nothing marks may never end.
+	// A body without a length is streamed early only if it is chunked or the head announced the close: after a malformed
+	// head nothing marks the end of the body, and it may never end.
 	whole, complete, err := prefix.wait(long && (closes || len(resp.TransferEncoding) > 0), c.mayBeDuplicate)
 	switch {
 	case err != nil:
--- a/internal/egress/egress.go
+++ b/internal/egress/egress.go
@@ -23,10 +23,10 @@
 	targets map[string]*entry
 }
 
-// site holds what the targets of one site share.
+// site holds the options of one site, and what its targets share at run time.
 type site struct {
 	Options
-	permits chan struct{}
+	permits chan struct{} // semaphore: at most Options.Conns connections and dials of all its targets together
 	tracker *answerTracker
 }
 
@@ -37,6 +37,7 @@
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
+// entry is a target with its route as last sent to the actor. Only the core's goroutine uses route.
 type entry struct {
 	*target
 	route route
@@ -98,7 +99,7 @@
 	}
 }
 
-// send posts a message to the actor without waiting for it.
+// send posts a message to the actor without waiting for it. If the mailbox is full, later messages may overtake it.
 func (e *entry) send(m any) {
 	select {
 	case e.mailbox <- m:
@@ -176,7 +177,7 @@
 // RoundTripper has the core decide and carry out the exchange that a request carries.
 type RoundTripper struct {
 	Core       *core.Core
-	RetryAfter func(time.Duration) string // formats a wait for the front's clients
+	RetryAfter func(time.Duration) string // formats a wait for the clients of the ingress
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -243,7 +244,7 @@
 	return &Request{Method: method, Head: b.Bytes(), Body: body, Rest: rest, Key: h.Get("Idempotency-Key")}
 }
 
-// DecimalSeconds formats a wait as the platform's clients read it: seconds with three decimals.
+// DecimalSeconds formats a wait as seconds with three decimals, which the clients of the platform expect.
 func DecimalSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
 // WholeSeconds formats a wait as HTTP specifies it: whole seconds, rounded up.
--- a/internal/egress/target.go
+++ b/internal/egress/target.go
@@ -33,11 +33,11 @@
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration // after which a target closes an idle connection
 	Conns          int           // maximum to all targets of the site together
-	// Abort resets a connection that is abandoned. Danger: over a link, after a plain close the kernel would go on
-	// sending the request, and one delayed there would run after its window.
+	// Abort resets a connection that is abandoned. Over a link, after a plain close the kernel would go on sending the
+	// request. One that is delayed there would run after its class's window, in which targets drop repeats.
 	Abort bool
-	// Warm is the number of unused idle connections to keep for each ready target, for a link where a handshake
-	// costs a round trip.
+	// Warm is the number of idle connections on which no request was answered yet to keep for each ready target, for
+	// a link where a handshake costs a round trip.
 	Warm       int
 	LoadFields []string                                                             // of a load report
 	Dial       func(ctx context.Context, network, address string) (net.Conn, error) // nil: net.Dialer
@@ -48,7 +48,7 @@
 	connRequest struct {
 		result chan *conn
 		identity
-		unusedOnly bool // only an unused connection may be used
+		unusedOnly bool // only a connection on which no request was answered yet may be used
 	}
 	cancelConnRequest struct{ req *connRequest } // nobody waits for it any more
 	dialResult        struct {
@@ -58,10 +58,10 @@
 	}
 	dialOverdue  struct{ opening *opening }
 	connReleased struct{ c *conn } // free for the next attempt
-	connReturned struct{ c *conn } // its attempt was over before anything was sent
+	connReturned struct{ c *conn } // idle again: its attempt was over before anything was sent on it
 	connClosed   struct {
 		unansweredSince time.Time // if not zero, no answer came to an attempt sent then
-		answered        bool      // the target answered on it
+		answered        bool      // the target answered on it during its last attempt
 		openReplacement bool      // it was closed only because of its answer's status
 		unsolicited     bool      // bytes came on it that no request had asked for
 	}
@@ -77,7 +77,7 @@
 // target is the actor of one egress target: it owns the connections. Each attempt runs in its own goroutine, which
 // acquires a connection from the actor. The actor waits for nothing but its mailbox.
 type target struct {
-	site    *site // with one permit for each connection of all its targets
+	site    *site // shared with the other targets of the site
 	mailbox chan any
 	ctx     context.Context // ends when the actor has ended
 	stop    context.CancelFunc
@@ -87,9 +87,9 @@
 	ready           bool
 	idle            []*conn // the most recently used one last
 	waiting         []*connRequest
-	openings        int           // connections being opened
-	dialsInFlight   int           // for those, or left over after another one succeeded first
-	permitsHeld     int           // connections, and dials
+	openings        int           // connections being opened, each by one dial or more; see opening
+	dialsInFlight   int           // for openings, or left over after another dial of the same opening succeeded
+	permitsHeld     int           // permits of the site: one for each connection and each dial
 	reuseScheduled  bool          // a reuseDue is to come
 	answerTime      time.Duration // average time from a request to its answer
 	dialTime        time.Duration // average time of a successful dial
--- a/lease/state.go
+++ b/lease/state.go
@@ -1,5 +1,5 @@
-// Package lease is the state machine of leases, which decides which process of a fleet may act alone. It does no
-// I/O, reads no clock and starts no goroutine.
+// Package lease is the state machine of leases, which decides which process of a fleet may act alone: the holder of a
+// lease. It does no I/O, reads no clock and starts no goroutine.
 //
 // State is what the coordinators build from their replicated log: sessions, leases, queues and membership.
 // ExpiryTracker holds the leader's expiry times, which are not in the log. Holder is the side of the process that
@@ -21,14 +21,14 @@
 // The operations. Those marked (term) are proposed by the leader itself and take effect only during its term.
 const (
 	Lead    Op = iota + 1 // (term) a leader starts its term
-	Unseal                // (term) no holder that was granted a lease before the state was lost can still act
+	Unseal                // (term) leases are granted again: no earlier holder that the state does not know can still act
 	Open                  // a session is opened
 	Close                 // a session is closed by its process, which has stopped acting
 	Expire                // (term) a session is ended, since its TTL has passed
 	Acquire               // a session requests a lease
 	Release               // a session gives up a lease or its place in the queue, and has stopped acting
 	Revoke                // an operator withdraws a lease from its holder
-	Free                  // (term) the holder of a revoked lease can no longer act under it
+	Free                  // (term) a revoked lease is taken from its holder, which can no longer act under it
 	Report                // a session reports the current description of its member
 )
 
@@ -64,7 +64,7 @@
 	Member  Member        `msgpack:"m,omitempty"`
 	Name    string        `msgpack:"n,omitempty"`
 	Token   uint64        `msgpack:"k,omitempty"`
-	By      string        `msgpack:"b,omitempty"` // Revoke: who requested it, for the log
+	By      string        `msgpack:"b,omitempty"` // Revoke: who requested it, for the coordinators' log lines
 	Bounds  Bounds        `msgpack:"x,omitempty"` // in force at the leader, so that every replica applies the same
 }
 
@@ -140,8 +140,8 @@
 // State is built from the replicated log. The same commands in the same order build the same state on every replica.
 type State struct {
 	Term     uint64              `msgpack:"t"`
-	Epoch    uint32              `msgpack:"e"`
-	Token    uint64              `msgpack:"k"` // the highest granted
+	Epoch    uint32              `msgpack:"e"` // the high 32 bits of the tokens that are granted
+	Token    uint64              `msgpack:"k"` // the highest granted fencing token; an epoch starts at Epoch<<32
 	Sealed   bool                `msgpack:"x"` // no lease is granted: holders that this state does not know of may still act
 	Restored bool                `msgpack:"r"` // restored from a backup, and no leader has started a term since
 	Rev      uint64              `msgpack:"v"` // increases with each command
@@ -157,19 +157,19 @@
 type guard int
 
 const (
-	guardNone guard = iota
-	guardCommandTerm
-	guardRequestOrder
-	guardTTLAfterElection
-	guardLeaderConfirmed
-	guardValidityFromSend
-	guardDriftAndMargin
-	guardViewRevision
-	guardStopBeforeRelease
-	guardEpochAfterRestore
-	guardSealAfterRestore
-	guardRevocationWait
-	guardEndOnPause
+	guardNone              guard = iota // no rule: nothing is disabled
+	guardCommandTerm                    // a leader's own commands take effect only during its term
+	guardRequestOrder                   // a late or repeated request of a session has no effect
+	guardTTLAfterElection               // a new leader waits for each session's whole TTL, from the start of its term
+	guardLeaderConfirmed                // a leader answers a renewal only once it has confirmed that it leads (in the coordinators)
+	guardValidityFromSend               // validity counts from the sending of a renewal, not from its answer
+	guardDriftAndMargin                 // validity is the TTL less clock drift and margin
+	guardViewRevision                   // a view older than the latest one received has no effect
+	guardStopBeforeRelease              // a holder stops acting before it requests the release
+	guardEpochAfterRestore              // a group that is new or restored from a backup starts a new epoch
+	guardSealAfterRestore               // such a group grants no lease until Unseal
+	guardRevocationWait                 // a revoked lease is freed only after its holder's TTL
+	guardEndOnPause                     // a pause of the process or a jump of the clock ends the session
 )
 
 // NewState returns the state of a group that has not had a leader yet.
@@ -283,8 +283,8 @@
 	e.AffectedSessions = append(e.AffectedSessions, c.Session)
 }
 
-// handleRequest handles a numbered request of a session. A repetition of the latest request gets the same outcome again,
-// without effect.
+// handleRequest handles a numbered request of a session. A repetition of the latest request gets the same outcome
+// again, without effect.
 func (s *State) handleRequest(c Command, e *Effect) {
 	session := s.Sessions[c.Session]
 	switch {
--- a/lease/watch.go
+++ b/lease/watch.go
@@ -8,16 +8,16 @@
 type ExpiryTracker struct {
 	term          uint64
 	maxTTL        time.Duration            // the longest TTL that a session may have
-	expiresAt     map[string]time.Duration // when the TTL of each session has passed
+	expiresAt     map[string]time.Duration // when each session's TTL has passed, or when to propose its Expire again
 	expiring      map[string]bool          // sessions whose Expire is proposed: their renewals no longer count
 	revoked       map[string]revocation
-	unsealAt      time.Duration
+	unsealAt      time.Duration // when to propose Unseal, or to propose it again
 	disabledGuard guard
 }
 
 type revocation struct {
 	token  uint64
-	freeAt time.Duration
+	freeAt time.Duration // when to propose Free, or to propose it again
 	holder string
 }
 
@@ -42,8 +42,9 @@
 	return t
 }
 
-// startRevocationWait starts the wait until the holder of a revoked lease can no longer act: the last renewal that still listed the
-// lease was received before now.
+// startRevocationWait starts the wait until the holder of a revoked lease can no longer act. It lasts the TTL of the
+// holder's session, or the longest TTL if the session is gone: the last renewal that still listed the lease was
+// received before now.
 func (t *ExpiryTracker) startRevocationWait(now time.Duration, s *State, name string, l *Lease) {
 	ttl := t.maxTTL
 	if session := s.Sessions[l.Holder]; session != nil {
@@ -57,8 +58,8 @@
 
 // Renewed records a session's renewal. received is when the renewal arrived; the leader has confirmed since then
 // that it is still the leader. An Open that was applied in this term counts as a renewal too, also a repeated one.
-// It returns false if the session does not exist or its expiry can no longer be stopped; the session must then not
-// be told that it is renewed.
+// It returns false if the session does not exist or its expiry can no longer be stopped; the renewal must then
+// not be confirmed.
 func (t *ExpiryTracker) Renewed(received time.Duration, s *State, id string) bool {
 	session := s.Sessions[id]
 	if session == nil || t.expiring[id] {
@@ -117,7 +118,8 @@
 	return due
 }
 
-// Remaining returns how long a session has until its TTL has passed, as measured by this leader.
+// Remaining returns how long a session has until its TTL has passed, as measured by this leader; once its Expire is
+// proposed, the time until that is proposed again.
 func (t *ExpiryTracker) Remaining(now time.Duration, session string) time.Duration {
 	return t.expiresAt[session] - now
 }
