--- a/control/control.go
+++ b/control/control.go
@@ -1369,8 +1369,7 @@
 			s.limiter.cut()
 		}
 	case ConnectFailed:
-		// No connection, or it broke before the whole request was written: the server may have crashed before
-		// the list shows it. When it answers again, it is treated as cold.
+		// The server may have crashed before the list shows it. When it answers again, it is treated as cold.
 		s.suspectedRestart = true
 		g.recordFailure(s, 2)
 	case Reset, Error: // no suspected restart: answers may be lost on most of the fleet
