--- a/control/control.go
+++ b/control/control.go
@@ -1,13 +1,16 @@
 package control
 
-// This file makes the decisions. types.go declares the interface: settings, events and actions. state.go,
-// peers.go and copies.go hold the state, arithmetic on it, messages to peers and hedged requests.
+// This file makes the decisions. types.go declares the interface: settings, events and actions. state.go
+// holds the state, arithmetic on it, and the handlers of events that only change the state. peers.go
+// formats and handles messages to peers. copies.go carries out hedged requests and enforces the limit on
+// attempts in flight (Plan.Open).
 //
 // Reading order: the constants; New and Handle; then 1. customers and their quotas, the core of the package:
 // units are counted locally and added to the shared counter in batches; 2. the counter: when to call it, and
 // how its answers are used; 3. requests; 4. servers.
 //
-// docs/design.md says which parts come from the source of this design and which were changed.
+// docs/design.md says which parts come from the original design, on which this one is based, and which were
+// changed.
 
 import (
 	"cmp"
@@ -31,8 +34,9 @@
 	// after the closing read of that window, and no longer.
 	countTTLWindows = 4
 
-	// maxFlushDelay is the longest time that units wait to be added to the counter, in seconds: the periodic
-	// flush of the original design. It also bounds the time between two timers and between two sweeps.
+	// maxFlushDelay is the longest time that units wait to be added to the counter, in seconds: the
+	// periodic flush of the original design (see docs/design.md). It also bounds the time between two
+	// timers and between two sweeps.
 	maxFlushDelay = 1.0
 
 	// readIntervalUnits is the shortest time before a call that adds nothing, as a multiple of the time in
@@ -47,20 +51,21 @@
 	// doubled.
 	doublingCallPrice = 0.02
 
-	// counterLag is the time within which units used at other gateways cannot be seen, in seconds: a timer
-	// interval, a call and its transmission.
+	// counterLag is about the time within which units used at other gateways cannot be seen, in seconds: the
+	// wait for a timer or another event that lets a due call be made, the call and its transmission.
 	counterLag = 0.012
 
 	// demandPriorUnits is the weight of a customer's usual rate in an estimate of its demand, in units,
 	// against the units asked of this gateway. Customers differ widely.
 	demandPriorUnits = 0.5
 
-	// openSpikeShare is the share of the demand expected at other gateways that is assumed to be in flight
-	// there. It matters to plans that cap the attempts in flight.
+	// openSpikeShare is the least share of the demand expected at other gateways that is assumed to be in
+	// flight there: a sudden rise shows in the demand before it shows in any total. It matters to plans that
+	// cap the attempts in flight.
 	openSpikeShare = 0.7
 
 	// drawnSpikeShare is the least share of the demand expected at other gateways that is assumed to be drawn
-	// from the quota.
+	// from the quota, for the same reason.
 	drawnSpikeShare = 0.4
 
 	// viewStaleAfter is the age after which a view says little about demand at other gateways, in seconds.
@@ -131,7 +136,7 @@
 	// a lookup.
 	minCallBurst = 4.0
 
-	// lookupReserve is the number of calls that calls which only read leave to requests that wait for a
+	// lookupReserve is the number of call tokens that read-only calls leave unused, for requests that need a
 	// lookup.
 	lookupReserve = 3.0
 
@@ -141,13 +146,13 @@
 
 	// ---- Messages to peers while the counter does not answer ----
 
-	// peerFallbackDelay is the time without an answer of the counter before peers are told of use, in
-	// seconds.
+	// peerFallbackDelay is the time after the first of several consecutive failed calls from which use is
+	// reported to peers, in seconds.
 	peerFallbackDelay = 0.3
 
-	// peerFallbackMisses is the number of consecutive calls without an answer before peers are told. A single
-	// one is a sign of overload, not of an outage.
-	peerFallbackMisses = 2
+	// peerFallbackFailures is the number of consecutive failed calls (of any status but OK) before use is
+	// reported to peers. A single one is a sign of overload, not of an outage.
+	peerFallbackFailures = 2
 
 	// minPeerInterval is the shortest time between rounds of messages, in seconds. A total read from the
 	// counter would be about a tenth of a second old, too.
@@ -157,7 +162,8 @@
 	// concentrated at some gateways.
 	peerIntakeShare = 0.5
 
-	// maxPeerEntries is the number of customers in one message, which has to fit into 256 bytes.
+	// maxPeerEntries is the number of customers in one message, to fit about 256 bytes: entries of about 18
+	// bytes do. The longest possible entries have 24 bytes and would make a message of 335.
 	maxPeerEntries = 14
 
 	// ---- Retry-After hints ----
@@ -172,8 +178,9 @@
 
 	// ---- Retries: the retry budget and the time-out of an attempt ----
 
-	// retryBudgetRatio is the number of retries that each request adds to the budget. It keeps a retry storm
-	// at a tenth of the load.
+	// retryBudgetRatio is the number of retries that each request adds to the budget. It keeps a storm of
+	// retries of requests that may have run at a tenth of the load. Retries of requests that certainly did not
+	// run take nothing from the budget, and are not limited by it.
 	retryBudgetRatio = 0.1
 
 	// retryBudgetMax is the most that the budget holds, in retries.
@@ -197,7 +204,9 @@
 	initialPooledLimit = 4.0
 
 	// minLimit is the least limit of one gateway at one server, in attempts. It is below 1 because many
-	// gateways share a server; then only some of the servers are in use at once.
+	// gateways share a server. One attempt is always allowed there; a limit below 1 lowers the sum over all
+	// servers, which shed compares with the attempts in flight where limits are not pooled. Then only some of
+	// the servers are in use at once.
 	minLimit = 0.2
 
 	// lostAfterTypicals is the age in typical answer times from which an attempt counts as lost while other
@@ -208,8 +217,8 @@
 	// where a gateway has only few in flight.
 	inFlightTimeConstant = 1.0
 
-	// minPooledLimitShare is the least pooled limit, as a share of its initial value. The overload estimate
-	// does the rest.
+	// minPooledLimitShare is the least pooled limit, as a share of its initial value. What is still too much
+	// load then is shed because of the estimate of overload.
 	minPooledLimitShare = 0.3
 
 	// limitGrowthFactor multiplies a limit after an answer in time.
@@ -232,10 +241,12 @@
 	lossyMaxLateShare = 0.07
 
 	// lossyMinInTimeShare is the share of all attempts that must be answered in time for missing answers to
-	// be taken as loss. No usable network loses more than the rest.
+	// be taken as loss. A network that loses more than the rest is of no use, so below this share overload is
+	// assumed instead.
 	lossyMinInTimeShare = 0.4
 
-	// overloadRise is the change a second of the fleet's overload while answers are late.
+	// overloadRise is the change a second of the fleet's overload (see pool.overload for its scale) while
+	// answers are late.
 	overloadRise = 1.0
 
 	// overloadFall is its fall a second while answers are in time. Rise and fall balance at one late answer
@@ -320,8 +331,8 @@
 
 	// ---- Outlier ejection, and slow start of cold servers ----
 
-	// ejectionFailures is the number of consecutive failures after which a server is ejected. A refused
-	// connection counts twice.
+	// ejectionFailures is the number of consecutive failures after which a server is ejected. ConnectFailed,
+	// such as a refused connection, counts twice.
 	ejectionFailures = 3
 
 	// minEjectionTime is the time for which a server is first ejected, in seconds. Each failed trial doubles
@@ -444,11 +455,11 @@
 // sweep does the periodic work of a timer: messages to peers, hedges, a new subscription and the eviction of
 // idle customers.
 func (g *Gateway) sweep() {
-	silent := g.missedCalls >= peerFallbackMisses && g.now-g.firstMissAt > peerFallbackDelay
-	if g.settings.Limits.Peers && silent && g.now-g.peersToldAt > g.peerInterval {
-		g.tellPeers()
+	silent := g.failedCalls >= peerFallbackFailures && g.now-g.firstFailureAt > peerFallbackDelay
+	if g.settings.Limits.Peers && silent && g.now-g.peersReportedAt > g.peerInterval {
+		g.reportToPeers()
 	}
-	if g.wakeAt = 0; g.missedCalls > 0 {
+	if g.wakeAt = 0; g.failedCalls > 0 {
 		g.wakeBy(g.now + max(minPeerInterval, g.peerInterval))
 	}
 	g.wakeBy(g.now + maxFlushDelay)
@@ -465,7 +476,7 @@
 	g.customersByArrival = slices.DeleteFunc(g.customersByArrival, func(c *customer) bool {
 		idle := g.now-c.lastRequestAt > max(idleEvictionWindows*c.plan.windowLength(minWindow),
 			c.plan.ceilingRefillTime())
-		if c.evicted = idle && !c.callInFlight && c.uncertainUnits == 0 && c.openAttempts == 0; c.evicted {
+		if c.evicted = idle && !c.callInFlight && c.uncertainUnits == 0 && c.attemptsInFlight == 0; c.evicted {
 			delete(g.customers, c.id)
 		}
 		return c.evicted
@@ -490,6 +501,15 @@
 // gateways spend in proportion: own units are divided by this gateway's share before they are drawn from it.
 // A request is admitted while splitLevel holds its units (the split of the original design), or while level
 // very likely does.
+//
+// Terms:
+//   - window: the period over which the units of a customer are summed up under one name, its count.
+//   - call: a counter call (Count), which adds an amount to a count and returns the total of all gateways.
+//   - flush: a call that adds units. Units that no call has been made for yet are unflushed.
+//   - read: a call that adds nothing. The closing read is that of a window that is over, to learn the units
+//     that other gateways have added to it.
+//   - lookup: a call for whose answer a request is held.
+//   - view: the last total that was applied to a customer, at viewedAt.
 
 // customerOf returns the customer of a request, and creates it if this gateway does not know it.
 func (g *Gateway) customerOf(e Request) *customer {
@@ -528,8 +548,9 @@
 	return even + max(0, min(1, share)-even)*math.Exp(-(g.now-c.viewedAt)/staleShareTimeConstant)
 }
 
-// demand estimates the units a second that the customer asks of all gateways, without some that were asked of
-// this one. The usual rate is a prior: at a share of 1%, a single request would otherwise count as a hundred.
+// demand estimates the units a second that the customer asks of all gateways. excluded is the number of
+// units recently asked of this one that do not count, such as those of the request being decided. The usual
+// rate is a prior: at a share of 1%, a single request would otherwise count as a hundred.
 func (g *Gateway) demand(c *customer, excluded float64) float64 {
 	share := g.share(c)
 	observed := max(0, c.ownDemandRate*rateTimeConstant-excluded)
@@ -537,24 +558,26 @@
 	return (demandPriorUnits + observed) / (demandPriorUnits/usual + share*rateTimeConstant)
 }
 
-// admissionValue is the expected gain of admitting a request, per unit of its worth: at most 1, for one
-// inside the quota, and 0 or less for one to refuse.
+// admissionValue is the expected gain of admitting a request, per unit of its worth. It is 0 or less for
+// one to refuse, and at most 1: for one inside the quota, and for any where the plan has no such quota or a
+// request beyond it still earns more than it costs. The hard ceiling and the limit on attempts in flight
+// come first.
 func (g *Gateway) admissionValue(c *customer, class int, units float64) float64 {
 	p := c.plan
 	if p.CeilingRate > 0 && c.ceilingLevel < units {
 		return 0 // the hard ceiling holds whatever a request would gain
 	}
 	share := g.share(c)
-	gain := p.OverWorth - p.OverCost // of a request beyond the quota, per unit of worth
+	overQuotaGain := p.OverWorth - p.OverCost // of a request beyond the quota, per unit of worth
 	atOpenLimit := g.atOpenLimit(c)
-	if atOpenLimit && (p.Rate <= 0 || c.openAttempts >= p.Open) {
+	if atOpenLimit && (p.Rate <= 0 || c.attemptsInFlight >= p.Open) {
 		return 0
 	}
-	if p.Rate <= 0 || gain > 0 {
+	if p.Rate <= 0 || overQuotaGain > 0 {
 		return 1
 	}
 	age, othersRate := c.viewAge(g.now), c.othersRate
-	if g.missedCalls > 0 && g.now-g.peerHeardAt < viewStaleAfter {
+	if g.failedCalls > 0 && g.now-g.peerHeardAt < viewStaleAfter {
 		age = min(age, g.peerInterval) // peers report at this interval: what they have not reported is no older
 	}
 	othersDemand := g.demand(c, units) * (1 - share)
@@ -582,12 +605,12 @@
 	}
 	if atOpenLimit { // the same for attempts in flight: others have as many as they send during one answer time
 		answerTime := g.poolOf(g.settings.Site).classes[class].typicalTime
-		chance *= poissonAtMost(p.Open-1-c.openAttempts,
+		chance *= poissonAtMost(p.Open-1-c.attemptsInFlight,
 			max(othersRate, openSpikeShare*othersDemand)/g.meanUnits*answerTime)
 	}
 	// A unit that is not spent now is spent later while demand exceeds the rate.
 	savedValue := min(1, g.demand(c, 0)/p.Rate) * (1 - c.level/p.Burst)
-	return chance*(1-savedValue) + (1-chance)*gain
+	return chance*(1-savedValue) + (1-chance)*overQuotaGain
 }
 
 // retryAfter is the hint when a client should try again, in seconds: the wait for the units, or a short
@@ -704,8 +727,8 @@
 // missing. The step is proportional to the time since the last answer, so that calls rejected at once do not
 // dominate it.
 func (g *Gateway) adaptCallRate(quick bool) {
-	sinceAnswer := g.now - g.counterAnsweredAt
-	g.counterAnsweredAt = g.now
+	sinceAnswer := g.now - g.lastResultAt
+	g.lastResultAt = g.now
 	gateways := float64(g.settings.Gateways)
 	if quick { // it grows faster far below the initial rate
 		step := min(1, callRateGrowth*sinceAnswer*
@@ -733,8 +756,8 @@
 		return
 	}
 	if e.Status != OK {
-		if g.missedCalls++; g.missedCalls == 1 {
-			g.firstMissAt = g.now
+		if g.failedCalls++; g.failedCalls == 1 {
+			g.firstFailureAt = g.now
 		}
 		g.wakeBy(g.now + peerFallbackDelay)
 		g.adaptCallRate(false)
@@ -748,7 +771,7 @@
 		c.callDueAt = max(c.callDueAt, g.now+g.settings.Counter.Timeout*(1+g.rng.Float64()))
 		return
 	}
-	g.missedCalls = 0
+	g.failedCalls = 0
 	clear(g.unclaimedPeerUnits)
 	g.adaptCallRate(e.Elapsed <= slowCallShare*g.settings.Counter.Timeout)
 	c.refill(g.now, rateTimeConstant)
@@ -792,7 +815,7 @@
 	}
 	others := total - c.ownCounted
 	newUnits := max(0, others-c.othersCounted-c.unitsFromPeers)
-	c.unitsFromPeers, c.unitsToldPeers = 0, 0
+	c.unitsFromPeers, c.unitsReported = 0, 0
 	c.othersCounted = max(c.othersCounted, others)
 	age := c.viewAge(g.now)
 	// A total covers its window only; before that, others are assumed to have drawn at their rate.
@@ -808,7 +831,8 @@
 	c.ownRecentUnits = c.ownRecentUnits*decay + c.unitsSinceView
 	c.allRecentUnits = c.allRecentUnits*decay + c.unitsSinceView + newUnits
 	c.level -= newUnits
-	// Requests beyond the quota draw nothing from the bucket that the quota is judged by.
+	// Requests beyond the quota draw nothing from the bucket that decides whether a request is inside it. Units
+	// that were drawn beyond an empty bucket are put back, and at least one, taken as a whole request.
 	for c.level < 0 {
 		c.level += max(1, -c.level)
 	}
@@ -817,14 +841,17 @@
 	c.viewedAt = g.now
 }
 
-// tellPeers sends the units that may not have been added to the customers' other gateways while the counter
-// does not answer. The interval grows with the messages sent, to keep within what a receiver takes in.
-func (g *Gateway) tellPeers() {
+// reportToPeers is used while calls to the counter fail. For each customer, it reports the units that the
+// counter may not hold yet to the other gateways of that customer. Each of them gets the first
+// maxPeerEntries reports that concern it; the others are not sent, but count as reported. The interval
+// grows with the number of messages, to keep within what a receiver takes in.
+func (g *Gateway) reportToPeers() {
 	var uses []peerUse
 	for _, c := range g.customersByArrival {
-		if untold := c.unflushed + c.unitsInFlight + c.uncertainUnits - c.unitsToldPeers; untold > 0 {
-			uses = append(uses, peerUse{c.id, untold, c.firstGateway, int(c.gatewayCount)})
-			c.unitsToldPeers += untold
+		if unreported := c.unflushed + c.unitsInFlight + c.uncertainUnits -
+			c.unitsReported; unreported > 0 {
+			uses = append(uses, peerUse{c.id, unreported, c.firstGateway, int(c.gatewayCount)})
+			c.unitsReported += unreported
 		}
 	}
 	sent := 0
@@ -834,7 +861,7 @@
 			g.emit(MessagePeer{Peer: peer, Data: encodeUse(entries)})
 		}
 	}
-	g.peersToldAt, g.peerInterval = g.now, max(minPeerInterval,
+	g.peersReportedAt, g.peerInterval = g.now, max(minPeerInterval,
 		float64(sent)/(peerIntakeShare*max(1, g.settings.Limits.PeerIntake)))
 }
 
@@ -858,11 +885,11 @@
 		g.retryBudget = min(retryBudgetMax, g.retryBudget+retryBudgetRatio)
 		g.meanUnits += (units - g.meanUnits) * poolSampleWeight
 	}
-	gain := g.admissionValue(c, e.Class, units)
-	if gain > 0 && e.heldRequest == nil && g.holdForLookup(c, e, units) {
+	value := g.admissionValue(c, e.Class, units)
+	if value > 0 && e.heldRequest == nil && g.holdForLookup(c, e, units) {
 		return
 	}
-	if gain <= 0 {
+	if value <= 0 {
 		g.emit(Refuse{ID: e.ID, RetryAfter: g.retryAfter((units - c.level) / max(c.plan.Rate, 1e-9)), Over: true})
 		g.scheduleCall(c)
 		return
@@ -873,7 +900,7 @@
 		return
 	}
 	r := &request{id: e.ID, class: e.Class, customer: c, units: units, deadline: g.now + e.TimeLeft}
-	s := g.selectServer(r, e.Reach, gain)
+	s := g.selectServer(r, e.Reach, value)
 	if s == nil {
 		g.emit(Refuse{ID: e.ID, RetryAfter: g.retryAfter(0)})
 		return
@@ -885,11 +912,12 @@
 	g.send(r, s)
 }
 
-// holdForLookup holds a request that is admitted by an old view only until the counter has answered, and
-// reports whether it did: of many gateways, each sees little of a customer. It does not wait for a counter
-// with missed calls.
+// holdForLookup holds a request until the counter has answered if nothing but an old view admits it, and
+// reports whether it did. An old view says little of the present use: of many gateways, each sees little of
+// a customer. No request is held if the last call failed, if no call may be made now, or if it has too
+// little time left.
 func (g *Gateway) holdForLookup(c *customer, e Request, units float64) bool {
-	canCall := g.settings.Counter.Allowed && c.plan.Rate > 0 && g.missedCalls == 0 &&
+	canCall := g.settings.Counter.Allowed && c.plan.Rate > 0 && g.failedCalls == 0 &&
 		(c.callInFlight || g.callTokens >= 1)
 	known := c.viewAge(g.now) < lookupViewAge || c.splitLevel*g.share(c) >= units
 	if !canCall || known || g.customers[c.id] != c || e.TimeLeft < minHoldTimeouts*g.settings.Counter.Timeout {
@@ -910,13 +938,14 @@
 }
 
 // selectServer returns a server at the first site within reach or, if there is none or the request is shed
-// there, at the second; nil if there is none. A retry (gain 0) is not shed, nor a request for which package
-// sites reports room at the first site; shed still updates its estimates from the latter.
-func (g *Gateway) selectServer(r *request, reach Reach, gain float64) *server {
+// there, at the second; nil if there is none. value is the request's admissionValue, or 0 for a retry. A
+// retry is not shed, nor a request at the first site if package sites reports room there; shed still
+// updates its estimates from the latter.
+func (g *Gateway) selectServer(r *request, reach Reach, value float64) *server {
 	for i, site := range [...]int{reach.First, reach.Then} {
 		lastSite := i > 0 || reach.Then == reach.First
 		s := g.chooseServer(r, g.poolOf(site), lastSite)
-		if s != nil && (gain <= 0 || !reach.Full && (!g.shed(r, gain, s.pool) || i == 0 && reach.Room)) {
+		if s != nil && (value <= 0 || !reach.Full && (!g.shed(r, value, s.pool) || i == 0 && reach.Room)) {
 			return s
 		}
 		if lastSite {
@@ -928,30 +957,32 @@
 
 // shed reports whether a request is refused because of overload, and updates the pool's estimates of it. The
 // less a request is worth compared with others, the more likely it is shed.
-func (g *Gateway) shed(r *request, gain float64, p *pool) bool {
+func (g *Gateway) shed(r *request, value float64, p *pool) bool {
 	class := &g.settings.Classes[r.class]
 	// With little time left, the answer is likely too late, and the request is worth less.
 	cs := &p.classes[r.class]
 	inTimeChance := 1 - math.Exp2(-min(class.Aim, r.deadline-g.now)/cs.typicalTime)
-	if inTimeChance < minInTimeChance { // it decays: if all are refused, no answer would lower it again
+	// The typical time decays with each refusal: if all are refused, no answer would lower it again.
+	if inTimeChance < minInTimeChance {
 		cs.typicalTime -= cs.typicalTime * typicalTimeDecay
 	}
-	worth := inTimeChance * gain * class.Worth * r.customer.plan.Worth * r.units / max(cs.workTime, 1e-4)
+	worth := inTimeChance * value * class.Worth * r.customer.plan.Worth * r.units / max(cs.workTime, 1e-4)
 	meanRatio := p.recordWorth(worth)
 	// In a large fleet, a gateway with one attempt in flight can't see overload in its own limits; late
 	// answers of any server show it.
 	p.fleetOverload *= math.Exp(-(g.now - p.overloadDecayedAt) / overloadTimeConstant)
 	p.overloadDecayedAt = g.now
+	// With more gateways than attempts that a server's initial limit allows, each has few attempts at a server.
+	fewPerServer, maxAge, workShare := initialServerLimit < p.gateways, math.Inf(1), 1.0
 	// If answers get lost, attempts in flight for long while others are answered quickly keep no server busy.
-	sparse, maxAge, workShare := initialServerLimit < p.gateways, math.Inf(1), 1.0
-	if sparse && p.lossy() {
+	if fewPerServer && p.lossy() {
 		maxAge, workShare = lostAfterTypicals, p.inTimeShare
 	}
 	limit, inFlight, servers := p.occupancy(g.now, maxAge)
 	limit, inFlight = limit+minLimit, inFlight*workShare
 	// A gateway that seldom sends to a server knows nothing about it, so one limit is pooled over all. With
 	// few attempts in flight their number is mostly chance, and is averaged.
-	if sparse {
+	if fewPerServer {
 		decay := math.Exp(-(g.now - p.meanInFlightAt) / inFlightTimeConstant)
 		p.meanInFlight, p.meanInFlightAt = p.meanInFlight*decay+inFlight*(1-decay), g.now
 		limit, inFlight = minLimit+p.pooledLimit*servers, p.meanInFlight
@@ -960,7 +991,7 @@
 	p.overload = p.fleetOverload + max(0, inFlight-limit*busyLimitShare)/(limit*(1-busyLimitShare))
 	if inTimeChance < minInTimeChance || p.overload <= 0 ||
 		g.rng.Float64() <= math.Exp(-p.overload*meanRatio*meanRatio) {
-		return inTimeChance < minInTimeChance
+		return inTimeChance < minInTimeChance // if the chance is too low it is shed, otherwise it is admitted
 	}
 	// A gateway that sheds every request would not see the overload end: from time to time one is admitted.
 	p.shedSinceAttempt++
@@ -1023,7 +1054,7 @@
 	}
 	a := r.startAttempt(s, g.now)
 	if !r.bodyIncoming {
-		g.bookAtServer(r, a)
+		g.countAsSent(r, a)
 	}
 	p.attemptRate = p.attemptRate*math.Exp(-(g.now-p.lastAttemptAt)/rateTimeConstant) + 1/rateTimeConstant
 	p.lastAttemptAt, p.shedSinceAttempt = g.now, 0
@@ -1031,12 +1062,12 @@
 	g.scheduleHedge(r)
 }
 
-// bookAtServer counts an attempt as work of its server from now on, when the server is about to have the
-// whole request. Counted from the first byte, a slow upload would look like overdue work.
-func (g *Gateway) bookAtServer(r *request, a *attempt) {
+// countAsSent counts an attempt as work of its server from now on, as the server is about to have the whole
+// request. Counted from the first byte, a slow upload would look like overdue work.
+func (g *Gateway) countAsSent(r *request, a *attempt) {
 	cs := &a.server.pool.classes[r.class]
 	a.sentAt, a.bodySent, cs.undecided = g.now, true, append(cs.undecided, a)
-	a.server.addAttempt(openAttempt{r.id, g.now, cs.typicalTime})
+	a.server.addAttempt(sentAttempt{r.id, g.now, cs.typicalTime})
 }
 
 // handleOutcome processes the end of an attempt, and retries or finishes the request.
@@ -1134,13 +1165,13 @@
 	}
 	if e.Kind != Delta { // a server that a full list does not name is removed
 		for _, s := range g.servers {
-			s.listed, s.member.State = false, Removed
+			s.ready, s.member.State = false, Removed
 		}
 	}
 	for _, m := range e.Entries {
 		s, p := g.servers[m.Server], g.poolOf(m.Site)
 		if s != nil && s.pool != p { // it moved: its attempts in flight end in the old pool
-			s.listed, s.member.State = false, Removed
+			s.ready, s.member.State = false, Removed
 			s = nil
 		}
 		if s == nil {
@@ -1155,7 +1186,7 @@
 			s.clearFailures()
 		}
 		s.member = m
-		s.listed = m.State == Ready
+		s.ready = m.State == Ready
 	}
 	for _, p := range g.pools {
 		g.forgetRemoved(p)
@@ -1228,7 +1259,7 @@
 		return best
 	}
 	for _, s := range p.servers { // never eject all servers: use the least bad one
-		if cost := g.cost(r, s); s.listed && !s.cold && g.mayServe(r, s) && cost < bestCost {
+		if cost := g.cost(r, s); s.ready && !s.cold && g.mayServe(r, s) && cost < bestCost {
 			best, bestCost = s, cost
 		}
 	}
@@ -1270,9 +1301,9 @@
 		slowness = 1 + (slowness-1)*math.Exp(-idle/slownessTimeConstant)
 	}
 	cost := slowness * (1 + float64(s.limiter.inFlight))
-	if len(s.openAttempts) > 0 {
+	if len(s.sentAttempts) > 0 {
 		// A server that hangs gives no answers to learn from; the age of its oldest attempt shows it.
-		cost += max(0, (g.now-s.openAttempts[0].sentAt)/s.openAttempts[0].typicalTime-2)
+		cost += max(0, (g.now-s.sentAttempts[0].sentAt)/s.sentAttempts[0].typicalTime-2)
 	}
 	for i := range r.attempts {
 		if r.attempts[i].server == s {
--- a/internal/forwardauth/forwardauth.go
+++ b/internal/forwardauth/forwardauth.go
@@ -184,7 +184,7 @@
 		front.Reject(w, r, err)
 		return
 	}
-	x.DecisionOnly = true
+	x.VerdictOnly = true
 	ctx, cancel := context.WithDeadline(r.Context(), x.Deadline)
 	defer cancel()
 	identity, refused := f.identify(ctx, r.Header, origin, true)
