--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -39,7 +39,7 @@
 			defer goOn()
 			left := slices.Clone(c.steps)
 			start := func() {
-				ends = append(ends, f.conduct(func(m rollout.Move) {
+				ends = append(ends, f.startConductor(func(m rollout.Move) {
 					if i := slices.Index(left, step{m.Stage, m.To}); i >= 0 {
 						died <- left[i]
 						left = slices.Delete(left, i, i+1)
@@ -48,12 +48,12 @@
 				}))
 			}
 			start()
-			f.release(c.version, true)
+			f.beginRelease(c.version, true)
 			if c.version == "dies-later" { // the canary falls while the second wave is going out
 				v := f.Await("the second wave is going out", func(v *rollout.Fleet) bool { p := v.Plans["r"]; return p.Wave == 1 && p.Stage == rollout.Updating })
 				r, _, _ := loadRunning(f.configs[slices.IndexFunc(f.configs, func(o *Config) bool { return o.Name == v.Plans["r"].Waves[0][0] })].State)
 				syscall.Kill(r.PID, syscall.SIGKILL)
-				f.note("g0 dies-later crash")
+				f.appendRecord("g0 dies-later crash")
 			}
 			for range c.steps {
 				select {
@@ -71,8 +71,8 @@
 			if v.Plans["r"].Stage != c.ends {
 				t.Errorf("a late move took it to %s", v.Plans["r"].Stage)
 			}
-			if atOnce, _ := f.judge(c.version); atOnce > 1 {
-				text, _ := os.ReadFile(f.record)
+			if atOnce, _ := f.replacements(c.version); atOnce > 1 {
+				text, _ := os.ReadFile(f.recordPath)
 				t.Errorf("%d were replaced at once:\n%s%s", atOnce, text, grouptest.Told(v))
 			}
 		})
@@ -83,15 +83,15 @@
 func TestTheWayBackWhileAWaveGoesOut(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.conduct(nil)
-	f.release("2", false)
+	f.startConductor(nil)
+	f.beginRelease("2", false)
 	v := f.Await("the second wave has begun", func(v *rollout.Fleet) bool { p := v.Plans["r"]; return p.Wave == 1 && len(p.Begun) >= 2 })
 	p := v.Plans["r"]
 	f.Change(rollout.Command{Op: rollout.MoveRelease, Move: &rollout.Move{Plan: "r", Stage: p.Stage, Wave: p.Wave, To: rollout.RollingBack, Why: "by hand"}})
 	f.Await("all run what they ran", func(v *rollout.Fleet) bool {
-		return v.Plans["r"].Stage == rollout.RolledBack && f.run(v, "1") == gateways
+		return v.Plans["r"].Stage == rollout.RolledBack && f.countServing(v, "1") == gatewayCount
 	})
-	if atOnce, _ := f.judge("2"); atOnce > 1 {
+	if atOnce, _ := f.replacements("2"); atOnce > 1 {
 		t.Errorf("%d were replaced at once", atOnce)
 	}
 }
@@ -100,7 +100,7 @@
 func TestConfigurationsRollOutByTheSamePlan(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
-	f.conduct(nil)
+	f.startConductor(nil)
 	has := func(v *rollout.Fleet, config string) (n int) {
 		for _, u := range v.Budget.Units {
 			if u.Config == config && u.Up {
@@ -111,14 +111,14 @@
 	}
 	s := rollout.Settings{Canary: 1, Growth: 3, Pause: 300 * time.Millisecond, Patience: 20 * time.Second, Limits: rollout.DefaultLimits, GoBack: true}
 	units := []string{"g0", "g1", "g2", "g3"}
-	f.Await("all have the first", func(v *rollout.Fleet) bool { return has(v, "c1") == gateways })
+	f.Await("all have the first", func(v *rollout.Fleet) bool { return has(v, "c1") == gatewayCount })
 	f.Change(rollout.Command{Op: rollout.Begin, Change: "good", Version: "c2", Config: true, Units: units, Settings: &s})
 	f.Await("all have the second", func(v *rollout.Fleet) bool {
-		return v.Plans["good"].Stage == rollout.Done && has(v, "c2") == gateways
+		return v.Plans["good"].Stage == rollout.Done && has(v, "c2") == gatewayCount
 	})
 	f.Change(rollout.Command{Op: rollout.Begin, Change: "bad", Version: "c-bad", Config: true, Units: units, Settings: &s})
 	v := f.Await("it is turned down", func(v *rollout.Fleet) bool { return v.Plans["bad"].Over() })
-	if p := v.Plans["bad"]; p.Stage != rollout.RolledBack || !strings.Contains(p.Why, "class move-submit is missing") || has(v, "c2") != gateways {
+	if p := v.Plans["bad"]; p.Stage != rollout.RolledBack || !strings.Contains(p.Why, "class move-submit is missing") || has(v, "c2") != gatewayCount {
 		t.Errorf("%s: %q; %d have the second", p.Stage, p.Why, has(v, "c2"))
 	}
 	// A process that ends by itself comes back with the configuration that it had.
@@ -128,7 +128,7 @@
 		u := v.Budget.Units["g0"]
 		return u.Config == "c2" && u.Up && !strings.HasPrefix(u.Instance, fmt.Sprint(r.PID, "-"))
 	})
-	if text, _ := os.ReadFile(f.record); strings.Count(string(text), " start\n") != gateways+1 {
+	if text, _ := os.ReadFile(f.recordPath); strings.Count(string(text), " start\n") != gatewayCount+1 {
 		t.Errorf("a configuration's release replaced a process:\n%s", text)
 	}
 }
@@ -150,7 +150,7 @@
 	f.Change(rollout.Command{Op: rollout.Restore, Change: "d1"})
 	f.Await("g1 serves, and g2 is out", func(v *rollout.Fleet) bool { return v.Budget.Units["g1"].Up && !v.Budget.Units["g2"].Up })
 	f.Change(rollout.Command{Op: rollout.Restore, Change: "d2"})
-	f.Await("all serve", func(v *rollout.Fleet) bool { return f.run(v, "1") == gateways && len(v.Drains) == 0 })
+	f.Await("all serve", func(v *rollout.Fleet) bool { return f.countServing(v, "1") == gatewayCount && len(v.Drains) == 0 })
 }
 
 // A second agent of one name, somewhere else, says nothing until the first one is gone; then the name is its.
@@ -160,17 +160,17 @@
 	c := f.config("g0", "elsewhere")
 	ctx, stop := context.WithCancel(f.ctx)
 	ended := make(chan error, 1)
-	second := New(c, quiet)
+	second := New(c, discardLogger)
 	go func() { ended <- second.Run(ctx) }()
 	v := f.Await("its gateway runs", func(*rollout.Fleet) bool { r, ok, _ := loadRunning(c.State); return ok && r.PID > 0 })
 	first := v.Budget.Units["g0"].Instance
-	f.release("2", false)
-	f.conduct(nil)
+	f.beginRelease("2", false)
+	f.startConductor(nil)
 	f.Await("the release is over", func(v *rollout.Fleet) bool { return v.Plans["r"].Over() })
-	if text, _ := os.ReadFile(f.record); strings.Contains(string(text), "elsewhere 2 start") {
+	if text, _ := os.ReadFile(f.recordPath); strings.Contains(string(text), "elsewhere 2 start") {
 		t.Error("the second agent replaced its gateway")
 	}
-	if _, speaks := second.holds(); speaks {
+	if _, speaks := second.leaseToken(); speaks {
 		t.Error("both speak for one name")
 	}
 	stop()
@@ -179,7 +179,7 @@
 	}
 	if r, ok, _ := loadRunning(c.State); ok {
 		if p := adopt(r); p != nil {
-			p.end(time.Second)
+			p.terminate(time.Second)
 		}
 	}
 	if v.Budget.Units["g0"].Instance != first {
@@ -205,8 +205,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			f := &fleet{t: t, ctx: t.Context(), dir: t.TempDir(), Group: &grouptest.Group{At: "127.0.0.1:1"}}
-			f.record = f.dir + "/record"
-			f.write()
+			f.recordPath = f.dir + "/record"
+			f.writeVersions()
 			o := f.config("g0", "g0")
 			old, err := start(o, c.old, o.Program.Management[0])
 			if err != nil {
@@ -227,30 +227,30 @@
 				}
 			}
 			if !c.oldRuns {
-				old.end(time.Second)
+				old.terminate(time.Second)
 			}
-			a := New(o, quiet)
-			if err := a.find(); err != nil {
+			a := New(o, discardLogger)
+			if err := a.recoverProcess(); err != nil {
 				t.Fatal(err)
 			}
-			defer func() { a.now.end(time.Second) }()
-			if a.now == nil || a.now.Version != c.stays || a.now.Config != "c1" {
-				t.Fatalf("goes on with %+v, %s is due", a.now, c.stays)
+			defer func() { a.current.terminate(time.Second) }()
+			if a.current == nil || a.current.Version != c.stays || a.current.Config != "c1" {
+				t.Fatalf("goes on with %+v, %s is due", a.current, c.stays)
 			}
 			for version, p := range both {
 				if version != c.stays {
 					<-p.ended
 				}
 			}
-			if r, ok, err := loadRunning(o.State); err != nil || !ok || r != a.now.running {
-				t.Errorf("kept %+v (%v), goes on with %+v", r, err, a.now.running)
+			if r, ok, err := loadRunning(o.State); err != nil || !ok || r != a.current.running {
+				t.Errorf("kept %+v (%v), goes on with %+v", r, err, a.current.running)
 			}
 			l, err := lock(o.State + ".lock")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer l.Close()
-			if err := New(o, quiet).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "another agent keeps this gateway") {
+			if err := New(o, discardLogger).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "another agent keeps this gateway") {
 				t.Errorf("a second agent on one state: %v", err)
 			}
 		})
@@ -260,15 +260,15 @@
 // What strays looks for doesn't match a process of somebody else.
 func TestStraysAreOnlyOurs(t *testing.T) {
 	cmd := exec.Command("sleep", "60")
-	cmd.Env = []string{ownEnv + "=/elsewhere/state", "JUNCTIONRING_VERSION=1"}
+	cmd.Env = []string{stateEnv + "=/elsewhere/state", "JUNCTIONRING_VERSION=1"}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { cmd.Process.Kill(); cmd.Wait() }()
-	if all := strays("/elsewhere/stat", nil); len(all) != 0 {
+	if all := leftoverProcesses("/elsewhere/stat", nil); len(all) != 0 {
 		t.Errorf("%d processes of another state", len(all))
 	}
-	if all := strays("/elsewhere/state", nil); len(all) != 1 || all[0].PID != cmd.Process.Pid || all[0].Version != "1" {
+	if all := leftoverProcesses("/elsewhere/state", nil); len(all) != 1 || all[0].PID != cmd.Process.Pid || all[0].Version != "1" {
 		t.Errorf("of its own state, first in its environment: %+v", all)
 	}
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -61,7 +61,7 @@
 }
 
 // began is the start time of a process, "" where there is none.
-func began(pid int) string {
+func startTime(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return ""
@@ -74,19 +74,19 @@
 }
 
 // ownEnv names the state file of the agent that started a process, so that one that it could not note is found.
-const ownEnv = "JUNCTIONRING_AGENT_STATE"
+const stateEnv = "JUNCTIONRING_AGENT_STATE"
 
 // strays are the processes that agents of this state file started, but for one.
-func strays(state string, but *process) (all []*process) {
+func leftoverProcesses(state string, except *process) (all []*process) {
 	found, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, path := range found {
-		text, err := os.ReadFile(path)                                                             // of others' processes, or of those that ended just now: not ours
-		if err != nil || !slices.Contains(strings.Split(string(text), "\x00"), ownEnv+"="+state) { // in any order: a shell between puts it in its own
+		text, err := os.ReadFile(path)                                                               // of others' processes, or of those that ended just now: not ours
+		if err != nil || !slices.Contains(strings.Split(string(text), "\x00"), stateEnv+"="+state) { // in any order: a shell between puts it in its own
 			continue
 		}
 		r := running{}
 		r.PID, _ = strconv.Atoi(filepath.Base(filepath.Dir(path)))
-		if but != nil && r.PID == but.PID {
+		if except != nil && r.PID == except.PID {
 			continue
 		}
 		for _, v := range strings.Split(string(text), "\x00") {
@@ -97,7 +97,7 @@
 				r.Version = value
 			}
 		}
-		r.Began = began(r.PID)
+		r.Began = startTime(r.PID)
 		if p := adopt(r); p != nil {
 			all = append(all, p)
 		}
@@ -107,12 +107,12 @@
 
 // adopt goes on with a process that an agent before started; nil: it is not there any more.
 func adopt(r running) *process {
-	if r.PID <= 0 || r.Began == "" || began(r.PID) != r.Began {
+	if r.PID <= 0 || r.Began == "" || startTime(r.PID) != r.Began {
 		return nil
 	}
 	p := &process{running: r, ended: make(chan struct{})}
 	go func() {
-		for began(r.PID) == r.Began { // it is nobody's child here: nothing tells of its end
+		for startTime(r.PID) == r.Began { // it is nobody's child here: nothing tells of its end
 			time.Sleep(100 * time.Millisecond)
 		}
 		close(p.ended)
@@ -134,8 +134,8 @@
 }
 
 // verify makes sure that a version's program is the one that was put there.
-func verify(c *Config, version string) (path string, err error) {
-	path, err = within(c.Program.Versions, version, c.Program.Name)
+func verifyProgram(c *Config, version string) (path string, err error) {
+	path, err = versionFile(c.Program.Versions, version, c.Program.Name)
 	if err != nil {
 		return "", err
 	}
@@ -148,8 +148,8 @@
 }
 
 // document is the text of a configuration, made sure of likewise.
-func (c *Config) document(name string) ([]byte, error) {
-	path, err := within(c.Configuration.Folder, name, "config.toml")
+func (c *Config) readConfiguration(name string) ([]byte, error) {
+	path, err := versionFile(c.Configuration.Folder, name, "config.toml")
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 }
 
 // within is the path of a version's file.
-func within(folder, version, name string) (string, error) {
+func versionFile(folder, version, name string) (string, error) {
 	if folder == "" {
 		return "", errors.New("the agent's file names no folder for it")
 	}
@@ -181,16 +181,16 @@
 	if _, err := io.Copy(h, r); err != nil {
 		return fmt.Errorf("version %s: %w", version, err)
 	}
-	first, _, _ := strings.Cut(strings.TrimSpace(string(want)), " ")
-	if got := hex.EncodeToString(h.Sum(nil)); got != first {
-		return fmt.Errorf("version %s: %s has the checksum %.12s..., and %.12s... is due", version, filepath.Base(path), got, first)
+	expected, _, _ := strings.Cut(strings.TrimSpace(string(want)), " ")
+	if got := hex.EncodeToString(h.Sum(nil)); got != expected {
+		return fmt.Errorf("version %s: %s has the checksum %.12s..., and %.12s... is due", version, filepath.Base(path), got, expected)
 	}
 	return nil
 }
 
 // start starts a version's program. It goes on when this agent ends.
 func start(c *Config, version, management string) (*process, error) {
-	path, err := verify(c, version)
+	path, err := verifyProgram(c, version)
 	if err != nil {
 		return nil, err
 	}
@@ -200,7 +200,7 @@
 	}
 	defer out.Close()
 	cmd := exec.Command(path, c.Program.Args...)
-	cmd.Env = append(os.Environ(), "EDGE_MANAGEMENT="+management, "JUNCTIONRING_VERSION="+version, ownEnv+"="+c.State)
+	cmd.Env = append(os.Environ(), "EDGE_MANAGEMENT="+management, "JUNCTIONRING_VERSION="+version, stateEnv+"="+c.State)
 	for k, v := range c.Program.Env {
 		cmd.Env = append(cmd.Env, k+"="+v)
 	}
@@ -209,7 +209,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("version %s: %w", version, err)
 	}
-	p := &process{running: running{Version: version, PID: cmd.Process.Pid, Began: began(cmd.Process.Pid), Management: management}, ended: make(chan struct{})}
+	p := &process{running: running{Version: version, PID: cmd.Process.Pid, Began: startTime(cmd.Process.Pid), Management: management}, ended: make(chan struct{})}
 	go func() {
 		cmd.Wait()
 		close(p.ended)
@@ -227,84 +227,84 @@
 }
 
 // end is SIGTERM, and SIGKILL after a time.
-func (p *process) end(patience time.Duration) {
+func (p *process) terminate(grace time.Duration) {
 	syscall.Kill(p.PID, syscall.SIGTERM)
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
+	case <-time.After(grace):
 		syscall.Kill(p.PID, syscall.SIGKILL)
 		<-p.ended
 	}
 }
 
-var offers = &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}} // a version is checked, staged and saved first
+var configClient = &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}} // a version is checked, staged and saved first
 
 var client = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // ready asks the process whether it takes clients.
 func (p *process) ready() bool {
-	a, err := client.Get("http://" + p.Management + "/api/ready")
+	response, err := client.Get("http://" + p.Management + "/api/ready")
 	if err != nil {
 		return false
 	}
-	a.Body.Close()
-	return a.StatusCode/100 == 2
+	response.Body.Close()
+	return response.StatusCode/100 == 2
 }
 
 // figures reads what became of requests, by class.
 func (p *process) figures() (map[string]rollout.Count, error) {
-	a, err := client.Get("http://" + p.Management + "/api/telemetry")
+	response, err := client.Get("http://" + p.Management + "/api/telemetry")
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return nil, errors.New(a.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return nil, errors.New(response.Status)
 	}
-	return readFigures(io.LimitReader(a.Body, 1<<20))
+	return readFigures(io.LimitReader(response.Body, 1<<20))
 }
 
 // draining reads the work under way at the servers that take nothing new.
-func (p *process) draining() (out map[string]int, err error) {
-	a, err := client.Get("http://" + p.Management + "/api/draining")
+func (p *process) draining() (workInFlight map[string]int, err error) {
+	response, err := client.Get("http://" + p.Management + "/api/draining")
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return nil, errors.New(a.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return nil, errors.New(response.Status)
 	}
-	err = json.NewDecoder(io.LimitReader(a.Body, 1<<20)).Decode(&out)
-	return out, err
+	err = json.NewDecoder(io.LimitReader(response.Body, 1<<20)).Decode(&workInFlight)
+	return workInFlight, err
 }
 
 // call has the process do something: evacuate or rejoin.
-func (p *process) call(what string) error {
-	r, err := http.NewRequest(http.MethodPut, "http://"+p.Management+"/api/"+what, nil)
+func (p *process) put(action string) error {
+	request, err := http.NewRequest(http.MethodPut, "http://"+p.Management+"/api/"+action, nil)
 	if err != nil {
 		return err
 	}
-	a, err := client.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: %s", what, a.Status)
+	response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: %s", action, response.Status)
 	}
 	return nil
 }
 
 // offer has the process take a configuration as its next version, and keep to it whatever a control service offers. On
 // an error the one in force stays.
-func (p *process) offer(text []byte) error {
+func (p *process) pushConfiguration(text []byte) error {
 	var now struct{ Version int64 }
 	call := func(method, path string, body []byte) error {
 		r, err := http.NewRequest(method, "http://"+p.Management+path, bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
-		a, err := offers.Do(r)
+		a, err := configClient.Do(r)
 		if err != nil {
 			return err
 		}
--- a/internal/agent/release_test.go
+++ b/internal/agent/release_test.go
@@ -26,32 +26,32 @@
 
 func TestMain(m *testing.M) {
 	if version := os.Getenv("JUNCTIONRING_VERSION"); version != "" {
-		gateway(version)
+		runGatewayStandIn(version)
 		return
 	}
 	os.Exit(m.Run())
 }
 
 // gateway is a stand-in for the gateway's program: its versions fail in the ways that releases fail.
-func gateway(version string) {
-	note := func(what string) {
+func runGatewayStandIn(version string) {
+	record := func(what string) {
 		f, _ := os.OpenFile(os.Getenv("TEST_RECORD"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		fmt.Fprintf(f, "%d %s %s %s\n", time.Now().UnixNano(), os.Getenv("TEST_NAME"), version, what)
 		f.Close()
 	}
-	note("start")
+	record("start")
 	begun := time.Now()
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
 	var mu sync.Mutex
-	away, number, document := false, 0, ""
+	evacuated, number, document := false, 0, ""
 	mux := http.NewServeMux()
 	for path, is := range map[string]bool{"PUT /api/evacuate": true, "PUT /api/rejoin": false} {
 		mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
-			away = is
-			note(path[len("PUT /api/"):])
+			evacuated = is
+			record(path[len("PUT /api/"):])
 		})
 	}
 	show := func(w http.ResponseWriter, r *http.Request) { fmt.Fprintf(w, `{"version": %d}`, number) }
@@ -67,14 +67,14 @@
 		mu.Lock()
 		defer mu.Unlock()
 		number, document = number+1, string(text)
-		note("configuration " + document)
+		record("configuration " + document)
 		show(w, r)
 	})
 	mux.HandleFunc("GET /api/draining", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, `{"t1": 0}`) })
 	mux.HandleFunc("GET /api/ready", func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		if version == "never-ready" || away {
+		if version == "never-ready" || evacuated {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -88,30 +88,30 @@
 	})
 	l, err := net.Listen("tcp", os.Getenv("EDGE_MANAGEMENT"))
 	if err != nil {
-		note(err.Error())
+		record(err.Error())
 		os.Exit(1)
 	}
 	go http.Serve(l, mux)
 	if version == "crashes" {
-		time.AfterFunc(700*time.Millisecond, func() { note("crash"); os.Exit(2) })
+		time.AfterFunc(700*time.Millisecond, func() { record("crash"); os.Exit(2) })
 	}
 	<-term
-	note("end")
+	record("end")
 }
 
 // fleet is what a release needs: a coordinator, agents, gateways, conductors.
 type fleet struct {
 	*grouptest.Group
-	t       *testing.T
-	ctx     context.Context
-	dir     string
-	record  string
-	configs []*Config
+	t          *testing.T
+	ctx        context.Context
+	dir        string
+	recordPath string
+	configs    []*Config
 }
 
-const gateways = 4
+const gatewayCount = 4
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
 // config is the file of an agent: file names it and its state.
 func (f *fleet) config(name, file string) *Config {
@@ -134,7 +134,7 @@
 [configuration]
 folder = "configs"
 version = "c1"
-`, name, int(name[1])%2, f.At, file, grouptest.Free(f.t), grouptest.Free(f.t), f.record, file)
+`, name, int(name[1])%2, f.At, file, grouptest.Free(f.t), grouptest.Free(f.t), f.recordPath, file)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		f.t.Fatal(err)
 	}
@@ -149,15 +149,15 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	f := &fleet{t: t, ctx: ctx, dir: t.TempDir(), Group: grouptest.Start(ctx, t, 3*time.Second)}
-	f.record = filepath.Join(f.dir, "record")
-	f.write()
+	f.recordPath = filepath.Join(f.dir, "record")
+	f.writeVersions()
 	var all sync.WaitGroup
 	agents, stop := context.WithCancel(ctx)
-	for i := range gateways {
+	for i := range gatewayCount {
 		c := f.config(fmt.Sprintf("g%d", i), fmt.Sprintf("g%d", i))
 		f.configs = append(f.configs, c)
 		all.Go(func() {
-			if err := New(c, quiet).Run(agents); err != nil {
+			if err := New(c, discardLogger).Run(agents); err != nil {
 				t.Error(err)
 			}
 		})
@@ -168,19 +168,19 @@
 		for _, c := range f.configs { // the gateways go on without their agents
 			if r, ok, _ := loadRunning(c.State); ok {
 				if p := adopt(r); p != nil {
-					p.end(time.Second)
+					p.terminate(time.Second)
 				}
 			}
 		}
 		cancel()
 	})
 	f.Change(rollout.Command{Op: rollout.SetRules, Rules: []rollout.Rule{{Name: "one", Kind: "gateway", Most: 1}}})
-	f.Await("all gateways serve", func(v *rollout.Fleet) bool { return f.run(v, "1") == gateways })
+	f.Await("all gateways serve", func(v *rollout.Fleet) bool { return f.countServing(v, "1") == gatewayCount })
 	return f
 }
 
 // write writes the folders of versions and configurations.
-func (f *fleet) write() {
+func (f *fleet) writeVersions() {
 	t := f.t
 	t.Helper()
 	self, err := os.Executable()
@@ -211,7 +211,7 @@
 }
 
 // conduct starts a conductor.
-func (f *fleet) conduct(stop func(rollout.Move)) (end func()) {
+func (f *fleet) startConductor(beforeMove func(rollout.Move)) (stop func()) {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(f.ctx)
 	client, err := leaseholder.Start(ctx, leaseholder.Options{Coordinators: []string{f.At}, Life: 2 * time.Second, Member: lease.Member{Kind: "conductor", Name: "test"}})
@@ -221,21 +221,21 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		(&conductor.Conductor{Client: client, Group: f.Group.Group, Log: quiet, Stop: stop}).Run(ctx)
+		(&conductor.Conductor{Client: client, Group: f.Group.Group, Log: discardLogger, BeforeMove: beforeMove}).Run(ctx)
 	}()
-	end = func() { cancel(); <-done }
-	f.t.Cleanup(end)
-	return end
+	stop = func() { cancel(); <-done }
+	f.t.Cleanup(stop)
+	return stop
 }
 
-func (f *fleet) release(to string, back bool) {
+func (f *fleet) beginRelease(to string, rollBack bool) {
 	f.t.Helper()
-	s := rollout.Settings{Canary: 1, Growth: 3, Pause: 500 * time.Millisecond, Patience: 20 * time.Second, Limits: rollout.DefaultLimits, GoBack: back}
+	s := rollout.Settings{Canary: 1, Growth: 3, Pause: 500 * time.Millisecond, Patience: 20 * time.Second, Limits: rollout.DefaultLimits, GoBack: rollBack}
 	f.Change(rollout.Command{Op: rollout.Begin, Change: "r", Version: to, Units: []string{"g0", "g1", "g2", "g3"}, Settings: &s})
 }
 
 // run counts the gateways that serve with a version.
-func (f *fleet) run(v *rollout.Fleet, version string) (n int) {
+func (f *fleet) countServing(v *rollout.Fleet, version string) (n int) {
 	for _, u := range v.Budget.Units {
 		if u.Version == version && u.Up && u.Warm {
 			n++
@@ -245,18 +245,18 @@
 }
 
 // note writes into the gateways' record what one of them couldn't.
-func (f *fleet) note(what string) {
-	r, err := os.OpenFile(f.record, os.O_APPEND|os.O_WRONLY, 0o644)
+func (f *fleet) appendRecord(event string) {
+	r, err := os.OpenFile(f.recordPath, os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	defer r.Close()
-	fmt.Fprintf(r, "%d %s\n", time.Now().UnixNano(), what)
+	fmt.Fprintf(r, "%d %s\n", time.Now().UnixNano(), event)
 }
 
 // judge reads the gateways' own record: how many were being replaced at once at the most, and how many ran a version.
-func (f *fleet) judge(version string) (atOnce, ran int) {
-	text, err := os.ReadFile(f.record)
+func (f *fleet) replacements(version string) (atOnce, ran int) {
+	text, err := os.ReadFile(f.recordPath)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -287,27 +287,27 @@
 	f := newFleet(t)
 	moves, over := make(chan rollout.Move), make(chan struct{})
 	defer close(over)
-	first := f.conduct(func(m rollout.Move) {
+	first := f.startConductor(func(m rollout.Move) {
 		select {
 		case moves <- m:
 			<-over // it is stopped before its move, and goes on when all is over
 		case <-over:
 		}
 	})
-	f.release("2", false)
+	f.beginRelease("2", false)
 	<-moves // one conductor stands still with a move in its hand; its lease passes on when its session ends
 	go first()
-	f.conduct(nil)
-	f.Await("the canary is changed", func(v *rollout.Fleet) bool { return f.run(v, "2") >= 1 })
+	f.startConductor(nil)
+	f.Await("the canary is changed", func(v *rollout.Fleet) bool { return f.countServing(v, "2") >= 1 })
 	f.Stop() // all coordinators gone for a while, with permits out
 	time.Sleep(time.Second)
 	f.Run()
 	v := f.Await("the release is done", func(v *rollout.Fleet) bool { return v.Plans["r"].Over() })
-	if p := v.Plans["r"]; p.Stage != rollout.Done || f.run(v, "2") < gateways-1 {
-		t.Errorf("%s (%s), %d run it", p.Stage, p.Why, f.run(v, "2"))
+	if p := v.Plans["r"]; p.Stage != rollout.Done || f.countServing(v, "2") < gatewayCount-1 {
+		t.Errorf("%s (%s), %d run it", p.Stage, p.Why, f.countServing(v, "2"))
 	}
-	if atOnce, ran := f.judge("2"); atOnce > 1 || ran != gateways {
-		text, _ := os.ReadFile(f.record)
+	if atOnce, ran := f.replacements("2"); atOnce > 1 || ran != gatewayCount {
+		text, _ := os.ReadFile(f.recordPath)
 		t.Errorf("%d were replaced at once, %d ran it:\n%s%s", atOnce, ran, text, grouptest.Told(v))
 	}
 }
@@ -323,14 +323,14 @@
 		t.Run(c.version, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
-			f.conduct(nil)
-			f.release(c.version, true)
-			v := f.Await("the release is over", func(v *rollout.Fleet) bool { return v.Plans["r"].Over() && f.run(v, "1") == gateways })
+			f.startConductor(nil)
+			f.beginRelease(c.version, true)
+			v := f.Await("the release is over", func(v *rollout.Fleet) bool { return v.Plans["r"].Over() && f.countServing(v, "1") == gatewayCount })
 			p := v.Plans["r"]
 			if p.Stage != rollout.RolledBack || !strings.Contains(p.Why, c.why) {
 				t.Errorf("%s: %q", p.Stage, p.Why)
 			}
-			atOnce, ran := f.judge(c.version)
+			atOnce, ran := f.replacements(c.version)
 			if want := map[bool]int{true: 0, false: 1}[c.version == "spoilt"]; ran != want || atOnce > 1 {
 				t.Errorf("%d gateways saw it, want %d; %d replaced at once", ran, want, atOnce)
 			}
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// Lease is the lease that conductors act under.
-	Lease     = "fleet-conductor"
-	lookEvery = 300 * time.Millisecond
-	callWait  = 3 * time.Second
+	// LeaseName is the lease that conductors act under.
+	LeaseName     = "fleet-conductor"
+	checkInterval = 300 * time.Millisecond
+	callTimeout   = 3 * time.Second
 )
 
 // Conductor watches over releases.
 type Conductor struct {
-	Client *leaseholder.Client
-	Group  *leaseholder.Group
-	Log    *slog.Logger
-	Stop   func(m rollout.Move) // for tests: called before a move is sent; nil: nothing
-	sights map[string]*sight
+	Client     *leaseholder.Client
+	Group      *leaseholder.Group
+	Log        *slog.Logger
+	BeforeMove func(m rollout.Move) // for tests: called before a move is sent; nil: nothing
+	baselines  map[string]*stageBaseline
 }
 
 // sight is what this conductor has seen of a release since it saw its stage and wave first.
-type sight struct {
-	stage rollout.Stage
-	wave  int
-	since time.Time
-	base  map[string]map[string]rollout.Count // by unit, at the beginning
-	insts map[string]string                   // the process that those counts are of
+type stageBaseline struct {
+	stage     rollout.Stage
+	wave      int
+	since     time.Time
+	counts    map[string]map[string]rollout.Count // by unit, at the beginning
+	instances map[string]string                   // the process that those counts are of
 }
 
 // Run conducts until ctx ends: it waits for the lease, acts while it has it, and waits again when it is lost.
 func (c *Conductor) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		l, err := c.Client.Acquire(ctx, Lease)
+		l, err := c.Client.Acquire(ctx, LeaseName)
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -48,8 +48,8 @@
 			return err
 		}
 		c.Log.Info("conducts from now on")
-		c.sights = map[string]*sight{}
-		look := time.NewTicker(lookEvery)
+		c.baselines = map[string]*stageBaseline{}
+		ticker := time.NewTicker(checkInterval)
 	held:
 		for {
 			select {
@@ -58,77 +58,77 @@
 			case <-l.Lost():
 				c.Log.Warn("conducts no more", "cause", string(l.Cause()))
 				break held
-			case <-look.C:
-				c.look(ctx, l)
+			case <-ticker.C:
+				c.advance(ctx, l)
 			}
 		}
-		look.Stop()
-		free, done := context.WithTimeout(context.Background(), time.Second)
-		l.Release(free)
-		done()
+		ticker.Stop()
+		releaseCtx, cancel := context.WithTimeout(context.Background(), time.Second)
+		l.Release(releaseCtx)
+		cancel()
 	}
 	return nil
 }
 
-func (c *Conductor) look(ctx context.Context, l *leaseholder.Lease) {
-	call, done := context.WithTimeout(ctx, callWait)
-	defer done()
-	f, err := coordinator.View(call, c.Group, 1<<62)
+func (c *Conductor) advance(ctx context.Context, l *leaseholder.Lease) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	fleet, err := coordinator.View(callCtx, c.Group, 1<<62)
 	if err != nil {
 		return
 	}
-	for id, p := range f.Plans {
-		if p.Over() {
-			delete(c.sights, id)
+	for id, plan := range fleet.Plans {
+		if plan.Over() {
+			delete(c.baselines, id)
 			continue
 		}
-		m, ok := p.Next(f.Budget, c.see(id, p, f))
-		if !ok {
+		move, due := plan.Next(fleet.Budget, c.observe(id, plan, fleet))
+		if !due {
 			continue
 		}
-		if c.Stop != nil {
-			c.Stop(m)
+		if c.BeforeMove != nil {
+			c.BeforeMove(move)
 		}
-		token, _, may := l.Token()
-		if !may {
+		token, _, held := l.Token()
+		if !held {
 			return
 		}
-		m.Token = token // a conductor that was stopped here is turned away by it
-		r, err := coordinator.Change(call, c.Group, rollout.Command{Op: rollout.MoveRelease, By: "conductor", Move: &m})
-		c.Log.Info("moves", "release", id, "from", m.Stage, "to", m.To, "wave", m.Wave+1, "why", m.Why, "refused", r.Error, "err", err)
+		move.Token = token // a conductor that was stopped here is turned away by it
+		r, err := coordinator.Change(callCtx, c.Group, rollout.Command{Op: rollout.MoveRelease, By: "conductor", Move: &move})
+		c.Log.Info("moves", "release", id, "from", move.Stage, "to", move.To, "wave", move.Wave+1, "why", move.Why, "refused", r.Error, "err", err)
 	}
 }
 
 // see is what the gateways' figures say since this stage and wave were first seen here.
-func (c *Conductor) see(id string, p *rollout.Plan, f *rollout.Fleet) rollout.Observation {
-	s := c.sights[id]
-	if s == nil || s.stage != p.Stage || s.wave != p.Wave {
-		s = &sight{stage: p.Stage, wave: p.Wave, since: time.Now(), base: map[string]map[string]rollout.Count{}, insts: map[string]string{}}
-		c.sights[id] = s
+func (c *Conductor) observe(id string, plan *rollout.Plan, fleet *rollout.Fleet) rollout.Observation {
+	baseline := c.baselines[id]
+	if baseline == nil || baseline.stage != plan.Stage || baseline.wave != plan.Wave {
+		baseline = &stageBaseline{stage: plan.Stage, wave: plan.Wave, since: time.Now(), counts: map[string]map[string]rollout.Count{}, instances: map[string]string{}}
+		c.baselines[id] = baseline
 	}
-	look := rollout.Observation{Since: time.Since(s.since), Changed: map[string]rollout.Count{}, Others: map[string]rollout.Count{}, Fresh: true}
-	for unit, u := range f.Budget.Units {
-		_, mine := p.From[unit]
-		if mine && u.Lost && p.RunningVersion(u) == p.To {
-			look.Fresh = false
+	observation := rollout.Observation{Since: time.Since(baseline.since), Changed: map[string]rollout.Count{}, Others: map[string]rollout.Count{}, Fresh: true}
+	for unit, u := range fleet.Budget.Units {
+		_, inRelease := plan.From[unit]
+		if inRelease && u.Lost && plan.RunningVersion(u) == plan.To {
+			observation.Fresh = false
 		}
-		figures, known := f.Figures[unit]
+		figures, known := fleet.Figures[unit]
 		if !known {
-			look.Fresh = look.Fresh && !(mine && p.RunningVersion(u) == p.To)
+			observation.Fresh = observation.Fresh && !(inRelease && plan.RunningVersion(u) == plan.To)
 			continue
 		}
-		if s.insts[unit] != u.Instance {
-			s.insts[unit], s.base[unit] = u.Instance, figures
+		if baseline.instances[unit] != u.Instance {
+			baseline.instances[unit], baseline.counts[unit] = u.Instance, figures
 		}
-		side := look.Others
-		if p.RunningVersion(u) == p.To {
-			side = look.Changed
+		side := observation.Others
+		if plan.RunningVersion(u) == plan.To {
+			side = observation.Changed
 		}
 		for class, n := range figures {
-			had, sum := s.base[unit][class], side[class]
+			had, sum := baseline.counts[unit][class], side[class]
 			side[class] = rollout.Count{Asked: sum.Asked + n.Asked - min(n.Asked, had.Asked), Failed: sum.Failed + n.Failed - min(n.Failed, had.Failed),
 				Late: sum.Late + n.Late - min(n.Late, had.Late)}
 		}
 	}
-	return look
+	return observation
 }
--- a/internal/warden/registry.go
+++ b/internal/warden/registry.go
@@ -34,8 +34,8 @@
 }
 
 const (
-	listMost = 16 << 20 // bytes of a list
-	listPath = "/registry/instances"
+	maxListBytes = 16 << 20 // bytes of a list
+	listPath     = "/registry/instances"
 )
 
 // HTTP is the driver for a registry that publishes its list as the platform's does, and takes
@@ -48,29 +48,29 @@
 // for the next call's.
 var client = &http.Client{Transport: &http.Transport{Proxy: http.ProxyFromEnvironment, DisableKeepAlives: true}}
 
-func (h *HTTP) do(ctx context.Context, method, path, body string, head http.Header) ([]byte, error) {
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+h.Address+path, strings.NewReader(body))
+func (h *HTTP) do(ctx context.Context, method, path, body string, header http.Header) ([]byte, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+h.Address+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	for name, values := range head {
-		r.Header[name] = values
+	for name, values := range header {
+		request.Header[name] = values
 	}
-	a, err := client.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, listMost+1))
+	defer response.Body.Close()
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case a.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("the registry answers %s: %.200s", a.Status, strings.TrimSpace(string(text)))
-	case len(text) > listMost:
+	case response.StatusCode != http.StatusOK:
+		return nil, fmt.Errorf("the registry answers %s: %.200s", response.Status, strings.TrimSpace(string(content)))
+	case len(content) > maxListBytes:
 		return nil, errors.New("the registry's list is too large")
 	}
-	return text, nil
+	return content, nil
 }
 
 // List implements Registry.
@@ -84,7 +84,7 @@
 
 // decodeList reads a whole list. One that is wrong in any entry is not used at all: a server that is missing from what
 // was understood would count as gone.
-func decodeList(text []byte) (all []Server, err error) {
+func decodeList(text []byte) (servers []Server, err error) {
 	var list struct {
 		Reset     bool `json:"reset"`
 		Instances []struct {
@@ -102,36 +102,36 @@
 	if !list.Reset {
 		return nil, errors.New("the registry's list is not whole")
 	}
-	known := map[string]bool{}
-	for _, e := range list.Instances {
+	seen := map[string]bool{}
+	for _, entry := range list.Instances {
 		switch {
-		case e.ID == "" || e.HostPort == "" || known[e.ID]:
-			return nil, fmt.Errorf("the registry's list: %q has no name or address, or stands there twice", e.ID)
-		case !(e.Weight >= 0) || e.Started < 0:
-			return nil, fmt.Errorf("the registry's list: %s: weight %g or start %d is none", e.ID, e.Weight, e.Started)
+		case entry.ID == "" || entry.HostPort == "" || seen[entry.ID]:
+			return nil, fmt.Errorf("the registry's list: %q has no name or address, or stands there twice", entry.ID)
+		case !(entry.Weight >= 0) || entry.Started < 0:
+			return nil, fmt.Errorf("the registry's list: %s: weight %g or start %d is none", entry.ID, entry.Weight, entry.Started)
 		}
-		known[e.ID] = true
-		s := Server{ID: e.ID, Address: e.HostPort, Zone: e.Zone, Weight: e.Weight, Draining: e.Lifecycle == "DRAINING"}
-		if e.Started > 0 {
-			s.Started = time.UnixMilli(e.Started)
+		seen[entry.ID] = true
+		s := Server{ID: entry.ID, Address: entry.HostPort, Zone: entry.Zone, Weight: entry.Weight, Draining: entry.Lifecycle == "DRAINING"}
+		if entry.Started > 0 {
+			s.Started = time.UnixMilli(entry.Started)
 		}
-		switch e.Lifecycle {
+		switch entry.Lifecycle {
 		case "SERVING", "DRAINING":
-			all = append(all, s)
+			servers = append(servers, s)
 		case "DELETED":
 		default:
-			return nil, fmt.Errorf("the registry's list: %s: there is no lifecycle %q", e.ID, e.Lifecycle)
+			return nil, fmt.Errorf("the registry's list: %s: there is no lifecycle %q", entry.ID, entry.Lifecycle)
 		}
 	}
-	return all, nil
+	return servers, nil
 }
 
 // Drain implements Registry.
 func (h *HTTP) Drain(ctx context.Context, id string, draining bool, lease string, token uint64) error {
-	to := "SERVING"
+	lifecycle := "SERVING"
 	if draining {
-		to = "DRAINING"
+		lifecycle = "DRAINING"
 	}
-	_, err := h.do(ctx, http.MethodPut, listPath+"/"+url.PathEscape(id)+"/lifecycle", to, http.Header{fence.Header: {fmt.Sprintf("%s %d", lease, token)}})
+	_, err := h.do(ctx, http.MethodPut, listPath+"/"+url.PathEscape(id)+"/lifecycle", lifecycle, http.Header{fence.Header: {fmt.Sprintf("%s %d", lease, token)}})
 	return err
 }
--- a/internal/warden/warden_test.go
+++ b/internal/warden/warden_test.go
@@ -16,18 +16,18 @@
 	"junctionring/rollout"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
 // hall is a registry with six table servers in two zones, a budget that lets half of them be out, and a gateway that says
 // what it has under way.
 type hall struct {
 	*grouptest.Group
-	t        *testing.T
-	ctx      context.Context
-	registry *standin.Registry
-	tables   map[string]*standin.Table
-	c        *Config
-	held     map[string]int
+	t            *testing.T
+	ctx          context.Context
+	registry     *standin.Registry
+	tables       map[string]*standin.Table
+	c            *Config
+	workInFlight map[string]int
 }
 
 func newHall(t *testing.T) *hall {
@@ -35,14 +35,14 @@
 	t.Parallel()
 	ctx, done := context.WithTimeout(t.Context(), time.Minute)
 	t.Cleanup(done)
-	h := &hall{t: t, ctx: ctx, Group: grouptest.Start(ctx, t, 2*time.Second), tables: map[string]*standin.Table{}, held: map[string]int{}}
+	h := &hall{t: t, ctx: ctx, Group: grouptest.Start(ctx, t, 2*time.Second), tables: map[string]*standin.Table{}, workInFlight: map[string]int{}}
 	var err error
 	if h.registry, err = standin.NewRegistry("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.registry.Close)
 	for i := range 6 {
-		h.table(fmt.Sprintf("t%d", i), []string{"a", "b"}[i%2], 0)
+		h.startTable(fmt.Sprintf("t%d", i), []string{"a", "b"}[i%2], 0)
 	}
 	path := filepath.Join(t.TempDir(), "tables.toml")
 	text := fmt.Sprintf("name = \"hall\"\nsite = \"s\"\ncoordinators = [%q]\nlife = \"1s\"\nregistry = %q\ncapacity = 10\nwarm = \"400ms\"\nlook = \"100ms\"\n", h.At, h.registry.Addr())
@@ -53,12 +53,12 @@
 		t.Fatal(err)
 	}
 	h.Change(rollout.Command{Op: rollout.SetRules, Rules: []rollout.Rule{{Name: "half", Kind: rollout.KindTable, Most: 3}}})
-	h.says()
+	h.reportWorkInFlight()
 	return h
 }
 
 // table starts a table server; cold: its process began only now.
-func (h *hall) table(id, zone string, cold time.Duration) {
+func (h *hall) startTable(id, zone string, cold time.Duration) {
 	h.t.Helper()
 	t, err := standin.NewTable("127.0.0.1:0", standin.TableOptions{ID: id, Site: zone, Cores: 1, Speed: 1})
 	if err != nil {
@@ -74,28 +74,28 @@
 }
 
 // says has the gateway say what it has under way at the servers that drain.
-func (h *hall) says() {
+func (h *hall) reportWorkInFlight() {
 	h.t.Helper()
-	h.Change(rollout.Command{Op: rollout.Observe, Unit: "g1", Observed: &rollout.Unit{Kind: rollout.KindGateway, Capacity: 100, Load: 20, Up: true, Warm: true}, Held: h.held})
+	h.Change(rollout.Command{Op: rollout.Observe, Unit: "g1", Observed: &rollout.Unit{Kind: rollout.KindGateway, Capacity: 100, Load: 20, Up: true, Warm: true}, Held: h.workInFlight})
 }
 
-func (h *hall) run(name string) (end func()) {
+func (h *hall) startWarden(name string) (stop func()) {
 	ctx, cancel := context.WithCancel(h.ctx)
 	done := make(chan error, 1)
-	go func() { done <- New(h.c, &HTTP{Address: h.c.Registry}, name, quiet).Run(ctx) }()
-	end = func() {
+	go func() { done <- New(h.c, &HTTP{Address: h.c.Registry}, name, discardLogger).Run(ctx) }()
+	stop = func() {
 		cancel()
 		if err := <-done; err != nil {
 			h.t.Error(err)
 		}
 		done <- nil
 	}
-	h.t.Cleanup(end)
-	return end
+	h.t.Cleanup(stop)
+	return stop
 }
 
 // up lists the servers that are seen in order.
-func up(f *rollout.Fleet) (all []string) {
+func inService(f *rollout.Fleet) (all []string) {
 	for id, u := range f.Budget.Units {
 		if u.Kind == rollout.KindTable && u.Up && u.Warm {
 			all = append(all, id)
@@ -105,7 +105,7 @@
 	return all
 }
 
-func drained(h *hall) (ids []string) {
+func drainingServers(h *hall) (ids []string) {
 	all, err := (&HTTP{Address: h.c.Registry}).List(h.ctx)
 	if err != nil {
 		h.t.Fatal(err)
@@ -119,35 +119,35 @@
 	return ids
 }
 
-func is(ids []string, want ...string) bool { return slices.Equal(ids, want) }
+func equal(ids []string, want ...string) bool { return slices.Equal(ids, want) }
 
 // A zone is drained, is quiet only once the gateway has said so, and serves again when it is restored; the warden that
 // began it dies in between.
 func TestAZoneDrainsAndComesBack(t *testing.T) {
 	h := newHall(t)
-	first := h.run("first")
-	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(up(f)) == 6 })
+	first := h.startWarden("first")
+	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "zone-a", Units: []string{"t0", "t2", "t4"}, Life: time.Minute})
-	h.Await("the registry was told", func(*rollout.Fleet) bool { return is(drained(h), "t0", "t2", "t4") })
+	h.Await("the registry was told", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0", "t2", "t4") })
 	first()
-	h.run("second")
-	h.held = map[string]int{"t0": 2, "t2": 0}
-	h.says()
+	h.startWarden("second")
+	h.workInFlight = map[string]int{"t0": 2, "t2": 0}
+	h.reportWorkInFlight()
 	f := h.Await("the second one sees", func(f *rollout.Fleet) bool { return f.Budget.Units["t1"].By == "second" })
 	if n, who := f.WorkInFlight("t0"); f.Drains["zone-a"].Quiet || n != 2 || len(who) != 0 {
 		t.Errorf("t0: %d under way, %v unknown; quiet %v", n, who, f.Drains["zone-a"].Quiet)
 	}
-	if n, who := f.WorkInFlight("t4"); n != 0 || !is(who, "g1") {
+	if n, who := f.WorkInFlight("t4"); n != 0 || !equal(who, "g1") {
 		t.Errorf("t4: %d under way, %v unknown", n, who)
 	}
-	h.held = map[string]int{"t0": 0, "t2": 0, "t4": 0}
-	h.says()
+	h.workInFlight = map[string]int{"t0": 0, "t2": 0, "t4": 0}
+	h.reportWorkInFlight()
 	h.Await("it is quiet", func(f *rollout.Fleet) bool { return f.Drains["zone-a"].Quiet })
 	h.Change(rollout.Command{Op: rollout.Restore, Change: "zone-a"})
 	h.Await("all serve", func(f *rollout.Fleet) bool {
-		return len(up(f)) == 6 && len(f.Drains) == 0 && len(f.Budget.Permits) == 0
+		return len(inService(f)) == 6 && len(f.Drains) == 0 && len(f.Budget.Permits) == 0
 	})
-	if d := drained(h); len(d) != 0 {
+	if d := drainingServers(h); len(d) != 0 {
 		t.Errorf("%v are still listed as draining", d)
 	}
 }
@@ -157,66 +157,66 @@
 func TestADrainedServerThatRestartsStaysOut(t *testing.T) {
 	h := newHall(t)
 	h.c.Warm.Duration = 2 * time.Second
-	h.run("w")
-	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(up(f)) == 6 })
+	h.startWarden("w")
+	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "one", Units: []string{"t1"}, Life: time.Minute})
-	h.Await("it drains", func(*rollout.Fleet) bool { return is(drained(h), "t1") })
+	h.Await("it drains", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t1") })
 	told := len(h.registry.Told())
 	h.tables["t1"].Close()
-	h.table("t1", "b", time.Second)
-	h.Await("it drains again", func(*rollout.Fleet) bool { return is(drained(h), "t1") && len(h.registry.Told()) > told })
+	h.startTable("t1", "b", time.Second)
+	h.Await("it drains again", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t1") && len(h.registry.Told()) > told })
 	h.Change(rollout.Command{Op: rollout.Restore, Change: "one"})
-	f := h.Await("it is listed as serving", func(f *rollout.Fleet) bool { return len(drained(h)) == 0 && f.Budget.Permits["t1"].Returned })
+	f := h.Await("it is listed as serving", func(f *rollout.Fleet) bool { return len(drainingServers(h)) == 0 && f.Budget.Permits["t1"].Returned })
 	if f.Budget.Units["t1"].Warm {
 		t.Error("a cold server counts as back")
 	}
 	h.Await("it is warm", func(f *rollout.Fleet) bool {
-		return f.Budget.Permits["t1"] == nil && is(up(f), "t0", "t1", "t2", "t3", "t4", "t5")
+		return f.Budget.Permits["t1"] == nil && equal(inService(f), "t0", "t1", "t2", "t3", "t4", "t5")
 	})
 }
 
 // While one zone is lost, the drain of the other waits, says for what, and goes on when the lost one is back.
 func TestADrainWaitsWhileAnotherZoneIsLost(t *testing.T) {
 	h := newHall(t)
-	h.run("w")
-	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(up(f)) == 6 })
+	h.startWarden("w")
+	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
 	for _, id := range []string{"t1", "t3", "t5"} {
 		h.tables[id].Silence()
 	}
-	h.Await("the zone is out", func(f *rollout.Fleet) bool { return is(up(f), "t0", "t2", "t4") })
+	h.Await("the zone is out", func(f *rollout.Fleet) bool { return equal(inService(f), "t0", "t2", "t4") })
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "zone-a", Units: []string{"t0", "t2", "t4"}, Life: time.Minute})
 	f := h.Await("it waits", func(f *rollout.Fleet) bool { return len(f.Budget.Waiting) == 3 })
 	if no := f.Budget.CheckLeave("t0"); no == nil || !strings.Contains(no.Error(), "at most 3 of 6 may be out; out are: t1 (not seen ready), t3 (not seen ready), t5 (not seen ready)") {
 		t.Errorf("why: %v", no)
 	}
-	if d := drained(h); len(d) != 0 || len(up(f)) != 3 {
-		t.Errorf("%v drain, %v serve", d, up(f))
+	if d := drainingServers(h); len(d) != 0 || len(inService(f)) != 3 {
+		t.Errorf("%v drain, %v serve", d, inService(f))
 	}
 	h.tables["t1"].Speak()
-	h.Await("as many leave as there is room for", func(*rollout.Fleet) bool { return is(drained(h), "t0") })
+	h.Await("as many leave as there is room for", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0") })
 	h.tables["t3"].Speak()
 	h.tables["t5"].Speak()
-	h.Await("all of it leaves", func(*rollout.Fleet) bool { return is(drained(h), "t0", "t2", "t4") })
+	h.Await("all of it leaves", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0", "t2", "t4") })
 }
 
 // A drain by hand past the budget counts as out; a server that the registry doesn't list any more is missed until it is
 // forgotten; a time that has passed halts what is planned and ends no drain.
 func TestWhatNobodyEndsStays(t *testing.T) {
 	h := newHall(t)
-	h.run("w")
-	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(up(f)) == 6 })
+	h.startWarden("w")
+	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
 	h.registry.Drain("t5")
 	e := h.tables["t3"].Instance("")
 	e.Lifecycle = "DELETED"
 	h.registry.Put(e)
-	h.Await("both are out", func(f *rollout.Fleet) bool { return is(up(f), "t0", "t1", "t2", "t4") })
+	h.Await("both are out", func(f *rollout.Fleet) bool { return equal(inService(f), "t0", "t1", "t2", "t4") })
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "d", Units: []string{"t0"}, Life: 3 * time.Second})
 	f := h.Await("it is overdue", func(f *rollout.Fleet) bool { p := f.Budget.Permits["t0"]; return p != nil && p.Overdue })
 	if no := f.Budget.CheckLeave("t1"); no == nil || !strings.Contains(no.Error(), "a permit is overdue; out are: t0 (d, overdue)") {
 		t.Errorf("why t1 may not leave: %v", no)
 	}
-	if !is(drained(h), "t0", "t5") {
-		t.Errorf("%v drain", drained(h))
+	if !equal(drainingServers(h), "t0", "t5") {
+		t.Errorf("%v drain", drainingServers(h))
 	}
 	h.Change(rollout.Command{Op: rollout.Claim, Unit: "t0"})
 	claimed := time.Now()
@@ -230,7 +230,7 @@
 		t.Errorf("overdue %v after somebody looked, its time is 3s", d)
 	}
 	h.Change(rollout.Command{Op: rollout.Restore, Change: "d"})
-	h.Await("it serves", func(f *rollout.Fleet) bool { return is(up(f), "t0", "t1", "t2", "t4") && len(f.Drains) == 0 })
+	h.Await("it serves", func(f *rollout.Fleet) bool { return equal(inService(f), "t0", "t1", "t2", "t4") && len(f.Drains) == 0 })
 }
 
 // A warden that was stopped while another took over changes nothing any more: the registry and the log turn it away.
@@ -246,8 +246,8 @@
 	if err := r.Drain(h.ctx, "t9", true, "tables:hall", 7); err == nil || !strings.Contains(err.Error(), "404") {
 		t.Errorf("a server that is not there: %v", err)
 	}
-	if !is(drained(h), "t1") {
-		t.Errorf("%v drain", drained(h))
+	if !equal(drainingServers(h), "t1") {
+		t.Errorf("%v drain", drainingServers(h))
 	}
 }
 
