--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -117,10 +117,10 @@
 		case <-ctx.Done():
 			a.shutDown()
 			return nil
-		case o := <-a.outcomes:
-			a.finishChange(o)
-		case w := <-a.syncResults:
-			a.finishSync(w)
+		case result := <-a.outcomes:
+			a.finishChange(result)
+		case result := <-a.syncResults:
+			a.finishSync(result)
 		case <-ticker.C:
 		}
 		a.checkProcess()
@@ -316,8 +316,8 @@
 // talk begins a talk with the coordinators, where one is due and none is under way: what is owed, what is seen, and
 // what there is to do.
 func (a *Agent) synchronize(ctx context.Context) {
-	token, workInFlight := a.leaseToken()
-	if a.syncing || !workInFlight {
+	token, hasLease := a.leaseToken()
+	if a.syncing || !hasLease {
 		return
 	}
 	observed := a.observe()
@@ -335,29 +335,29 @@
 		a.polledAt = time.Now()
 	}
 	a.syncing = true
-	now := *a.current
-	pending, figures, held := slices.Clone(a.pending), maps.Clone(a.figures), maps.Clone(a.workInFlight)
+	current := *a.current
+	pending, figures, workInFlight := slices.Clone(a.pending), maps.Clone(a.figures), maps.Clone(a.workInFlight)
 	go func() {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		result := syncResult{unit: observed, workInFlight: held}
+		result := syncResult{unit: observed, workInFlight: workInFlight}
 		defer func() { a.syncResults <- result }()
 		for _, command := range pending {
-			if _, err := coordinator.Change(call, a.group, command); err != nil {
+			if _, err := coordinator.Change(callCtx, a.group, command); err != nil {
 				a.log.Warn("not heard by the coordinators", "op", command.Op, "err", err)
 				return
 			}
 			result.sent++
 		}
 		if report {
-			if _, err := coordinator.Change(call, a.group, rollout.Command{Op: rollout.Observe, By: "agent:" + a.config.Name, Token: token, Unit: a.config.Name, Observed: &observed, Figures: figures, Held: held}); err != nil {
+			if _, err := coordinator.Change(callCtx, a.group, rollout.Command{Op: rollout.Observe, By: "agent:" + a.config.Name, Token: token, Unit: a.config.Name, Observed: &observed, Figures: figures, Held: workInFlight}); err != nil {
 				a.log.Warn("the coordinators were not told", "err", err)
 				return
 			}
 			result.reported = true
 		}
 		if poll {
-			a.poll(call, observed, &now, &result)
+			a.poll(callCtx, observed, &current, &result)
 		}
 	}()
 }
--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -125,9 +125,9 @@
 			side = observation.Changed
 		}
 		for class, n := range figures {
-			had, sum := baseline.counts[unit][class], side[class]
-			side[class] = rollout.Count{Asked: sum.Asked + n.Asked - min(n.Asked, had.Asked), Failed: sum.Failed + n.Failed - min(n.Failed, had.Failed),
-				Late: sum.Late + n.Late - min(n.Late, had.Late)}
+			start, total := baseline.counts[unit][class], side[class]
+			side[class] = rollout.Count{Asked: total.Asked + n.Asked - min(n.Asked, start.Asked), Failed: total.Failed + n.Failed - min(n.Failed, start.Failed),
+				Late: total.Late + n.Late - min(n.Late, start.Late)}
 		}
 	}
 	return observation
--- a/internal/warden/warden.go
+++ b/internal/warden/warden.go
@@ -78,9 +78,9 @@
 		w.log.Info("watches from now on")
 		w.servers = map[string]*serverState{}
 		w.reconcileLoop(ctx, l)
-		releaseCtx, done := context.WithTimeout(context.Background(), time.Second)
+		releaseCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		l.Release(releaseCtx)
-		done()
+		cancel()
 	}
 	return nil
 }
@@ -112,16 +112,16 @@
 		return err
 	}
 	alive := make([]bool, len(servers))
-	var asks sync.WaitGroup
-	room := make(chan struct{}, maxConcurrentProbes)
+	var probes sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentProbes)
 	for i, s := range servers {
-		room <- struct{}{}
-		asks.Go(func() {
+		slots <- struct{}{}
+		probes.Go(func() {
 			alive[i] = w.probe(callCtx, s.Address)
-			<-room
+			<-slots
 		})
 	}
-	asks.Wait()
+	probes.Wait()
 	fleet, err := coordinator.View(callCtx, w.group, 1<<62)
 	if err != nil {
 		return err
