--- a/internal/conductor/conductor.go
+++ b/internal/conductor/conductor.go
@@ -1,5 +1,6 @@
-// Package conductor moves releases on: a task under a lease that any process may have. It only asks; what may happen
-// is in the coordinators' log, and another conductor goes on from there at any moment.
+// Package conductor is the release controller: under a lease that any process may hold, it moves each release to its
+// next stage or wave. It decides nothing about what is allowed: the coordinators accept or reject each move, and the
+// state of a release is in their log, so that another conductor can continue from there at any moment.
 package conductor
 
 import (
@@ -13,31 +14,33 @@
 )
 
 const (
-	// LeaseName is the lease that conductors act under.
+	// LeaseName is the name of the lease that a conductor must hold to act.
 	LeaseName     = "fleet-conductor"
 	checkInterval = 300 * time.Millisecond
 	callTimeout   = 3 * time.Second
 )
 
-// Conductor watches over releases.
+// Conductor moves the releases of a fleet through their stages and waves. Run runs it.
 type Conductor struct {
 	Client     *leaseholder.Client
 	Group      *leaseholder.Group
 	Log        *slog.Logger
-	BeforeMove func(m rollout.Move) // for tests: called before a move is sent; nil: nothing
+	BeforeMove func(m rollout.Move) // for tests: called before a move is sent; may be nil
 	baselines  map[string]*stageBaseline
 }
 
-// sight is what this conductor has seen of a release since it saw its stage and wave first.
+// stageBaseline records the request counts at the time when this conductor first saw a release in its present stage and
+// wave.
 type stageBaseline struct {
 	stage     rollout.Stage
 	wave      int
 	since     time.Time
-	counts    map[string]map[string]rollout.Count // by unit, at the beginning
-	instances map[string]string                   // the process that those counts are of
+	counts    map[string]map[string]rollout.Count // by unit and class, when the process was first seen in this stage
+	instances map[string]string                   // by unit: the process that the counts belong to
 }
 
-// Run conducts until ctx ends: it waits for the lease, acts while it has it, and waits again when it is lost.
+// Run acquires the lease, moves releases while it holds it, and waits for it again after losing it. It returns when ctx
+// ends.
 func (c *Conductor) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		l, err := c.Client.Acquire(ctx, LeaseName)
@@ -47,7 +50,7 @@
 			}
 			return err
 		}
-		c.Log.Info("conducts from now on")
+		c.Log.Info("release controller active: lease acquired")
 		c.baselines = map[string]*stageBaseline{}
 		ticker := time.NewTicker(checkInterval)
 	held:
@@ -56,7 +59,7 @@
 			case <-ctx.Done():
 				break held
 			case <-l.Lost():
-				c.Log.Warn("conducts no more", "cause", string(l.Cause()))
+				c.Log.Warn("release controller inactive: lease lost", "cause", string(l.Cause()))
 				break held
 			case <-ticker.C:
 				c.advance(ctx, l)
@@ -70,6 +73,7 @@
 	return nil
 }
 
+// advance sends the next move of each release that has one due.
 func (c *Conductor) advance(ctx context.Context, l *leaseholder.Lease) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -93,13 +97,14 @@
 		if !held {
 			return
 		}
-		move.Token = token // a conductor that was stopped here is turned away by it
+		move.Token = token // the coordinators reject the move of a conductor that was paused here and has lost the lease
 		r, err := coordinator.Change(callCtx, c.Group, rollout.Command{Op: rollout.MoveRelease, By: "conductor", Move: &move})
-		c.Log.Info("moves", "release", id, "from", move.Stage, "to", move.To, "wave", move.Wave+1, "why", move.Why, "refused", r.Error, "err", err)
+		c.Log.Info("release move sent", "release", id, "from", move.Stage, "to", move.To, "wave", move.Wave+1, "why", move.Why, "refused", r.Error, "err", err)
 	}
 }
 
-// see is what the gateways' figures say since this stage and wave were first seen here.
+// observe returns the changes in the gateways' request counts since this conductor first saw the release in its present
+// stage and wave.
 func (c *Conductor) observe(id string, plan *rollout.Plan, fleet *rollout.Fleet) rollout.Observation {
 	baseline := c.baselines[id]
 	if baseline == nil || baseline.stage != plan.Stage || baseline.wave != plan.Wave {
--- a/internal/warden/config.go
+++ b/internal/warden/config.go
@@ -7,21 +7,21 @@
 	"junctionring/internal/config"
 )
 
-// Config is a warden's file.
+// Config is the configuration file of a warden.
 type Config struct {
 	Name         string            `toml:"name"` // of the registry
 	Site         string            `toml:"site"`
 	Coordinators []string          `toml:"coordinators"`
-	Via          map[string]string `toml:"via"`      // where to reach a coordinator, by its own address, where that is another one
-	Life         config.Duration   `toml:"life"`     // of the session: how long nobody watches when this warden dies
+	Via          map[string]string `toml:"via"`      // by a coordinator's own address: the address to reach it at, if different
+	Life         config.Duration   `toml:"life"`     // of the session; after a warden's crash no other takes over for this long
 	Registry     string            `toml:"registry"` // host:port
-	Health       string            `toml:"health"`   // path that a server answers 200 on
-	Capacity     float64           `toml:"capacity"` // requests a second of a server of weight 1 once it is warm
-	Warm         config.Duration   `toml:"warm"`     // after its start
-	Look         config.Duration   `toml:"look"`     // between looks, and for a server's answer
+	Health       string            `toml:"health"`   // path of a server's health check, which returns 200
+	Capacity     float64           `toml:"capacity"` // requests per second of a server of weight 1 once it is warm
+	Warm         config.Duration   `toml:"warm"`     // time from a server's start until it is warm
+	Look         config.Duration   `toml:"look"`     // interval between health checks, and their time-out
 }
 
-// LoadConfig reads a warden's file. An error names every key that is wrong.
+// LoadConfig reads and checks a warden's configuration file. The error names every invalid key.
 func LoadConfig(path string) (*Config, error) {
 	c := &Config{Health: "/health/live"}
 	c.Life.Duration, c.Warm.Duration, c.Look.Duration = 5*time.Second, 18*time.Second, 500*time.Millisecond
@@ -31,7 +31,7 @@
 func (c *Config) check() []error {
 	var faults config.Faults
 	require, address := faults.Require, faults.RequireAddress
-	require(c.Name != "" && !strings.ContainsAny(c.Name, " /"), "name: %q is no name", c.Name)
+	require(c.Name != "" && !strings.ContainsAny(c.Name, " /"), "name: %q is not a valid name", c.Name)
 	require(len(c.Coordinators) > 0, "coordinators: none is named")
 	for _, a := range c.Coordinators {
 		address("coordinators", a)
--- a/internal/warden/crossed_answer_test.go
+++ b/internal/warden/crossed_answer_test.go
@@ -8,8 +8,8 @@
 	"junctionring/internal/standin"
 )
 
-// Guards against a registry that turned a drain away being taken to have carried it out, where its answer before comes
-// twice, the second time late.
+// Guards against taking a rejected drain for an accepted one. The registry sends its response to the list twice, the
+// second time late, so that on a reused connection it would be read as the response to the drain.
 func TestSecondAnswerOfARegistryDoesNotCarryADrainOut(t *testing.T) {
 	address, stop, err := standin.NewTwice("127.0.0.1:0", func(r *http.Request) string {
 		if r.Method == http.MethodGet {
@@ -27,6 +27,6 @@
 		t.Fatal(err)
 	}
 	if err := registry.Drain(t.Context(), "s1", true, "tables:one", 7); err == nil {
-		t.Error("a drain that the registry turned away was taken to be carried out")
+		t.Error("Drain returned no error although the registry rejected the drain")
 	}
 }
--- a/internal/warden/registry.go
+++ b/internal/warden/registry.go
@@ -21,33 +21,34 @@
 	Zone     string
 	Weight   float64
 	Draining bool
-	Started  time.Time // zero: not said; it counts as warm
+	Started  time.Time // zero: unknown, and the server counts as warm
 }
 
-// Registry is what a warden needs of a registry. A driver for another kind of registry implements it.
+// Registry lists table servers and sets their state. A driver for another kind of registry implements it.
 type Registry interface {
-	// List is every server there is now.
+	// List returns every server that is registered now.
 	List(ctx context.Context) ([]Server, error)
-	// Drain has a server listed as draining, or as serving again. It carries the token of the warden's lease: a registry
-	// that can checks it (package fence), so that a warden that was stopped for long changes nothing any more.
+	// Drain sets a server to draining, or to serving again. It carries the fencing token of the warden's lease. A registry
+	// that supports fencing checks it (package fence), so that a warden that was paused and lost its lease changes nothing.
 	Drain(ctx context.Context, id string, draining bool, lease string, token uint64) error
 }
 
 const (
-	maxListBytes = 16 << 20 // bytes of a list
+	maxListBytes = 16 << 20 // of a response body
 	listPath     = "/registry/instances"
 )
 
-// HTTP is the driver for a registry that publishes its list as the platform's does, and takes
-// PUT /registry/instances/ID/lifecycle with DRAINING or SERVING for a body.
+// HTTP is the driver for a registry that publishes its list in the platform's format and accepts
+// PUT /registry/instances/ID/lifecycle with the body DRAINING or SERVING.
 type HTTP struct {
 	Address string // host:port
 }
 
-// client makes each call on a connection of its own: a second answer to a call, on one that is used again, would be taken
-// for the next call's.
+// client opens a new connection for each call: on a reused connection, a second response to one call would be taken for
+// the response to the next call.
 var client = &http.Client{Transport: &http.Transport{Proxy: http.ProxyFromEnvironment, DisableKeepAlives: true}}
 
+// do sends a request and returns the body of the response. A status other than 200 is an error.
 func (h *HTTP) do(ctx context.Context, method, path, body string, header http.Header) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+h.Address+path, strings.NewReader(body))
 	if err != nil {
@@ -66,9 +67,9 @@
 	case err != nil:
 		return nil, err
 	case response.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("the registry answers %s: %.200s", response.Status, strings.TrimSpace(string(content)))
+		return nil, fmt.Errorf("registry returned status %s: %.200s", response.Status, strings.TrimSpace(string(content)))
 	case len(content) > maxListBytes:
-		return nil, errors.New("the registry's list is too large")
+		return nil, fmt.Errorf("registry response exceeds %d bytes", maxListBytes)
 	}
 	return content, nil
 }
@@ -82,8 +83,8 @@
 	return decodeList(text)
 }
 
-// decodeList reads a whole list. One that is wrong in any entry is not used at all: a server that is missing from what
-// was understood would count as gone.
+// decodeList decodes a complete list. It rejects a list with any invalid entry, because a server whose entry was skipped
+// would count as gone.
 func decodeList(text []byte) (servers []Server, err error) {
 	var list struct {
 		Reset     bool `json:"reset"`
@@ -97,18 +98,18 @@
 		} `json:"instances"`
 	}
 	if err := json.Unmarshal(text, &list); err != nil {
-		return nil, fmt.Errorf("the registry's list can't be read: %w", err)
+		return nil, fmt.Errorf("decoding the registry's list: %w", err)
 	}
 	if !list.Reset {
-		return nil, errors.New("the registry's list is not whole")
+		return nil, errors.New("registry's list is incomplete: \"reset\" is not true")
 	}
 	seen := map[string]bool{}
 	for _, entry := range list.Instances {
 		switch {
 		case entry.ID == "" || entry.HostPort == "" || seen[entry.ID]:
-			return nil, fmt.Errorf("the registry's list: %q has no name or address, or stands there twice", entry.ID)
+			return nil, fmt.Errorf("registry's list: instance %q has no ID or no address, or is listed twice", entry.ID)
 		case !(entry.Weight >= 0) || entry.Started < 0:
-			return nil, fmt.Errorf("the registry's list: %s: weight %g or start %d is none", entry.ID, entry.Weight, entry.Started)
+			return nil, fmt.Errorf("registry's list: instance %s: invalid weight %g or start time %d", entry.ID, entry.Weight, entry.Started)
 		}
 		seen[entry.ID] = true
 		s := Server{ID: entry.ID, Address: entry.HostPort, Zone: entry.Zone, Weight: entry.Weight, Draining: entry.Lifecycle == "DRAINING"}
@@ -120,7 +121,7 @@
 			servers = append(servers, s)
 		case "DELETED":
 		default:
-			return nil, fmt.Errorf("the registry's list: %s: there is no lifecycle %q", entry.ID, entry.Lifecycle)
+			return nil, fmt.Errorf("registry's list: instance %s: unknown lifecycle %q", entry.ID, entry.Lifecycle)
 		}
 	}
 	return servers, nil
--- a/internal/warden/warden.go
+++ b/internal/warden/warden.go
@@ -1,7 +1,9 @@
-// Package warden watches over the table servers of one registry: it tells the coordinators what it sees of them, and
-// has the registry list them as draining, or as serving again, when the fleet's log says so. It acts under a lease, and
-// any number of wardens may stand by. What it has the registry say follows from the log alone, looked at again and
-// again: a server that restarts under its name in the middle of a drain is told to drain once more.
+// Package warden is the drain controller for the table servers of one registry: it reports their state to the
+// coordinators, and sets them to draining or serving in the registry as the fleet's log requires. It does not decide
+// which servers drain.
+//
+// It acts under a lease, and any number of wardens may stand by. It repeatedly compares the registry with the log and
+// corrects the registry, so that a server that restarts under its name during a drain is set to draining again.
 package warden
 
 import (
@@ -21,40 +23,41 @@
 const (
 	callTimeout         = 3 * time.Second
 	attemptTimeout      = time.Second
-	reportInterval      = 10 * time.Second // also where nothing changed
-	maxConcurrentProbes = 16               // servers asked at once
-	maxMisses           = 2                // looks in a row without an answer, and a server counts as out
+	reportInterval      = 10 * time.Second // even if nothing has changed
+	maxConcurrentProbes = 16               // health checks at once
+	maxMisses           = 2                // consecutive failed health checks after which a server counts as out
 )
 
-// Warden is the actor. Run runs it.
+// Warden reports and drains the table servers of one registry. Run runs it.
 type Warden struct {
 	config   *Config
 	registry Registry
 	log      *slog.Logger
 	group    *leaseholder.Group
 	client   http.Client
-	member   string
+	member   string // name of this process as a member of the fleet
 
 	servers map[string]*serverState
 }
 
-// seen is what this warden knows of one server.
+// serverState is what this warden has last reported about a server, and the number of its failed health checks.
 type serverState struct {
 	reported   rollout.Unit
 	reportedAt time.Time
-	misses     int
+	misses     int // consecutive failed health checks
 }
 
-// New makes a warden over a registry.
+// New returns a warden for a registry. Its name as a member of the fleet is member.
 func New(c *Config, r Registry, member string, log *slog.Logger) *Warden {
 	return &Warden{config: c, registry: r, member: member, log: log.With("registry", c.Name), client: http.Client{Timeout: c.Look.Duration},
 		group: &leaseholder.Group{Coordinators: c.Coordinators, Via: c.Via, Try: attemptTimeout}}
 }
 
-// LeaseName is the lease that the wardens of one registry act under.
+// LeaseName returns the name of the lease that a warden of this registry must hold to act.
 func (c *Config) LeaseName() string { return "tables:" + c.Name }
 
-// Run watches until ctx ends: it waits for the lease, acts while it has it, and waits again when it is lost.
+// Run acquires the lease, reports and drains servers while it holds it, and waits for it again after losing it. It
+// returns when ctx ends.
 func (w *Warden) Run(ctx context.Context) error {
 	defer w.group.Close()
 	session, err := leaseholder.Start(context.Background(), leaseholder.Options{Coordinators: w.config.Coordinators, Via: w.config.Via, Life: w.config.Life.Duration, Log: w.log,
@@ -75,7 +78,7 @@
 			}
 			return err
 		}
-		w.log.Info("watches from now on")
+		w.log.Info("drain controller active: lease acquired")
 		w.servers = map[string]*serverState{}
 		w.reconcileLoop(ctx, l)
 		releaseCtx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -85,6 +88,7 @@
 	return nil
 }
 
+// reconcileLoop calls reconcile at each interval until ctx ends or the lease is lost.
 func (w *Warden) reconcileLoop(ctx context.Context, l *leaseholder.Lease) {
 	ticker := time.NewTicker(w.config.Look.Duration)
 	defer ticker.Stop()
@@ -93,17 +97,18 @@
 		case <-ctx.Done():
 			return
 		case <-l.Lost():
-			w.log.Warn("watches no more", "cause", string(l.Cause()))
+			w.log.Warn("drain controller inactive: lease lost", "cause", string(l.Cause()))
 			return
 		case <-ticker.C:
 		}
 		if err := w.reconcile(ctx, l); err != nil && ctx.Err() == nil {
-			w.log.Warn("a look failed", "err", err)
+			w.log.Warn("reconciling the registry with the fleet's log failed", "err", err)
 		}
 	}
 }
 
-// look sees every server, tells what changed, and has the registry say what the log calls for.
+// reconcile checks the health of every server, sets its state in the registry as the log requires, and reports what
+// changed to the coordinators.
 func (w *Warden) reconcile(ctx context.Context, l *leaseholder.Lease) error {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -137,7 +142,8 @@
 			return err
 		}
 	}
-	for id, u := range fleet.Budget.Units { // one that the registry doesn't list any more is missed until somebody forgets it
+	// A unit that the registry no longer lists counts as out until an operator removes it with Forget.
+	for id, u := range fleet.Budget.Units {
 		if u.Kind == rollout.KindTable && u.Site == w.config.Site && !listed[id] && w.ownsUnit(fleet, id) {
 			missing := *u
 			missing.Up, missing.Warm, missing.By = false, false, w.member
@@ -149,16 +155,17 @@
 	return nil
 }
 
-// mine tells whether a unit is this registry's: this warden has told of it, or nobody who is there does.
+// ownsUnit reports whether a unit belongs to this registry: this warden has seen it, or no member observes it as up.
 func (w *Warden) ownsUnit(fleet *rollout.Fleet, id string) bool {
 	return w.servers[id] != nil || !fleet.Budget.Units[id].Up
 }
 
-// carryOut has the registry say of a server what the log calls for, and returns whether it drains by that.
+// applyDrain sets the state of a server in the registry as the log requires. It returns whether the server is draining
+// afterwards.
 func (w *Warden) applyDrain(ctx context.Context, l *leaseholder.Lease, fleet *rollout.Fleet, s Server) (draining bool, err error) {
 	permit := fleet.Budget.Permits[s.ID]
 	if permit == nil {
-		return s.Draining, nil // also where somebody drains it by hand: it is out
+		return s.Draining, nil // if an operator drains it by hand, it counts as out
 	}
 	drain := fleet.Drains[permit.Change]
 	if drain == nil {
@@ -167,9 +174,9 @@
 	setDraining := func(draining bool) error {
 		token, _, held := l.Token()
 		if !held {
-			return fmt.Errorf("%s: the lease is lost", s.ID)
+			return fmt.Errorf("server %s: not drained or restored: the warden has lost its lease", s.ID)
 		}
-		w.log.Info("tells the registry", "server", s.ID, "draining", draining, "change", permit.Change, "permit", permit.Token)
+		w.log.Info("setting the server's state in the registry", "server", s.ID, "draining", draining, "change", permit.Change, "permit", permit.Token)
 		return w.registry.Drain(ctx, s.ID, draining, w.config.LeaseName(), token)
 	}
 	command := rollout.Command{By: w.config.LeaseName(), Unit: s.ID, Token: permit.Token}
@@ -177,18 +184,19 @@
 	case !drain.Back && !permit.Left:
 		command.Op = rollout.Leave
 		r, err := coordinator.Change(ctx, w.group, command)
-		if err != nil || r.Error != "" { // what crashed since counts: it is asked again with the next look
+		if err != nil || r.Error != "" { // units that failed since the grant count against the budget; tried again at the next interval
 			return s.Draining, err
 		}
 		return true, setDraining(true)
-	case !drain.Back && !s.Draining: // told late, or it came back under its name
+	case !drain.Back && !s.Draining: // the registry was not told yet, or the server restarted under its name
 		return true, setDraining(true)
 	case drain.Back && s.Draining:
 		return false, setDraining(false)
 	case drain.Back && !permit.Returned:
 		command.Op = rollout.Return
 		if state := w.servers[s.ID]; state != nil {
-			state.reportedAt = time.Time{} // the permit ends with the next word that it serves, though nothing changes by then
+			// The permit ends with the next report that the server serves, so that report is due even if nothing changes.
+			state.reportedAt = time.Time{}
 		}
 		_, err := coordinator.Change(ctx, w.group, command)
 		return false, err
@@ -196,7 +204,7 @@
 	return s.Draining, nil
 }
 
-// unit is a server as it is seen now.
+// observe counts the outcome of a health check and returns the server's state as a unit of the fleet.
 func (w *Warden) observe(s Server, alive, draining bool) rollout.Unit {
 	state := w.stateOf(s.ID)
 	if state.misses++; alive {
@@ -211,7 +219,7 @@
 	return u
 }
 
-// know is what is known of a server; one that was not seen yet counts as out until it answers.
+// stateOf returns what is known about a server. A new one counts as out until it passes a health check.
 func (w *Warden) stateOf(id string) *serverState {
 	state := w.servers[id]
 	if state == nil {
@@ -221,6 +229,7 @@
 	return state
 }
 
+// probe reports whether a server passes its health check.
 func (w *Warden) probe(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+w.config.Health, nil)
 	if err != nil {
@@ -234,6 +243,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
+// report sends the state of a unit to the coordinators if it has changed or reportInterval has passed.
 func (w *Warden) report(ctx context.Context, l *leaseholder.Lease, id string, u rollout.Unit) error {
 	state := w.stateOf(id)
 	if state.reported == u && time.Since(state.reportedAt) < reportInterval {
@@ -241,11 +251,11 @@
 	}
 	token, _, held := l.Token()
 	if !held {
-		return fmt.Errorf("%s: the lease is lost", id)
+		return fmt.Errorf("server %s: not reported: the warden has lost its lease", id)
 	}
 	r, err := coordinator.Change(ctx, w.group, rollout.Command{Op: rollout.Observe, By: w.config.LeaseName(), Token: token, Unit: id, Observed: &u})
 	if err == nil && r.Error != "" {
-		err = fmt.Errorf("%s: %s", id, r.Error)
+		err = fmt.Errorf("server %s: report rejected: %s", id, r.Error)
 	}
 	if err == nil {
 		state.reported, state.reportedAt = u, time.Now()
--- a/internal/warden/warden_test.go
+++ b/internal/warden/warden_test.go
@@ -18,8 +18,8 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// hall is a registry with six table servers in two zones, a budget that lets half of them be out, and a gateway that says
-// what it has under way.
+// hall is a registry with six table servers in two zones, a budget that allows half of them to be out, and a gateway that
+// reports its work in flight.
 type hall struct {
 	*grouptest.Group
 	t            *testing.T
@@ -57,7 +57,7 @@
 	return h
 }
 
-// table starts a table server; cold: its process began only now.
+// startTable starts a table server. If cold is positive, its process has only just started.
 func (h *hall) startTable(id, zone string, cold time.Duration) {
 	h.t.Helper()
 	t, err := standin.NewTable("127.0.0.1:0", standin.TableOptions{ID: id, Site: zone, Cores: 1, Speed: 1})
@@ -73,7 +73,7 @@
 	h.registry.Put(e)
 }
 
-// says has the gateway say what it has under way at the servers that drain.
+// reportWorkInFlight reports the gateway's work in flight at the draining servers.
 func (h *hall) reportWorkInFlight() {
 	h.t.Helper()
 	h.Change(rollout.Command{Op: rollout.Observe, Unit: "g1", Observed: &rollout.Unit{Kind: rollout.KindGateway, Capacity: 100, Load: 20, Up: true, Warm: true}, Held: h.workInFlight})
@@ -94,7 +94,7 @@
 	return stop
 }
 
-// up lists the servers that are seen in order.
+// inService returns the IDs of the table servers that are ready and warm, in order.
 func inService(f *rollout.Fleet) (all []string) {
 	for id, u := range f.Budget.Units {
 		if u.Kind == rollout.KindTable && u.Up && u.Warm {
@@ -121,24 +121,24 @@
 
 func equal(ids []string, want ...string) bool { return slices.Equal(ids, want) }
 
-// A zone is drained, is quiet only once the gateway has said so, and serves again when it is restored; the warden that
-// began it dies in between.
+// A zone is drained, becomes quiet only once the gateway has reported no work in flight, and serves again when it is
+// restored. The warden that began the drain stops in between, and another one continues.
 func TestAZoneDrainsAndComesBack(t *testing.T) {
 	h := newHall(t)
 	first := h.startWarden("first")
-	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
+	h.Await("all servers are in service", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "zone-a", Units: []string{"t0", "t2", "t4"}, Life: time.Minute})
-	h.Await("the registry was told", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0", "t2", "t4") })
+	h.Await("the zone is listed as draining", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0", "t2", "t4") })
 	first()
 	h.startWarden("second")
 	h.workInFlight = map[string]int{"t0": 2, "t2": 0}
 	h.reportWorkInFlight()
-	f := h.Await("the second one sees", func(f *rollout.Fleet) bool { return f.Budget.Units["t1"].By == "second" })
+	f := h.Await("the second warden reports", func(f *rollout.Fleet) bool { return f.Budget.Units["t1"].By == "second" })
 	if n, who := f.WorkInFlight("t0"); f.Drains["zone-a"].Quiet || n != 2 || len(who) != 0 {
-		t.Errorf("t0: %d under way, %v unknown; quiet %v", n, who, f.Drains["zone-a"].Quiet)
+		t.Errorf("t0: %d in flight, not reported by %v; quiet %v", n, who, f.Drains["zone-a"].Quiet)
 	}
 	if n, who := f.WorkInFlight("t4"); n != 0 || !equal(who, "g1") {
-		t.Errorf("t4: %d under way, %v unknown", n, who)
+		t.Errorf("t4: %d in flight, not reported by %v", n, who)
 	}
 	h.workInFlight = map[string]int{"t0": 0, "t2": 0, "t4": 0}
 	h.reportWorkInFlight()
@@ -148,17 +148,17 @@
 		return len(inService(f)) == 6 && len(f.Drains) == 0 && len(f.Budget.Permits) == 0
 	})
 	if d := drainingServers(h); len(d) != 0 {
-		t.Errorf("%v are still listed as draining", d)
+		t.Errorf("still listed as draining: %v", d)
 	}
 }
 
-// A drained server that restarts under its name, listed as serving and cold, is told to drain once more; restored, it
-// counts as out until it is warm.
+// A drained server restarts under its name and is listed as serving and cold. The warden sets it to draining again; after
+// the restore it counts as out until it is warm.
 func TestADrainedServerThatRestartsStaysOut(t *testing.T) {
 	h := newHall(t)
 	h.c.Warm.Duration = 2 * time.Second
 	h.startWarden("w")
-	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
+	h.Await("all servers are in service", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "one", Units: []string{"t1"}, Life: time.Minute})
 	h.Await("it drains", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t1") })
 	told := len(h.registry.Told())
@@ -168,18 +168,19 @@
 	h.Change(rollout.Command{Op: rollout.Restore, Change: "one"})
 	f := h.Await("it is listed as serving", func(f *rollout.Fleet) bool { return len(drainingServers(h)) == 0 && f.Budget.Permits["t1"].Returned })
 	if f.Budget.Units["t1"].Warm {
-		t.Error("a cold server counts as back")
+		t.Error("a cold server counts as warm")
 	}
 	h.Await("it is warm", func(f *rollout.Fleet) bool {
 		return f.Budget.Permits["t1"] == nil && equal(inService(f), "t0", "t1", "t2", "t3", "t4", "t5")
 	})
 }
 
-// While one zone is lost, the drain of the other waits, says for what, and goes on when the lost one is back.
+// While one zone is out, the drain of the other waits, its refusal names the rule and the units that are out, and the
+// drain continues when the servers of the first zone are back.
 func TestADrainWaitsWhileAnotherZoneIsLost(t *testing.T) {
 	h := newHall(t)
 	h.startWarden("w")
-	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
+	h.Await("all servers are in service", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
 	for _, id := range []string{"t1", "t3", "t5"} {
 		h.tables[id].Silence()
 	}
@@ -187,24 +188,24 @@
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "zone-a", Units: []string{"t0", "t2", "t4"}, Life: time.Minute})
 	f := h.Await("it waits", func(f *rollout.Fleet) bool { return len(f.Budget.Waiting) == 3 })
 	if no := f.Budget.CheckLeave("t0"); no == nil || !strings.Contains(no.Error(), "at most 3 of 6 may be out; out are: t1 (not seen ready), t3 (not seen ready), t5 (not seen ready)") {
-		t.Errorf("why: %v", no)
+		t.Errorf("refusal of t0: %v", no)
 	}
 	if d := drainingServers(h); len(d) != 0 || len(inService(f)) != 3 {
-		t.Errorf("%v drain, %v serve", d, inService(f))
+		t.Errorf("draining: %v, in service: %v", d, inService(f))
 	}
 	h.tables["t1"].Speak()
-	h.Await("as many leave as there is room for", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0") })
+	h.Await("as many leave as the budget allows", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0") })
 	h.tables["t3"].Speak()
 	h.tables["t5"].Speak()
-	h.Await("all of it leaves", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0", "t2", "t4") })
+	h.Await("the whole zone drains", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0", "t2", "t4") })
 }
 
-// A drain by hand past the budget counts as out; a server that the registry doesn't list any more is missed until it is
-// forgotten; a time that has passed halts what is planned and ends no drain.
-func TestWhatNobodyEndsStays(t *testing.T) {
+// A server that is drained by hand outside the budget counts as out. A server that the registry no longer lists counts as out
+// until it is forgotten. An overdue permit blocks planned work and ends no drain.
+func TestUnitsAndPermitsStayOutUntilCleared(t *testing.T) {
 	h := newHall(t)
 	h.startWarden("w")
-	h.Await("all are seen", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
+	h.Await("all servers are in service", func(f *rollout.Fleet) bool { return len(inService(f)) == 6 })
 	h.registry.Drain("t5")
 	e := h.tables["t3"].Instance("")
 	e.Lifecycle = "DELETED"
@@ -213,27 +214,27 @@
 	h.Change(rollout.Command{Op: rollout.Drain, Change: "d", Units: []string{"t0"}, Life: 3 * time.Second})
 	f := h.Await("it is overdue", func(f *rollout.Fleet) bool { p := f.Budget.Permits["t0"]; return p != nil && p.Overdue })
 	if no := f.Budget.CheckLeave("t1"); no == nil || !strings.Contains(no.Error(), "a permit is overdue; out are: t0 (d, overdue)") {
-		t.Errorf("why t1 may not leave: %v", no)
+		t.Errorf("refusal of t1: %v", no)
 	}
 	if !equal(drainingServers(h), "t0", "t5") {
-		t.Errorf("%v drain", drainingServers(h))
+		t.Errorf("draining: %v", drainingServers(h))
 	}
 	h.Change(rollout.Command{Op: rollout.Claim, Unit: "t0"})
 	claimed := time.Now()
 	h.Change(rollout.Command{Op: rollout.Forget, Unit: "t3"})
-	f = h.Await("somebody has looked", func(f *rollout.Fleet) bool { return !f.Budget.Permits["t0"].Overdue })
+	f = h.Await("the overdue permit is claimed", func(f *rollout.Fleet) bool { return !f.Budget.Permits["t0"].Overdue })
 	if f.Budget.Units["t3"] != nil {
-		t.Error("a forgotten server is known")
+		t.Error("a forgotten server is still a unit of the fleet")
 	}
 	h.Await("it is overdue again", func(f *rollout.Fleet) bool { return f.Budget.Permits["t0"].Overdue })
 	if d := time.Since(claimed); d < 2500*time.Millisecond {
-		t.Errorf("overdue %v after somebody looked, its time is 3s", d)
+		t.Errorf("overdue again %v after the claim, want at least 2.5s of its 3s", d)
 	}
 	h.Change(rollout.Command{Op: rollout.Restore, Change: "d"})
 	h.Await("it serves", func(f *rollout.Fleet) bool { return equal(inService(f), "t0", "t1", "t2", "t4") && len(f.Drains) == 0 })
 }
 
-// A warden that was stopped while another took over changes nothing any more: the registry and the log turn it away.
+// The registry rejects a drain with an old fencing token, as from a warden that was paused while another took over.
 func TestALateWardenIsTurnedAway(t *testing.T) {
 	h := newHall(t)
 	r := &HTTP{Address: h.c.Registry}
@@ -241,13 +242,13 @@
 		t.Fatal(err)
 	}
 	if err := r.Drain(h.ctx, "t1", false, "tables:hall", 6); err == nil || !strings.Contains(err.Error(), "409") {
-		t.Errorf("an overtaken token: %v", err)
+		t.Errorf("drain with an old fencing token: %v", err)
 	}
 	if err := r.Drain(h.ctx, "t9", true, "tables:hall", 7); err == nil || !strings.Contains(err.Error(), "404") {
-		t.Errorf("a server that is not there: %v", err)
+		t.Errorf("drain of an unknown server: %v", err)
 	}
 	if !equal(drainingServers(h), "t1") {
-		t.Errorf("%v drain", drainingServers(h))
+		t.Errorf("draining: %v", drainingServers(h))
 	}
 }
 
