--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent stands beside one gateway: it keeps the gateway's process at work, tells the coordinators what it
-// sees of it, and replaces it by another version when a release says so and a permit allows it. What it has begun
-// under a permit it finishes or backs out, also when the coordinators are gone; without one it begins nothing.
+// Package agent supervises one gateway: it keeps the gateway's process running, reports its state to the coordinators,
+// and replaces it with another version when a release requires it and a permit allows it. It does not decide when a
+// release proceeds. Once it has begun a change under a permit, it completes the change or reverts it, even if the
+// coordinators cannot be reached; without a permit it begins none.
 package agent
 
 import (
@@ -20,70 +21,71 @@
 
 const (
 	checkInterval    = 200 * time.Millisecond
-	reportInterval   = 2 * time.Second // also where nothing changed
+	reportInterval   = 2 * time.Second // even if nothing has changed
 	pollInterval     = 500 * time.Millisecond
 	callTimeout      = 3 * time.Second
-	restartDelay     = time.Second // a gateway that ended by itself is started again
+	restartDelay     = time.Second // before a gateway that exited unexpectedly is started again
 	attemptTimeout   = time.Second // for one coordinator's answer
-	permitLifeFactor = 3           // a permit's time is this many times what a replacement may take
+	permitLifeFactor = 3           // a permit's life, as a multiple of the longest time that a replacement may take
 )
 
-// Agent is the actor beside a gateway. It never waits for the coordinators: talks with them run beside it, one at a time.
+// Agent is the actor that supervises a gateway. Run runs it. It never waits for the coordinators: its exchanges with them
+// run in a goroutine of their own, one at a time.
 type Agent struct {
 	config          *Config
 	log             *slog.Logger
 	group           *leaseholder.Group
-	lease           atomic.Pointer[leaseholder.Lease] // who has it speaks and acts for this gateway's name
-	current         *process                          // nil: none runs
-	readySince      time.Time                         // it is ready
+	lease           atomic.Pointer[leaseholder.Lease] // its holder alone reports and acts for this gateway's name; nil: not held
+	current         *process                          // nil: no process has been started or found
+	readySince      time.Time                         // when the gateway became ready
 	ready           bool
-	failedAt        time.Time // the gateway ended by itself
+	failedAt        time.Time // when the gateway exited unexpectedly or a change failed; zero: neither since it was last ready
 	figures         map[string]rollout.Count
 	requestRate     float64
 	countedAt       time.Time
-	workInFlight    map[string]int // work under way at the servers that drain
-	drainingServers []string       // those servers
+	workInFlight    map[string]int // requests in flight at the draining table servers
+	drainingServers []string       // draining table servers, from the coordinators
 
-	outcomes chan outcome // of the change that is under way
+	outcomes chan outcome // result of the change in progress
 	changing bool
 
-	syncResults  chan syncResult // of the talk that is under way
+	syncResults  chan syncResult // result of the exchange with the coordinators in progress
 	syncing      bool
 	reported     rollout.Unit
 	reportedWork map[string]int
 	reportedAt   time.Time
 	polledAt     time.Time
-	pending      []rollout.Command // to be said before anything new begins, in order
+	pending      []rollout.Command // commands to send, in order, before any new change begins
 }
 
-// outcome is what a change came to.
+// outcome is the result of a change: a replacement or a new configuration.
 type outcome struct {
-	next    *process // that serves now
-	failure string   // it serves as before, and this is why
+	next    *process // the process that serves after the change
+	failure string   // why the change failed; the gateway then serves as before
 	task    rollout.Task
-	permit  uint64 // 0: it needed none
+	permit  uint64 // 0: the change needed none
 }
 
-// word is what a talk with the coordinators came to.
+// syncResult is the result of an exchange with the coordinators.
 type syncResult struct {
-	sent            int // of what was owed
+	sent            int // number of the pending commands that were sent
 	reported        bool
 	unit            rollout.Unit
 	workInFlight    map[string]int
-	polled          bool // what there is to do
+	polled          bool // the task and the draining servers were received
 	drainingServers []string
-	task            rollout.Task // to begin now, where permit is not 0
+	task            rollout.Task // to begin now if permit is not 0
 	permit          uint64
-	failure         string // it can't be begun
+	failure         string // why the task cannot begin
 }
 
-// New makes an agent. Run starts it.
+// New returns an agent. Run runs it.
 func New(c *Config, log *slog.Logger) *Agent {
 	return &Agent{config: c, log: log.With("gateway", c.Name), outcomes: make(chan outcome, 1), syncResults: make(chan syncResult, 1),
 		group: &leaseholder.Group{Coordinators: c.Coordinators, Via: c.Via, Try: attemptTimeout}}
 }
 
-// Run works until ctx ends. The gateway goes on; the next agent finds it.
+// Run supervises the gateway until ctx ends. The gateway continues to run, and the next agent adopts it.
 func (a *Agent) Run(ctx context.Context) error {
 	defer a.group.Close()
 	session, err := leaseholder.Start(context.Background(), leaseholder.Options{Coordinators: a.config.Coordinators, Via: a.config.Via, Life: a.config.Life.Duration, Log: a.log,
@@ -128,13 +130,13 @@
 	}
 }
 
-// hold keeps the lease of this gateway's name: another agent of that name, on another machine say, neither speaks nor
-// acts until it is free.
+// holdLease acquires and holds the lease of this gateway's name. Another agent with that name, for example on another
+// machine, neither reports nor acts until the lease is free.
 func (a *Agent) holdLease(ctx context.Context, session *leaseholder.Client) {
 	for ctx.Err() == nil {
 		l, err := session.Acquire(ctx, "agent:"+a.config.Name)
 		if err != nil {
-			return // it ends
+			return // ctx has ended, or the session cannot acquire leases
 		}
 		a.lease.Store(l)
 		select {
@@ -148,7 +150,8 @@
 	}
 }
 
-// holds is the token of that lease; false: this agent may not speak now.
+// leaseToken returns the fencing token of that lease. It returns false if this agent does not hold the lease and so must
+// not report or act.
 func (a *Agent) leaseToken() (uint64, bool) {
 	if l := a.lease.Load(); l != nil {
 		token, _, ok := l.Token()
@@ -157,7 +160,7 @@
 	return 0, false
 }
 
-// last finishes what was begun, and says what is owed while there is time.
+// shutDown waits for the change and the exchange in progress, and sends the pending commands within callTimeout.
 func (a *Agent) shutDown() {
 	if a.changing {
 		a.finishChange(<-a.outcomes)
@@ -169,22 +172,22 @@
 	defer cancel()
 	for _, command := range a.pending {
 		if _, err := coordinator.Change(callCtx, a.group, command); err != nil {
-			a.log.Warn("not heard by the coordinators", "op", command.Op, "err", err)
+			a.log.Warn("command not accepted by the coordinators", "op", command.Op, "err", err)
 			return
 		}
 	}
 }
 
-// find goes on with what an agent before this one left, also where that was killed between two processes: the one that
-// takes clients stays, and the other one is ended.
+// recoverProcess adopts the gateway process that an earlier agent left. If that agent was killed during a replacement and
+// left two, recoverProcess keeps the one that accepts clients and terminates the other.
 func (a *Agent) recoverProcess() error {
 	r, ok, err := loadRunning(a.config.State)
 	if err != nil {
-		return fmt.Errorf("state: %w", err)
+		return fmt.Errorf("loading state file %s: %w", a.config.State, err)
 	}
 	if ok {
 		if a.current = adopt(r); a.current == nil {
-			a.config.Program.Version, a.config.Configuration.Version = r.Version, r.Config // it ran last: its process is gone
+			a.config.Program.Version, a.config.Configuration.Version = r.Version, r.Config // last used, but the process is gone
 		}
 	}
 	for _, other := range leftoverProcesses(a.config.State, a.current) {
@@ -197,18 +200,18 @@
 			}
 		}
 		if a.current = keep; discard != nil {
-			a.log.Warn("an agent before this one left two processes", "stays", keep.PID, "ends", discard.PID)
+			a.log.Warn("an earlier agent left two gateway processes; terminating one", "stays", keep.PID, "ends", discard.PID)
 			discard.terminate(a.config.Program.Drain.Duration)
 		}
 	}
 	if a.current == nil {
 		return nil
 	}
-	a.log.Info("goes on with the gateway that runs", "version", a.current.Version, "pid", a.current.PID)
+	a.log.Info("adopted the running gateway process", "version", a.current.Version, "pid", a.current.PID)
 	return a.current.save(a.config.State)
 }
 
-// begin starts a gateway where none runs.
+// startGateway starts a gateway process when none is running.
 func (a *Agent) startGateway(r running) error {
 	p, err := start(a.config, r.Version, a.config.Program.Management[0])
 	if err != nil {
@@ -216,16 +219,16 @@
 	}
 	p.Config = r.Config
 	a.current, a.ready = p, false
-	a.log.Info("started", "version", r.Version, "pid", p.PID)
+	a.log.Info("gateway process started", "version", r.Version, "pid", p.PID)
 	return p.save(a.config.State)
 }
 
-// take takes in what a change came to.
+// finishChange records the outcome of a change.
 func (a *Agent) finishChange(result outcome) {
 	a.changing = false
 	if result.failure != "" {
-		a.log.Error("not changed: it serves as before", "err", result.failure)
-		a.failedAt = time.Now() // not at once again
+		a.log.Error("change failed; the gateway serves as before", "err", result.failure)
+		a.failedAt = time.Now() // delays the next attempt
 		if result.permit != 0 {
 			a.pending = append(a.pending, a.failCommand(result.task.Change, result.failure))
 		}
@@ -235,7 +238,7 @@
 		}
 		a.current, a.reportedAt = result.next, time.Time{}
 		if err := a.current.save(a.config.State); err != nil {
-			a.log.Error("what runs can't be kept for the next agent", "err", err)
+			a.log.Error("saving the state of the gateway process failed; the next agent may not find it", "err", err)
 		}
 	}
 	if result.permit != 0 {
@@ -243,20 +246,20 @@
 	}
 }
 
-// look looks after the gateway's process and at its figures.
+// checkProcess restarts the gateway if its process has exited, and otherwise reads its readiness and its figures.
 func (a *Agent) checkProcess() {
 	if a.changing {
-		return // between two processes: it is out until the change has ended
+		return // the gateway counts as out until the change has ended
 	}
 	if !a.current.alive() {
 		if a.ready || a.failedAt.IsZero() {
-			a.log.Error("the gateway ended by itself", "version", a.current.Version)
+			a.log.Error("gateway process exited unexpectedly", "version", a.current.Version)
 			a.failedAt, a.ready = time.Now(), false
 		}
 		if time.Since(a.failedAt) > restartDelay {
 			a.failedAt = time.Now()
 			if err := a.startGateway(a.current.running); err != nil {
-				a.log.Error("it can't be started again", "err", err)
+				a.log.Error("restarting the gateway failed", "err", err)
 			}
 		}
 		return
@@ -269,7 +272,7 @@
 		return
 	}
 	if a.config.Configuration.Folder != "" && !a.current.configured && time.Since(a.failedAt) > restartDelay {
-		a.reconfigure(rollout.Task{Version: a.current.Config}, 0) // a fresh process has the file's
+		a.reconfigure(rollout.Task{Version: a.current.Config}, 0) // a new process starts with the configuration from its file
 		return
 	}
 	a.failedAt = time.Time{}
@@ -281,7 +284,7 @@
 	if a.workInFlight = nil; len(a.drainingServers) > 0 {
 		if workByServer, err := a.current.draining(); err == nil {
 			a.workInFlight = map[string]int{}
-			for _, server := range a.drainingServers { // one that it still takes for serving is not said
+			for _, server := range a.drainingServers { // a server that the gateway does not know as draining yet is not reported
 				if n, knows := workByServer[server]; knows {
 					a.workInFlight[server] = n
 				}
@@ -290,6 +293,7 @@
 	}
 }
 
+// updateFigures stores the request counts and derives the request rate from the previous ones.
 func (a *Agent) updateFigures(f map[string]rollout.Count, seconds float64) {
 	var served, before uint64
 	for class, c := range f {
@@ -302,7 +306,7 @@
 	a.figures, a.countedAt = f, time.Now()
 }
 
-// sight is the unit as it is seen now.
+// observe returns the gateway's present state as a unit of the fleet.
 func (a *Agent) observe() rollout.Unit {
 	unit := rollout.Unit{Kind: rollout.KindGateway, Site: a.config.Site, Zone: a.config.Zone, Capacity: a.config.Capacity, Version: a.current.Version,
 		Instance: fmt.Sprintf("%d-%s", a.current.PID, a.current.Began), Up: a.ready && !a.changing}
@@ -313,8 +317,8 @@
 	return unit
 }
 
-// talk begins a talk with the coordinators, where one is due and none is under way: what is owed, what is seen, and
-// what there is to do.
+// synchronize starts an exchange with the coordinators if one is due and none is in progress. It sends the pending
+// commands, reports the gateway's state, and asks for the gateway's task.
 func (a *Agent) synchronize(ctx context.Context) {
 	token, hasLease := a.leaseToken()
 	if a.syncing || !hasLease {
@@ -323,7 +327,7 @@
 	observed := a.observe()
 	observed.By = a.config.Name
 	due := time.Since(a.reportedAt) >= reportInterval
-	if observed.Load = a.reported.Load; due { // a load that moves is no reason to tell sooner
+	if observed.Load = a.reported.Load; due { // a changed load alone does not cause an earlier report
 		observed.Load = a.requestRate
 	}
 	report := due || observed != a.reported || !maps.Equal(a.workInFlight, a.reportedWork)
@@ -344,14 +348,14 @@
 		defer func() { a.syncResults <- result }()
 		for _, command := range pending {
 			if _, err := coordinator.Change(callCtx, a.group, command); err != nil {
-				a.log.Warn("not heard by the coordinators", "op", command.Op, "err", err)
+				a.log.Warn("command not accepted by the coordinators", "op", command.Op, "err", err)
 				return
 			}
 			result.sent++
 		}
 		if report {
 			if _, err := coordinator.Change(callCtx, a.group, rollout.Command{Op: rollout.Observe, By: "agent:" + a.config.Name, Token: token, Unit: a.config.Name, Observed: &observed, Figures: figures, Held: workInFlight}); err != nil {
-				a.log.Warn("the coordinators were not told", "err", err)
+				a.log.Warn("reporting to the coordinators failed", "err", err)
 				return
 			}
 			result.reported = true
@@ -362,7 +366,7 @@
 	}()
 }
 
-// hear takes in what a talk came to, and begins what it allows.
+// finishSync records the result of an exchange and begins the change that it permits.
 func (a *Agent) finishSync(result syncResult) {
 	a.syncing = false
 	a.pending = a.pending[result.sent:]
@@ -380,12 +384,12 @@
 		a.reconfigure(result.task, result.permit)
 	default:
 		a.changing = true
-		a.log.Info("replaces the gateway", "from", a.current.Version, "to", result.task.Version, "change", result.task.Change, "permit", result.permit)
+		a.log.Info("replacing the gateway", "from", a.current.Version, "to", result.task.Version, "change", result.task.Change, "permit", result.permit)
 		go a.replace(a.current, result.task, result.permit)
 	}
 }
 
-// ask asks what there is to do, and for the permit to do it.
+// poll asks the coordinators for the gateway's task and requests a permit for it.
 func (a *Agent) poll(callCtx context.Context, observed rollout.Unit, current *process, result *syncResult) {
 	brief, err := coordinator.Brief(callCtx, a.group, a.config.Name)
 	if err != nil {
@@ -394,14 +398,15 @@
 	result.polled, result.drainingServers = true, brief.Drains
 	task := brief.Task
 	if p := brief.Permit; p != nil && !p.Returned && brief.Planned && (task.Change != p.Change || task.Version == "") {
-		// A permit of a release that doesn't want anything of this unit any more, or of an agent before that ended
-		// in the middle: the gateway serves as it is.
-		coordinator.Change(callCtx, a.group, rollout.Command{Op: rollout.Return, By: a.config.Name, Unit: a.config.Name, Token: p.Token}) // where it is not heard, the next look says it again
+		// The permit belongs to a release that no longer requires a change of this unit, or to an earlier agent that
+		// ended during the change. The gateway serves as it is, so the permit is returned; if the command is not
+		// accepted, it is sent again at the next poll.
+		coordinator.Change(callCtx, a.group, rollout.Command{Op: rollout.Return, By: a.config.Name, Unit: a.config.Name, Token: p.Token})
 		return
 	}
 	if task.Change != "" && task.Version == "" {
 		if err := a.applyDrain(callCtx, observed, current, task, brief.Permit); err != nil {
-			a.log.Warn("drain", "change", task.Change, "err", err)
+			a.log.Warn("draining or restoring the gateway failed", "change", task.Change, "err", err)
 		}
 		return
 	}
@@ -426,26 +431,26 @@
 	if brief.Permit != nil && brief.Permit.Change == task.Change && !brief.Permit.Returned {
 		token = brief.Permit.Token
 	} else if brief.Waits {
-		return // the ask stands
+		return // a request is already waiting
 	} else {
 		life := permitLifeFactor * (a.config.Program.Ready.Duration + a.config.Program.Drain.Duration + a.config.Program.Learn.Duration)
 		r, err := coordinator.Change(callCtx, a.group, rollout.Command{Op: rollout.RequestPermit, By: a.config.Name, Unit: a.config.Name, Change: task.Change, Life: life})
 		if err != nil || r.Error != "" {
-			return // it waits
+			return // not granted yet
 		}
 		token = r.Token
 	}
 	if reply, err := coordinator.Change(callCtx, a.group, rollout.Command{Op: rollout.Leave, By: a.config.Name, Unit: a.config.Name, Token: token}); err != nil || reply.Error != "" {
-		return // asked again with the next look
+		return // tried again at the next poll
 	}
 	result.permit = token
 }
 
-// drain sends the clients away under a drain's permit, again where the process is another one by now, and takes them
-// back when the drain is restored.
+// applyDrain has the gateway send its clients to other gateways under a drain's permit, and accept them again when the
+// drain is restored. It repeats the drain if the process has been replaced in the meantime.
 func (a *Agent) applyDrain(callCtx context.Context, observed rollout.Unit, current *process, task rollout.Task, permit *rollout.Permit) error {
 	if permit == nil || permit.Change != task.Change {
-		return nil // it waits for its turn
+		return nil // no permit for this drain yet
 	}
 	command := rollout.Command{By: a.config.Name, Unit: a.config.Name, Token: permit.Token}
 	switch {
@@ -468,8 +473,9 @@
 	return err
 }
 
-// replace starts the new process beside the old one, waits until it takes clients, and ends the old one, which hands
-// over what it holds. When that fails, the old one serves on. It needs no coordinator until it has ended.
+// replace starts the new process beside the old one, waits until it accepts clients, and terminates the old one, which
+// hands over its clients and its work. If the new process fails, the old one continues to serve. It needs no coordinator
+// until it has ended.
 func (a *Agent) replace(old *process, task rollout.Task, permit uint64) {
 	address := a.config.Program.Management[0]
 	if old.Management == address {
@@ -481,7 +487,7 @@
 		result.failure = err.Error()
 	} else if result.failure = waitReady(next, a.config.Program.Ready.Duration); result.failure != "" {
 		next.terminate(time.Second)
-	} else if next.Config = old.Config; a.config.Configuration.Folder != "" { // before it serves alone
+	} else if next.Config = old.Config; a.config.Configuration.Folder != "" { // before the old process ends
 		if result.failure = a.config.applyConfiguration(next, old.Config); result.failure != "" {
 			next.terminate(a.config.Program.Drain.Duration)
 		}
@@ -495,11 +501,11 @@
 	a.outcomes <- result
 }
 
-// reconfigure has the process take a configuration, and keep to it. Without a permit it is the one that the process
-// was to have anyway.
+// reconfigure applies a configuration to the process and pins it there. A permit of 0 means that the process is to have
+// that configuration already, so that no permit is needed.
 func (a *Agent) reconfigure(task rollout.Task, permit uint64) {
 	a.changing = true
-	p := *a.current // the actor's own stays as it is until this has ended
+	p := *a.current // a copy: the actor's value does not change until the change has ended
 	go func() {
 		result := outcome{task: task, permit: permit}
 		if result.failure = a.config.applyConfiguration(&p, task.Version); result.failure == "" {
@@ -509,7 +515,7 @@
 	}()
 }
 
-// give has a process take a configuration, or returns why not.
+// applyConfiguration applies a configuration to a process. It returns why that failed, or an empty string.
 func (c *Config) applyConfiguration(p *process, name string) (failure string) {
 	text, err := c.readConfiguration(name)
 	if err == nil {
@@ -522,7 +528,7 @@
 	return ""
 }
 
-// waitReady returns why a process does not take clients in time; empty: it does.
+// waitReady waits until a process accepts clients. It returns why that failed, or an empty string.
 func waitReady(p *process, timeout time.Duration) (failure string) {
 	deadline := time.After(timeout)
 	for {
@@ -539,6 +545,7 @@
 	}
 }
 
+// failCommand returns the command that tells the coordinators that a change of this gateway failed.
 func (a *Agent) failCommand(change, reason string) rollout.Command {
 	return rollout.Command{Op: rollout.Fail, By: a.config.Name, Unit: a.config.Name, Change: change, Why: reason}
 }
--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -16,7 +16,8 @@
 	"junctionring/rollout"
 )
 
-// A conductor dies before each move that a release can take, or just after it, and another one goes on from the log.
+// A conductor dies before each move that a release can take, or just after it, and another one continues from the
+// coordinators' log. A move that the first one sends late must have no effect.
 func TestAConductorDiesInEachState(t *testing.T) {
 	t.Parallel()
 	type step struct{ from, to rollout.Stage }
@@ -27,30 +28,30 @@
 	}{
 		{"2", []step{{rollout.Updating, rollout.Evaluating}, {rollout.Evaluating, rollout.Updating}, {rollout.Evaluating, rollout.Done}}, rollout.Done},
 		{"fails-moves", []step{{rollout.Evaluating, rollout.Halted}, {rollout.Halted, rollout.RollingBack}, {rollout.RollingBack, rollout.RolledBack}}, rollout.RolledBack},
-		{"dies-later", []step{{rollout.Updating, rollout.Halted}}, rollout.Done}, // the canary is back before the next conductor looks
+		{"dies-later", []step{{rollout.Updating, rollout.Halted}}, rollout.Done}, // the canary restarts before the next conductor checks
 	} {
 		t.Run(c.version, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t)
 			var ends []func()
 			died := make(chan step, 1)
-			stands := make(chan struct{})
-			goOn := sync.OnceFunc(func() { close(stands) })
-			defer goOn()
+			resume := make(chan struct{})
+			resumeAll := sync.OnceFunc(func() { close(resume) })
+			defer resumeAll()
 			left := slices.Clone(c.steps)
 			start := func() {
 				ends = append(ends, f.startConductor(func(m rollout.Move) {
 					if i := slices.Index(left, step{m.Stage, m.To}); i >= 0 {
 						died <- left[i]
 						left = slices.Delete(left, i, i+1)
-						<-stands // as if it had died: its session's end passes the lease on
+						<-resume // blocks as if it had died; the lease passes on when its session ends
 					}
 				}))
 			}
 			start()
 			f.beginRelease(c.version, true)
-			if c.version == "dies-later" { // the canary falls while the second wave is going out
-				v := f.Await("the second wave is going out", func(v *rollout.Fleet) bool { p := v.Plans["r"]; return p.Wave == 1 && p.Stage == rollout.Updating })
+			if c.version == "dies-later" { // the canary crashes while the second wave is updating
+				v := f.Await("the second wave is updating", func(v *rollout.Fleet) bool { p := v.Plans["r"]; return p.Wave == 1 && p.Stage == rollout.Updating })
 				r, _, _ := loadRunning(f.configs[slices.IndexFunc(f.configs, func(o *Config) bool { return o.Name == v.Plans["r"].Waves[0][0] })].State)
 				syscall.Kill(r.PID, syscall.SIGKILL)
 				f.appendRecord("g0 dies-later crash")
@@ -59,27 +60,27 @@
 				select {
 				case <-died:
 				case <-f.ctx.Done():
-					t.Fatalf("these moves were never taken: %v", left)
+					t.Fatalf("moves not sent: %v", left)
 				}
 				last := ends[len(ends)-1]
 				go last()
 				start()
 			}
 			f.Await("the release is over", func(v *rollout.Fleet) bool { return v.Plans["r"].Stage == c.ends })
-			goOn() // those that stood still go on with the moves in their hands
-			v := f.Await("nobody is out", func(v *rollout.Fleet) bool { return len(v.Budget.Permits) == 0 })
+			resumeAll() // the blocked conductors send their late moves
+			v := f.Await("no permit is out", func(v *rollout.Fleet) bool { return len(v.Budget.Permits) == 0 })
 			if v.Plans["r"].Stage != c.ends {
-				t.Errorf("a late move took it to %s", v.Plans["r"].Stage)
+				t.Errorf("a late move changed the stage to %s", v.Plans["r"].Stage)
 			}
 			if atOnce, _ := f.replacements(c.version); atOnce > 1 {
 				text, _ := os.ReadFile(f.recordPath)
-				t.Errorf("%d were replaced at once:\n%s%s", atOnce, text, grouptest.Told(v))
+				t.Errorf("%d gateways were replaced at once:\n%s%s", atOnce, text, grouptest.Told(v))
 			}
 		})
 	}
 }
 
-// An operator takes a release back while a wave is going out, and all run again what they ran.
+// An operator rolls a release back while a wave is updating, and every gateway runs its previous version again.
 func TestTheWayBackWhileAWaveGoesOut(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -88,15 +89,16 @@
 	v := f.Await("the second wave has begun", func(v *rollout.Fleet) bool { p := v.Plans["r"]; return p.Wave == 1 && len(p.Begun) >= 2 })
 	p := v.Plans["r"]
 	f.Change(rollout.Command{Op: rollout.MoveRelease, Move: &rollout.Move{Plan: "r", Stage: p.Stage, Wave: p.Wave, To: rollout.RollingBack, Why: "by hand"}})
-	f.Await("all run what they ran", func(v *rollout.Fleet) bool {
+	f.Await("all gateways run the previous version", func(v *rollout.Fleet) bool {
 		return v.Plans["r"].Stage == rollout.RolledBack && f.countServing(v, "1") == gatewayCount
 	})
 	if atOnce, _ := f.replacements("2"); atOnce > 1 {
-		t.Errorf("%d were replaced at once", atOnce)
+		t.Errorf("%d gateways were replaced at once", atOnce)
 	}
 }
 
-// A configuration goes out by the same plan and comes back by it; one that the gateways turn down is seen by none.
+// A configuration is rolled out and rolled back by the same kind of plan as a program version. One that the gateways
+// reject is applied at none.
 func TestConfigurationsRollOutByTheSamePlan(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -111,29 +113,29 @@
 	}
 	s := rollout.Settings{Canary: 1, Growth: 3, Pause: 300 * time.Millisecond, Patience: 20 * time.Second, Limits: rollout.DefaultLimits, GoBack: true}
 	units := []string{"g0", "g1", "g2", "g3"}
-	f.Await("all have the first", func(v *rollout.Fleet) bool { return has(v, "c1") == gatewayCount })
+	f.Await("all gateways have the first configuration", func(v *rollout.Fleet) bool { return has(v, "c1") == gatewayCount })
 	f.Change(rollout.Command{Op: rollout.Begin, Change: "good", Version: "c2", Config: true, Units: units, Settings: &s})
-	f.Await("all have the second", func(v *rollout.Fleet) bool {
+	f.Await("all gateways have the second configuration", func(v *rollout.Fleet) bool {
 		return v.Plans["good"].Stage == rollout.Done && has(v, "c2") == gatewayCount
 	})
 	f.Change(rollout.Command{Op: rollout.Begin, Change: "bad", Version: "c-bad", Config: true, Units: units, Settings: &s})
-	v := f.Await("it is turned down", func(v *rollout.Fleet) bool { return v.Plans["bad"].Over() })
+	v := f.Await("the bad configuration is rejected", func(v *rollout.Fleet) bool { return v.Plans["bad"].Over() })
 	if p := v.Plans["bad"]; p.Stage != rollout.RolledBack || !strings.Contains(p.Why, "class move-submit is missing") || has(v, "c2") != gatewayCount {
-		t.Errorf("%s: %q; %d have the second", p.Stage, p.Why, has(v, "c2"))
+		t.Errorf("stage %s: %q; %d gateways have the second configuration", p.Stage, p.Why, has(v, "c2"))
 	}
-	// A process that ends by itself comes back with the configuration that it had.
+	// A gateway whose process is killed restarts with the configuration that it had.
 	r, _, _ := loadRunning(f.configs[0].State)
 	syscall.Kill(r.PID, syscall.SIGKILL)
-	f.Await("the killed one has it again", func(v *rollout.Fleet) bool {
+	f.Await("the restarted gateway has the second configuration", func(v *rollout.Fleet) bool {
 		u := v.Budget.Units["g0"]
 		return u.Config == "c2" && u.Up && !strings.HasPrefix(u.Instance, fmt.Sprint(r.PID, "-"))
 	})
 	if text, _ := os.ReadFile(f.recordPath); strings.Count(string(text), " start\n") != gatewayCount+1 {
-		t.Errorf("a configuration's release replaced a process:\n%s", text)
+		t.Errorf("the release of a configuration replaced a process:\n%s", text)
 	}
 }
 
-// A gateway drains under the budget's permit, stays out until it is restored, and keeps the next one waiting.
+// A gateway drains under a permit and stays out until it is restored. Until then the drain of the next gateway waits.
 func TestAGatewayDrainsUnderThePermit(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -145,7 +147,7 @@
 	f.Change(rollout.Command{Op: rollout.Drain, Change: "d2", Units: []string{"g2"}, Life: time.Minute})
 	v := f.Await("g2 waits", func(v *rollout.Fleet) bool { return len(v.Budget.Waiting) == 1 })
 	if no := v.Budget.CheckLeave("g2"); no == nil || !strings.Contains(no.Error(), "rule one: at most 1 of 4 may be out; out are: g1 (d1)") {
-		t.Errorf("why g2 waits: %v", no)
+		t.Errorf("refusal of g2: %v", no)
 	}
 	f.Change(rollout.Command{Op: rollout.Restore, Change: "d1"})
 	f.Await("g1 serves, and g2 is out", func(v *rollout.Fleet) bool { return v.Budget.Units["g1"].Up && !v.Budget.Units["g2"].Up })
@@ -153,7 +155,7 @@
 	f.Await("all serve", func(v *rollout.Fleet) bool { return f.countServing(v, "1") == gatewayCount && len(v.Drains) == 0 })
 }
 
-// A second agent of one name, somewhere else, says nothing until the first one is gone; then the name is its.
+// A second agent with the same name and another state file neither reports nor acts while the first one runs.
 func TestASecondAgentOfANameWaits(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -162,7 +164,7 @@
 	ended := make(chan error, 1)
 	second := New(c, discardLogger)
 	go func() { ended <- second.Run(ctx) }()
-	v := f.Await("its gateway runs", func(*rollout.Fleet) bool { r, ok, _ := loadRunning(c.State); return ok && r.PID > 0 })
+	v := f.Await("the second agent's gateway runs", func(*rollout.Fleet) bool { r, ok, _ := loadRunning(c.State); return ok && r.PID > 0 })
 	first := v.Budget.Units["g0"].Instance
 	f.beginRelease("2", false)
 	f.startConductor(nil)
@@ -170,8 +172,8 @@
 	if text, _ := os.ReadFile(f.recordPath); strings.Contains(string(text), "elsewhere 2 start") {
 		t.Error("the second agent replaced its gateway")
 	}
-	if _, speaks := second.leaseToken(); speaks {
-		t.Error("both speak for one name")
+	if _, held := second.leaseToken(); held {
+		t.Error("both agents hold the lease of one name")
 	}
 	stop()
 	if err := <-ended; err != nil {
@@ -183,16 +185,17 @@
 		}
 	}
 	if v.Budget.Units["g0"].Instance != first {
-		t.Error("another process was told of under the name")
+		t.Error("the second agent's process was reported under the name")
 	}
 }
 
-// An agent that was killed between two processes: the next one keeps the one that takes clients, and ends the other.
+// An agent is killed during a replacement and leaves two processes. The next agent keeps the one that accepts clients and
+// terminates the other.
 func TestAnAgentFindsBothProcesses(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
-		old     string // version that the state names
+		old     string // version in the state file
 		oldRuns bool
 		other   string
 		stays   string
@@ -235,7 +238,7 @@
 			}
 			defer func() { a.current.terminate(time.Second) }()
 			if a.current == nil || a.current.Version != c.stays || a.current.Config != "c1" {
-				t.Fatalf("goes on with %+v, %s is due", a.current, c.stays)
+				t.Fatalf("adopted %+v, want version %s", a.current, c.stays)
 			}
 			for version, p := range both {
 				if version != c.stays {
@@ -243,7 +246,7 @@
 				}
 			}
 			if r, ok, err := loadRunning(o.State); err != nil || !ok || r != a.current.running {
-				t.Errorf("kept %+v (%v), goes on with %+v", r, err, a.current.running)
+				t.Errorf("state file has %+v (%v), adopted %+v", r, err, a.current.running)
 			}
 			l, err := lock(o.State + ".lock")
 			if err != nil {
@@ -251,14 +254,14 @@
 			}
 			defer l.Close()
 			if err := New(o, discardLogger).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "another agent keeps this gateway") {
-				t.Errorf("a second agent on one state: %v", err)
+				t.Errorf("second agent with the same state file: %v", err)
 			}
 		})
 	}
 }
 
-// What strays looks for doesn't match a process of somebody else.
-func TestStraysAreOnlyOurs(t *testing.T) {
+// leftoverProcesses matches the whole path of the state file, not a prefix, and at any position in the environment.
+func TestLeftoverProcessesAreOnlyOurs(t *testing.T) {
 	cmd := exec.Command("sleep", "60")
 	cmd.Env = []string{stateEnv + "=/elsewhere/state", "JUNCTIONRING_VERSION=1"}
 	if err := cmd.Start(); err != nil {
@@ -266,9 +269,9 @@
 	}
 	defer func() { cmd.Process.Kill(); cmd.Wait() }()
 	if all := leftoverProcesses("/elsewhere/stat", nil); len(all) != 0 {
-		t.Errorf("%d processes of another state", len(all))
+		t.Errorf("found %d processes of another state file", len(all))
 	}
 	if all := leftoverProcesses("/elsewhere/state", nil); len(all) != 1 || all[0].PID != cmd.Process.Pid || all[0].Version != "1" {
-		t.Errorf("of its own state, first in its environment: %+v", all)
+		t.Errorf("processes of this state file, first in the environment: %+v", all)
 	}
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -25,20 +25,20 @@
 	"junctionring/rollout"
 )
 
-// running is what the state file keeps of the gateway's process, so that an agent that comes back goes on with it.
+// running is the content of the state file. It identifies the gateway's process, so that a restarted agent can adopt it.
 type running struct {
 	Version    string
 	PID        int
-	Began      string // the kernel's start time: another process under this number is not it
+	Began      string // start time from the kernel, which tells the process from a later one with the same PID
 	Management string
-	Config     string // configuration that it is to have
+	Config     string // configuration that the process is to have
 }
 
-// process is a gateway's process, a child of this agent or one that it found at work.
+// process is a gateway's process: a child of this agent, or one that it adopted.
 type process struct {
 	running
 	ended      chan struct{}
-	configured bool // it has that configuration
+	configured bool // whether the process has that configuration
 }
 
 func loadRunning(path string) (r running, ok bool, err error) {
@@ -60,7 +60,8 @@
 	return snapshot.Save(path, snapshot.Version{Number: 1, Content: text})
 }
 
-// began is the start time of a process, "" where there is none.
+// startTime returns the start time of a process in clock ticks since boot, or "" if there is no such process or it is a
+// zombie.
 func startTime(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -73,15 +74,16 @@
 	return ""
 }
 
-// ownEnv names the state file of the agent that started a process, so that one that it could not note is found.
+// stateEnv is the environment variable that holds the state file of the agent that started a process. It lets a later
+// agent find a process that was not recorded in the state file.
 const stateEnv = "JUNCTIONRING_AGENT_STATE"
 
-// strays are the processes that agents of this state file started, but for one.
+// leftoverProcesses returns the running processes that agents with this state file started, without the given one.
 func leftoverProcesses(state string, except *process) (all []*process) {
 	found, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, path := range found {
-		text, err := os.ReadFile(path)                                                               // of others' processes, or of those that ended just now: not ours
-		if err != nil || !slices.Contains(strings.Split(string(text), "\x00"), stateEnv+"="+state) { // in any order: a shell between puts it in its own
+		text, err := os.ReadFile(path)                                                               // fails for other users' processes and for those that have just ended
+		if err != nil || !slices.Contains(strings.Split(string(text), "\x00"), stateEnv+"="+state) { // at any position: a shell in between reorders the environment
 			continue
 		}
 		r := running{}
@@ -105,14 +107,14 @@
 	return all
 }
 
-// adopt goes on with a process that an agent before started; nil: it is not there any more.
+// adopt returns the process that an earlier agent started, or nil if it is no longer running.
 func adopt(r running) *process {
 	if r.PID <= 0 || r.Began == "" || startTime(r.PID) != r.Began {
 		return nil
 	}
 	p := &process{running: r, ended: make(chan struct{})}
 	go func() {
-		for startTime(r.PID) == r.Began { // it is nobody's child here: nothing tells of its end
+		for startTime(r.PID) == r.Began { // polled, as the process is not a child of this agent and cannot be waited for
 			time.Sleep(100 * time.Millisecond)
 		}
 		close(p.ended)
@@ -120,7 +122,7 @@
 	return p
 }
 
-// lock keeps a second agent from the same state.
+// lock prevents two agents from using the same state file. Closing the returned file releases the lock.
 func lock(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
@@ -133,7 +135,7 @@
 	return f, nil
 }
 
-// verify makes sure that a version's program is the one that was put there.
+// verifyProgram compares a version's program with its checksum and returns its path.
 func verifyProgram(c *Config, version string) (path string, err error) {
 	path, err = versionFile(c.Program.Versions, version, c.Program.Name)
 	if err != nil {
@@ -147,7 +149,7 @@
 	return path, checksum(path, version, f)
 }
 
-// document is the text of a configuration, made sure of likewise.
+// readConfiguration returns the text of a configuration after comparing it with its checksum.
 func (c *Config) readConfiguration(name string) ([]byte, error) {
 	path, err := versionFile(c.Configuration.Folder, name, "config.toml")
 	if err != nil {
@@ -160,22 +162,22 @@
 	return text, checksum(path, name, bytes.NewReader(text))
 }
 
-// within is the path of a version's file.
+// versionFile returns the path of a file of a version.
 func versionFile(folder, version, name string) (string, error) {
 	if folder == "" {
-		return "", errors.New("the agent's file names no folder for it")
+		return "", errors.New("no folder is configured for it")
 	}
 	if version == "" || strings.ContainsAny(version, "/ ") || version == ".." {
-		return "", fmt.Errorf("version %q is no folder's name", version)
+		return "", fmt.Errorf("version %q is not a valid folder name", version)
 	}
 	return filepath.Join(folder, version, name), nil
 }
 
-// checksum compares a file with the sum that stands in SHA256 beside it.
+// checksum compares a file with the checksum in the file SHA256 in the same folder.
 func checksum(path, version string, r io.Reader) error {
 	want, err := os.ReadFile(filepath.Join(filepath.Dir(path), "SHA256"))
 	if err != nil {
-		return fmt.Errorf("version %s: its checksum: %w", version, err)
+		return fmt.Errorf("version %s: reading its checksum: %w", version, err)
 	}
 	h := sha256.New()
 	if _, err := io.Copy(h, r); err != nil {
@@ -183,12 +185,12 @@
 	}
 	expected, _, _ := strings.Cut(strings.TrimSpace(string(want)), " ")
 	if got := hex.EncodeToString(h.Sum(nil)); got != expected {
-		return fmt.Errorf("version %s: %s has the checksum %.12s..., and %.12s... is due", version, filepath.Base(path), got, expected)
+		return fmt.Errorf("version %s: %s has a checksum that begins with %.12s, want %.12s", version, filepath.Base(path), got, expected)
 	}
 	return nil
 }
 
-// start starts a version's program. It goes on when this agent ends.
+// start starts a version's program after verifying it. The process continues to run when this agent ends.
 func start(c *Config, version, management string) (*process, error) {
 	path, err := verifyProgram(c, version)
 	if err != nil {
@@ -205,7 +207,7 @@
 		cmd.Env = append(cmd.Env, k+"="+v)
 	}
 	cmd.Stdout, cmd.Stderr = out, out
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // what ends the agent doesn't end the gateway
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal to the agent's process group does not reach the gateway
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("version %s: %w", version, err)
 	}
@@ -217,6 +219,7 @@
 	return p, nil
 }
 
+// alive reports whether the process is still running.
 func (p *process) alive() bool {
 	select {
 	case <-p.ended:
@@ -226,7 +229,8 @@
 	}
 }
 
-// end is SIGTERM, and SIGKILL after a time.
+// terminate sends SIGTERM, and SIGKILL if the process has not ended after the grace period. It returns when the process
+// has ended.
 func (p *process) terminate(grace time.Duration) {
 	syscall.Kill(p.PID, syscall.SIGTERM)
 	select {
@@ -237,11 +241,12 @@
 	}
 }
 
-var configClient = &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}} // a version is checked, staged and saved first
+// configClient has a long time-out, because a gateway checks, stages and saves a configuration before it responds.
+var configClient = &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 var client = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// ready asks the process whether it takes clients.
+// ready reports whether the process accepts clients.
 func (p *process) ready() bool {
 	response, err := client.Get("http://" + p.Management + "/api/ready")
 	if err != nil {
@@ -251,7 +256,7 @@
 	return response.StatusCode/100 == 2
 }
 
-// figures reads what became of requests, by class.
+// figures returns the counts of requests by class and outcome.
 func (p *process) figures() (map[string]rollout.Count, error) {
 	response, err := client.Get("http://" + p.Management + "/api/telemetry")
 	if err != nil {
@@ -264,7 +269,7 @@
 	return readFigures(io.LimitReader(response.Body, 1<<20))
 }
 
-// draining reads the work under way at the servers that take nothing new.
+// draining returns the requests in flight at each table server that is draining.
 func (p *process) draining() (workInFlight map[string]int, err error) {
 	response, err := client.Get("http://" + p.Management + "/api/draining")
 	if err != nil {
@@ -278,7 +283,7 @@
 	return workInFlight, err
 }
 
-// call has the process do something: evacuate or rejoin.
+// put sends the process the action evacuate or rejoin.
 func (p *process) put(action string) error {
 	request, err := http.NewRequest(http.MethodPut, "http://"+p.Management+"/api/"+action, nil)
 	if err != nil {
@@ -295,8 +300,8 @@
 	return nil
 }
 
-// offer has the process take a configuration as its next version, and keep to it whatever a control service offers. On
-// an error the one in force stays.
+// pushConfiguration applies a configuration to the process as its next version and pins it, so that one from a control
+// service does not replace it. On an error the configuration in force stays.
 func (p *process) pushConfiguration(text []byte) error {
 	var now struct{ Version int64 }
 	call := func(method, path string, body []byte) error {
@@ -328,7 +333,7 @@
 	return errors.Join(err, call(http.MethodPost, "/config/pin", nil))
 }
 
-// readFigures reads lines like svc.replies.CLASS.success:812|c; others are of no account here.
+// readFigures reads lines of the form svc.replies.CLASS.success:812|c and ignores lines with another prefix.
 func readFigures(r io.Reader) (map[string]rollout.Count, error) {
 	all := map[string]rollout.Count{}
 	in := bufio.NewScanner(r)
@@ -344,7 +349,7 @@
 		}
 		n, err := strconv.ParseUint(strings.TrimSuffix(number, "|c"), 10, 64)
 		if !ok || err != nil {
-			return nil, fmt.Errorf("a figure can't be read: %.60q", in.Text())
+			return nil, fmt.Errorf("telemetry: invalid counter line %.60q", in.Text())
 		}
 		c := all[class]
 		switch what {
--- a/internal/agent/release_test.go
+++ b/internal/agent/release_test.go
@@ -32,7 +32,8 @@
 	os.Exit(m.Run())
 }
 
-// gateway is a stand-in for the gateway's program: its versions fail in the ways that releases fail.
+// runGatewayStandIn stands in for the gateway's program. Each of its versions fails in one of the ways in which a release
+// can fail.
 func runGatewayStandIn(version string) {
 	record := func(what string) {
 		f, _ := os.OpenFile(os.Getenv("TEST_RECORD"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -99,7 +100,7 @@
 	record("end")
 }
 
-// fleet is what a release needs: a coordinator, agents, gateways, conductors.
+// fleet is a coordinator with agents, gateways and conductors, as a release needs them.
 type fleet struct {
 	*grouptest.Group
 	t          *testing.T
@@ -113,7 +114,7 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// config is the file of an agent: file names it and its state.
+// config writes and loads the configuration of an agent. The names of its file and of its state file begin with file.
 func (f *fleet) config(name, file string) *Config {
 	f.t.Helper()
 	path := filepath.Join(f.dir, file+".toml")
@@ -165,7 +166,7 @@
 	t.Cleanup(func() {
 		stop()
 		all.Wait()
-		for _, c := range f.configs { // the gateways go on without their agents
+		for _, c := range f.configs { // the gateways outlive their agents
 			if r, ok, _ := loadRunning(c.State); ok {
 				if p := adopt(r); p != nil {
 					p.terminate(time.Second)
@@ -179,7 +180,7 @@
 	return f
 }
 
-// write writes the folders of versions and configurations.
+// writeVersions writes the folders of versions and configurations.
 func (f *fleet) writeVersions() {
 	t := f.t
 	t.Helper()
@@ -210,7 +211,7 @@
 	}
 }
 
-// conduct starts a conductor.
+// startConductor starts a conductor. It returns a function that stops it.
 func (f *fleet) startConductor(beforeMove func(rollout.Move)) (stop func()) {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(f.ctx)
@@ -234,7 +235,7 @@
 	f.Change(rollout.Command{Op: rollout.Begin, Change: "r", Version: to, Units: []string{"g0", "g1", "g2", "g3"}, Settings: &s})
 }
 
-// run counts the gateways that serve with a version.
+// countServing returns the number of gateways that serve with a version.
 func (f *fleet) countServing(v *rollout.Fleet, version string) (n int) {
 	for _, u := range v.Budget.Units {
 		if u.Version == version && u.Up && u.Warm {
@@ -244,7 +245,7 @@
 	return n
 }
 
-// note writes into the gateways' record what one of them couldn't.
+// appendRecord adds an event to the gateways' record that a killed gateway could not write.
 func (f *fleet) appendRecord(event string) {
 	r, err := os.OpenFile(f.recordPath, os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -254,7 +255,8 @@
 	fmt.Fprintf(r, "%d %s\n", time.Now().UnixNano(), event)
 }
 
-// judge reads the gateways' own record: how many were being replaced at once at the most, and how many ran a version.
+// replacements reads the gateways' record. It returns the largest number of gateways that were replaced at once, and the
+// number that ran a version.
 func (f *fleet) replacements(version string) (atOnce, ran int) {
 	text, err := os.ReadFile(f.recordPath)
 	if err != nil {
@@ -290,25 +292,25 @@
 	first := f.startConductor(func(m rollout.Move) {
 		select {
 		case moves <- m:
-			<-over // it is stopped before its move, and goes on when all is over
+			<-over // blocks before its move until the test ends
 		case <-over:
 		}
 	})
 	f.beginRelease("2", false)
-	<-moves // one conductor stands still with a move in its hand; its lease passes on when its session ends
+	<-moves // the first conductor blocks before a move; the lease passes on when its session ends
 	go first()
 	f.startConductor(nil)
-	f.Await("the canary is changed", func(v *rollout.Fleet) bool { return f.countServing(v, "2") >= 1 })
-	f.Stop() // all coordinators gone for a while, with permits out
+	f.Await("the canary runs the new version", func(v *rollout.Fleet) bool { return f.countServing(v, "2") >= 1 })
+	f.Stop() // all coordinators are down for a while, with permits granted
 	time.Sleep(time.Second)
 	f.Run()
 	v := f.Await("the release is done", func(v *rollout.Fleet) bool { return v.Plans["r"].Over() })
 	if p := v.Plans["r"]; p.Stage != rollout.Done || f.countServing(v, "2") < gatewayCount-1 {
-		t.Errorf("%s (%s), %d run it", p.Stage, p.Why, f.countServing(v, "2"))
+		t.Errorf("stage %s (%s), %d gateways run the new version", p.Stage, p.Why, f.countServing(v, "2"))
 	}
 	if atOnce, ran := f.replacements("2"); atOnce > 1 || ran != gatewayCount {
 		text, _ := os.ReadFile(f.recordPath)
-		t.Errorf("%d were replaced at once, %d ran it:\n%s%s", atOnce, ran, text, grouptest.Told(v))
+		t.Errorf("%d gateways were replaced at once, %d ran the new version:\n%s%s", atOnce, ran, text, grouptest.Told(v))
 	}
 }
 
@@ -328,11 +330,11 @@
 			v := f.Await("the release is over", func(v *rollout.Fleet) bool { return v.Plans["r"].Over() && f.countServing(v, "1") == gatewayCount })
 			p := v.Plans["r"]
 			if p.Stage != rollout.RolledBack || !strings.Contains(p.Why, c.why) {
-				t.Errorf("%s: %q", p.Stage, p.Why)
+				t.Errorf("stage %s: %q", p.Stage, p.Why)
 			}
 			atOnce, ran := f.replacements(c.version)
 			if want := map[bool]int{true: 0, false: 1}[c.version == "spoilt"]; ran != want || atOnce > 1 {
-				t.Errorf("%d gateways saw it, want %d; %d replaced at once", ran, want, atOnce)
+				t.Errorf("%d gateways ran the version, want %d; %d replaced at once", ran, want, atOnce)
 			}
 		})
 	}
--- a/internal/warden/warden_test.go
+++ b/internal/warden/warden_test.go
@@ -200,8 +200,8 @@
 	h.Await("the whole zone drains", func(*rollout.Fleet) bool { return equal(drainingServers(h), "t0", "t2", "t4") })
 }
 
-// A server that is drained by hand outside the budget counts as out. A server that the registry no longer lists counts as out
-// until it is forgotten. An overdue permit blocks planned work and ends no drain.
+// A server that is drained by hand outside the budget counts as out. A server that the registry no longer lists counts as
+// out until it is forgotten. An overdue permit blocks planned work and ends no drain.
 func TestUnitsAndPermitsStayOutUntilCleared(t *testing.T) {
 	h := newHall(t)
 	h.startWarden("w")
