--- a/internal/warden/registry.go
+++ b/internal/warden/registry.go
@@ -21,56 +21,57 @@
 	Zone     string
 	Weight   float64
 	Draining bool
-	Started  time.Time // zero: not said; it counts as warm
+	Started  time.Time // zero: unknown, and the server counts as warm
 }
 
-// Registry is what a warden needs of a registry. A driver for another kind of registry implements it.
+// Registry lists table servers and sets their state. A driver for another kind of registry implements it.
 type Registry interface {
-	// List is every server there is now.
+	// List returns every server that is registered now.
 	List(ctx context.Context) ([]Server, error)
-	// Drain has a server listed as draining, or as serving again. It carries the token of the warden's lease: a registry
-	// that can checks it (package fence), so that a warden that was stopped for long changes nothing any more.
+	// Drain sets a server to draining, or to serving again. It carries the fencing token of the warden's lease. A registry
+	// that supports fencing checks it (package fence), so that a warden that was paused and lost its lease changes nothing.
 	Drain(ctx context.Context, id string, draining bool, lease string, token uint64) error
 }
 
 const (
-	listMost = 16 << 20 // bytes of a list
-	listPath = "/registry/instances"
+	maxListBytes = 16 << 20 // of a response body
+	listPath     = "/registry/instances"
 )
 
-// HTTP is the driver for a registry that publishes its list as the platform's does, and takes
-// PUT /registry/instances/ID/lifecycle with DRAINING or SERVING for a body.
+// HTTP is the driver for a registry that publishes its list in the platform's format and accepts
+// PUT /registry/instances/ID/lifecycle with the body DRAINING or SERVING.
 type HTTP struct {
 	Address string // host:port
 }
 
-// client makes each call on a connection of its own: a second answer to a call, on one that is used again, would be taken
-// for the next call's.
+// client opens a new connection for each call: on a reused connection, a second response to one call would be taken for
+// the response to the next call.
 var client = &http.Client{Transport: &http.Transport{Proxy: http.ProxyFromEnvironment, DisableKeepAlives: true}}
 
-func (h *HTTP) do(ctx context.Context, method, path, body string, head http.Header) ([]byte, error) {
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+h.Address+path, strings.NewReader(body))
+// do sends a request and returns the body of the response. A status other than 200 is an error.
+func (h *HTTP) do(ctx context.Context, method, path, body string, header http.Header) ([]byte, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+h.Address+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	for name, values := range head {
-		r.Header[name] = values
+	for name, values := range header {
+		request.Header[name] = values
 	}
-	a, err := client.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, listMost+1))
+	defer response.Body.Close()
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case a.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("the registry answers %s: %.200s", a.Status, strings.TrimSpace(string(text)))
-	case len(text) > listMost:
-		return nil, errors.New("the registry's list is too large")
+	case response.StatusCode != http.StatusOK:
+		return nil, fmt.Errorf("registry returned status %s: %.200s", response.Status, strings.TrimSpace(string(content)))
+	case len(content) > maxListBytes:
+		return nil, fmt.Errorf("registry response exceeds %d bytes", maxListBytes)
 	}
-	return text, nil
+	return content, nil
 }
 
 // List implements Registry.
@@ -82,9 +83,9 @@
 	return decodeList(text)
 }
 
-// decodeList reads a whole list. One that is wrong in any entry is not used at all: a server that is missing from what
-// was understood would count as gone.
-func decodeList(text []byte) (all []Server, err error) {
+// decodeList decodes a complete list. It rejects a list with any invalid entry, because a server whose entry was skipped
+// would count as gone.
+func decodeList(text []byte) (servers []Server, err error) {
 	var list struct {
 		Reset     bool `json:"reset"`
 		Instances []struct {
@@ -97,41 +98,41 @@
 		} `json:"instances"`
 	}
 	if err := json.Unmarshal(text, &list); err != nil {
-		return nil, fmt.Errorf("the registry's list can't be read: %w", err)
+		return nil, fmt.Errorf("decoding the registry's list: %w", err)
 	}
 	if !list.Reset {
-		return nil, errors.New("the registry's list is not whole")
+		return nil, errors.New("registry's list is incomplete: \"reset\" is not true")
 	}
-	known := map[string]bool{}
-	for _, e := range list.Instances {
+	seen := map[string]bool{}
+	for _, entry := range list.Instances {
 		switch {
-		case e.ID == "" || e.HostPort == "" || known[e.ID]:
-			return nil, fmt.Errorf("the registry's list: %q has no name or address, or stands there twice", e.ID)
-		case !(e.Weight >= 0) || e.Started < 0:
-			return nil, fmt.Errorf("the registry's list: %s: weight %g or start %d is none", e.ID, e.Weight, e.Started)
+		case entry.ID == "" || entry.HostPort == "" || seen[entry.ID]:
+			return nil, fmt.Errorf("registry's list: instance %q has no ID or no address, or is listed twice", entry.ID)
+		case !(entry.Weight >= 0) || entry.Started < 0:
+			return nil, fmt.Errorf("registry's list: instance %s: invalid weight %g or start time %d", entry.ID, entry.Weight, entry.Started)
 		}
-		known[e.ID] = true
-		s := Server{ID: e.ID, Address: e.HostPort, Zone: e.Zone, Weight: e.Weight, Draining: e.Lifecycle == "DRAINING"}
-		if e.Started > 0 {
-			s.Started = time.UnixMilli(e.Started)
+		seen[entry.ID] = true
+		s := Server{ID: entry.ID, Address: entry.HostPort, Zone: entry.Zone, Weight: entry.Weight, Draining: entry.Lifecycle == "DRAINING"}
+		if entry.Started > 0 {
+			s.Started = time.UnixMilli(entry.Started)
 		}
-		switch e.Lifecycle {
+		switch entry.Lifecycle {
 		case "SERVING", "DRAINING":
-			all = append(all, s)
+			servers = append(servers, s)
 		case "DELETED":
 		default:
-			return nil, fmt.Errorf("the registry's list: %s: there is no lifecycle %q", e.ID, e.Lifecycle)
+			return nil, fmt.Errorf("registry's list: instance %s: unknown lifecycle %q", entry.ID, entry.Lifecycle)
 		}
 	}
-	return all, nil
+	return servers, nil
 }
 
 // Drain implements Registry.
 func (h *HTTP) Drain(ctx context.Context, id string, draining bool, lease string, token uint64) error {
-	to := "SERVING"
+	lifecycle := "SERVING"
 	if draining {
-		to = "DRAINING"
+		lifecycle = "DRAINING"
 	}
-	_, err := h.do(ctx, http.MethodPut, listPath+"/"+url.PathEscape(id)+"/lifecycle", to, http.Header{fence.Header: {fmt.Sprintf("%s %d", lease, token)}})
+	_, err := h.do(ctx, http.MethodPut, listPath+"/"+url.PathEscape(id)+"/lifecycle", lifecycle, http.Header{fence.Header: {fmt.Sprintf("%s %d", lease, token)}})
 	return err
 }
