--- a/cmd/junctionring/platform.go
+++ b/cmd/junctionring/platform.go
@@ -196,7 +196,7 @@
 	if err != nil {
 		return p, err
 	}
-	if err := p.Addresses(); err != nil {
+	if err := p.CheckAddresses(); err != nil {
 		return p, err
 	}
 	if err := config.CheckReload(p.SettingsRaw); err != nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -70,9 +70,9 @@
 		Listen string `toml:"listen"` // where operators read the status; empty: nowhere
 	} `toml:"operations"`
 
-	Module control.Settings `toml:"-"` // what the module is told of all this
-	Far    sites.Settings   `toml:"-"` // and the module of sites, if there are any
-	Paths  *routes.Table    `toml:"-"` // the compiled routes; nil without any
+	Module      control.Settings `toml:"-"` // what the module is told of all this
+	SitesModule sites.Settings   `toml:"-"` // and the module of sites, if there are any
+	RouteTable  *routes.Table    `toml:"-"` // the compiled routes; nil without any
 }
 
 // ClassSettings is one [[class]].
@@ -130,7 +130,7 @@
 	for _, err := range faults {
 		fault(err)
 	}
-	o.Paths = table
+	o.RouteTable = table
 }
 
 // SiteSettings is one [[site]].
@@ -144,19 +144,19 @@
 	Warm        *int     `toml:"warm"`        // kept open at rest to each target; not stated: 2 over a link
 }
 
-// Idle is how many connections rest warm at each target of the site.
-func (s *SiteSettings) Idle() int {
+// WarmConnections is how many connections rest warm at each target of the site.
+func (s *SiteSettings) WarmConnections() int {
 	switch {
 	case s.Warm != nil:
 		return *s.Warm
 	case s.Here:
 		return 0
 	}
-	return farWarm
+	return remoteWarmConnections
 }
 
 // farWarm is how many connections rest at each target over a link, where one costs a round trip.
-const farWarm = 2
+const remoteWarmConnections = 2
 
 // ZoneSites tells the site of each zone of the registry.
 func (o *Operator) ZoneSites() map[string]int {
@@ -180,11 +180,11 @@
 
 // checkSites checks the sites and fills in what the modules are told of them.
 func (o *Operator) checkSites(require func(ok bool, format string, args ...any)) {
-	here, known, zones := -1, map[string]bool{}, map[string]string{}
+	here, siteNames, zones := -1, map[string]bool{}, map[string]string{}
 	for i, s := range o.Sites {
 		require(s.Name != "", "site %d: it has no name", i+1)
-		require(s.Name == "" || !known[s.Name], "site %q is named twice", s.Name)
-		known[s.Name] = true
+		require(s.Name == "" || !siteNames[s.Name], "site %q is named twice", s.Name)
+		siteNames[s.Name] = true
 		if s.Here {
 			require(here < 0, "site %q: the gateway is at another site already", s.Name)
 			here, o.Module.SiteGateways = i, s.Gateways
@@ -194,12 +194,12 @@
 		}
 		require(s.Gateways >= 0 && s.Gateways <= o.Gateways, "site %q: %d gateways, and %d in all", s.Name, s.Gateways, o.Gateways)
 		require(s.Connections >= 0, "site %q: connections must not be negative", s.Name)
-		require(s.Idle() >= 0 && s.Idle() <= 16, "site %q: warm must be from 0 to 16", s.Name)
+		require(s.WarmConnections() >= 0 && s.WarmConnections() <= 16, "site %q: warm must be from 0 to 16", s.Name)
 		for _, z := range s.Zones {
 			require(zones[z] == "", "site %q: zone %q belongs to site %q already", s.Name, z, zones[z])
 			zones[z] = s.Name
 		}
-		o.Far.Sites = append(o.Far.Sites, sites.Site{Name: s.Name, Distance: s.Distance.Seconds()})
+		o.SitesModule.Sites = append(o.SitesModule.Sites, sites.Site{Name: s.Name, Distance: s.Distance.Seconds()})
 	}
 	require(len(o.Sites) == 0 || here >= 0, "no site says here = true: the gateway must know where it stands")
 	for _, t := range o.Targets {
@@ -207,23 +207,23 @@
 			break
 		}
 		require(len(o.Sites) == 0 || t.Site != "", "target %q has no site", t.ID)
-		require(t.Site == "" || known[t.Site], "target %q: there is no site %q", t.ID, t.Site)
+		require(t.Site == "" || siteNames[t.Site], "target %q: there is no site %q", t.ID, t.Site)
 	}
-	o.Far.Own = max(0, here)
-	o.Far.Classes, o.Far.Guarantees = o.Module.Classes, o.Module.Guarantees
-	o.Module.Site, o.Module.Sites = o.Far.Own, len(o.Sites)
+	o.SitesModule.Own = max(0, here)
+	o.SitesModule.Classes, o.SitesModule.Guarantees = o.Module.Classes, o.Module.Guarantees
+	o.Module.Site, o.Module.Sites = o.SitesModule.Own, len(o.Sites)
 }
 
 // LoadOperator reads and checks an operator's file. An error says plainly what is wrong.
 func LoadOperator(path string) (*Operator, error) {
-	o := withDefaults()
+	o := defaultOperator()
 	if err := ReadFile(path, o, o.check); err != nil {
 		return nil, err
 	}
 	return o, nil
 }
 
-func withDefaults() *Operator {
+func defaultOperator() *Operator {
 	o := &Operator{Gateways: 1, MaxBody: 64 << 10, MaxHeader: 16 << 10, MaxAttempts: 3}
 	o.Limits.Cores, o.Limits.MemoryMB, o.Limits.Sockets = 1, 192, 1024
 	o.Drain.Duration = 10 * time.Second
@@ -308,13 +308,13 @@
 	repeats := map[string]control.Repeat{"safe": control.Safe, "keyed": control.Keyed, "unsafe": control.Unsafe}
 	for _, c := range o.Classes {
 		unique("class", c.Name)
-		repeat, err := Word(repeats, c.Repeat, "repeat")
+		repeat, err := Lookup(repeats, c.Repeat, "repeat")
 		require(err == nil, "class %s: repeat must be safe, keyed or unsafe", c.Name)
 		require(c.Aim.Duration > 0 && c.Deadline.Duration >= c.Aim.Duration,
 			"class %s: aim must be above 0 and deadline no shorter", c.Name)
 		require(c.Worth > 0 && c.LateWorth >= 0 && c.LateWorth <= 1, "class %s: worth or late_worth is out of range", c.Name)
 		require(repeat != control.Keyed || c.Window.Duration > 0, "class %s: keyed needs a window", c.Name)
-		group, err := Word(groups, c.Group, "group")
+		group, err := Lookup(groups, c.Group, "group")
 		require(err == nil, "class %s: group must be all, site or zone", c.Name)
 		require(c.Group == "" || repeat == control.Keyed, "class %s: only a keyed class has a group", c.Name)
 		o.Module.Classes = append(o.Module.Classes, control.Class{
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const good = `listen = "127.0.0.1:0"
+const validOperatorFile = `listen = "127.0.0.1:0"
 trusted_proxies = ["127.0.0.0/8"]
 redis = {address = "127.0.0.1:6379"}
 class = [{name = "move-submit", aim = "1s", deadline = "2s", worth = 6.0, repeat = "keyed", window = "4s", group = "site"}]
@@ -27,17 +27,17 @@
 }
 
 func TestSitesAreRead(t *testing.T) {
-	o, err := load(t, good)
+	o, err := load(t, validOperatorFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Far.Own != 0 || o.Module.Sites != 2 || o.Far.Sites[1].Distance != (40*time.Millisecond).Seconds() {
-		t.Errorf("%+v", o.Far)
+	if o.SitesModule.Own != 0 || o.Module.Sites != 2 || o.SitesModule.Sites[1].Distance != (40*time.Millisecond).Seconds() {
+		t.Errorf("%+v", o.SitesModule)
 	}
 	if z := o.ZoneSites(); z["hall-b"] != 0 || z["west"] != 1 || len(z) != 3 {
 		t.Errorf("zones %v", z)
 	}
-	if o.SiteOf("west") != 1 || o.Sites[0].Idle() != 0 || o.Sites[1].Idle() != farWarm {
+	if o.SiteOf("west") != 1 || o.Sites[0].WarmConnections() != 0 || o.Sites[1].WarmConnections() != remoteWarmConnections {
 		t.Error("a target's site, or the warm connections")
 	}
 }
@@ -59,7 +59,7 @@
 		{`target = [`, "discovery = {address = \"127.0.0.1:1\"}\ntarget = [", `target t1: with discovery it has neither address nor site`},
 		{`target = [`, "discovery = {address = \"nowhere\"}\ntarget = [", `discovery: address: "nowhere" is no host:port`},
 	} {
-		_, err := load(t, strings.Replace(good, c.old, c.new, 1))
+		_, err := load(t, strings.Replace(validOperatorFile, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.new, err, c.want)
 		}
--- a/internal/config/parts.go
+++ b/internal/config/parts.go
@@ -16,11 +16,11 @@
 	base *Operator
 
 	mu      sync.Mutex
-	decoded map[configdelta.Hash]tables // parts of the last document
+	decoded map[configdelta.Hash]partTables // parts of the last document
 }
 
 // tables are the tables of a part that holds nothing else.
-type tables struct {
+type partTables struct {
 	Routes  []Route          `toml:"route"`
 	Targets []TargetSettings `toml:"target"`
 }
@@ -48,34 +48,34 @@
 
 // decodeParts decodes the parts that hold routes or targets alone, and returns the rest of the document. It is
 // false where the document must be read as one: it has no parts, or one of them means nothing by itself.
-func (r *VersionReader) decodeParts(document string) (rest string, all tables, ok bool) {
+func (r *VersionReader) decodeParts(document string) (rest string, listed partTables, ok bool) {
 	_, parts, err := configdelta.SplitDocument(document)
 	if err != nil || strings.Contains(document, `"""`) || strings.Contains(document, "'''") {
-		return "", all, false
+		return "", listed, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	used := make(map[configdelta.Hash]tables, len(parts))
-	var others strings.Builder
+	used := make(map[configdelta.Hash]partTables, len(parts))
+	var remaining strings.Builder
 	for i, part := range parts {
 		if !strings.HasPrefix(part.Content, "[[route]]\n") && !strings.HasPrefix(part.Content, "[[target]]\n") {
 			if i > 0 && !strings.HasPrefix(part.Content, "[[") {
-				return "", all, false // it goes on with the part before
+				return "", listed, false // it goes on with the part before
 			}
-			others.WriteString(part.Content)
+			remaining.WriteString(part.Content)
 			continue
 		}
-		one, known := r.decoded[part.Digest()]
+		table, known := r.decoded[part.Digest()]
 		if !known {
-			meta, err := toml.Decode(part.Content, &one)
+			meta, err := toml.Decode(part.Content, &table)
 			if err != nil || len(meta.Undecoded()) > 0 {
-				return "", all, false // the faults are named with the lines of the whole
+				return "", listed, false // the faults are named with the lines of the whole
 			}
 		}
-		used[part.Digest()] = one
-		all.Routes = append(all.Routes, one.Routes...)
-		all.Targets = append(all.Targets, one.Targets...)
+		used[part.Digest()] = table
+		listed.Routes = append(listed.Routes, table.Routes...)
+		listed.Targets = append(listed.Targets, table.Targets...)
 	}
 	r.decoded = used
-	return others.String(), all, true
+	return remaining.String(), listed, true
 }
--- a/internal/config/parts_test.go
+++ b/internal/config/parts_test.go
@@ -12,7 +12,7 @@
 )
 
 // mustReadAlike reads a document by its parts and as one, and fails where the two differ.
-func mustReadAlike(t interface {
+func requireSameResult(t interface {
 	Helper()
 	Fatalf(string, ...any)
 }, reader *VersionReader, document string) {
@@ -52,9 +52,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := NewVersionReader(base)
-			mustReadAlike(t, reader, withParts(t, good))
-			mustReadAlike(t, reader, withParts(t, text))
-			mustReadAlike(t, reader, withParts(t, good))
+			requireSameResult(t, reader, withParts(t, good))
+			requireSameResult(t, reader, withParts(t, text))
+			requireSameResult(t, reader, withParts(t, good))
 		})
 	}
 	for name, text := range map[string]string{
@@ -64,7 +64,7 @@
 		"without parts": good,
 		"parts swapped": "#increments 1 epoch=1\n#part b\n[[route]]\npath = \"/x\"\n#part a\n[[route]]\npath = \"/y\"\n",
 	} {
-		t.Run(name, func(t *testing.T) { mustReadAlike(t, NewVersionReader(base), text) })
+		t.Run(name, func(t *testing.T) { requireSameResult(t, NewVersionReader(base), text) })
 	}
 }
 
@@ -86,7 +86,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			mustReadAlike(t, reader, string(state.Document()))
+			requireSameResult(t, reader, string(state.Document()))
 		}
 	})
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -66,8 +66,8 @@
 	return p, nil
 }
 
-// Addresses tells whether discovery and, where it is called, the counter have addresses to go to.
-func (p *Platform) Addresses() error {
+// CheckAddresses tells whether discovery and, where it is called, the counter have addresses to go to.
+func (p *Platform) CheckAddresses() error {
 	for key, address := range map[string]string{"discovery": p.Discovery, "counter": p.Counter} {
 		if key == "counter" && !p.Settings.Module.Counter.Allowed {
 			continue
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,16 +20,16 @@
 	groups = map[string]control.Group{
 		"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone, "cell": control.GroupCell,
 	}
-	vias = map[string]control.LoadVia{
+	loadSources = map[string]control.LoadVia{
 		"": control.LoadNone, "none": control.LoadNone,
 		"answers": control.LoadInAnswers, "probe": control.LoadInProbes,
 	}
-	discoveries = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	discoverySubscribes = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
-// Word looks a word of a protocol up, or says which one is not known.
-func Word[K comparable, V any](words map[K]V, key K, what string) (V, error) {
-	v, ok := words[key]
+// Lookup looks a word of a protocol up, or says which one is not known.
+func Lookup[K comparable, V any](values map[K]V, key K, what string) (V, error) {
+	v, ok := values[key]
 	if !ok {
 		return v, fmt.Errorf("%s %v is not known", what, key)
 	}
@@ -39,7 +39,7 @@
 // section is an object of the settings. A value of the wrong type is remembered, the first one sticks:
 // a quota that was read as 0 would let everything in.
 type section struct {
-	name string
+	path string
 	obj  gjson.Result
 	err  *error
 }
@@ -55,7 +55,7 @@
 		}
 	}
 	if *s.err == nil {
-		*s.err = fmt.Errorf("%s%s: %s is of the wrong type", s.name, key, v.Raw)
+		*s.err = fmt.Errorf("%s%s: %s is of the wrong type", s.path, key, v.Raw)
 	}
 	return gjson.Result{}
 }
@@ -64,20 +64,20 @@
 func (s section) int(key string) int     { return int(s.get(key, gjson.Number).Int()) }
 func (s section) str(key string) string  { return s.get(key, gjson.String).String() }
 func (s section) bool(key string) bool   { return s.get(key, gjson.True, gjson.False).Bool() }
-func (s section) in(key string) section {
-	return section{s.name + key + ".", s.get(key, gjson.JSON), s.err}
+func (s section) object(key string) section {
+	return section{s.path + key + ".", s.get(key, gjson.JSON), s.err}
 }
 
 // list calls each for the objects of an array.
 func (s section) list(key string, each func(section)) {
 	for i, v := range s.get(key, gjson.JSON).Array() {
-		each(section{fmt.Sprintf("%s%s[%d].", s.name, key, i), v, s.err})
+		each(section{fmt.Sprintf("%s%s[%d].", s.path, key, i), v, s.err})
 	}
 }
 
 // pick looks a word up; the first unknown one sticks.
-func pick[V any](s section, words map[string]V, key, what string) V {
-	v, err := Word(words, s.str(key), what)
+func lookupKey[V any](s section, words map[string]V, key, what string) V {
+	v, err := Lookup(words, s.str(key), what)
 	if err != nil && *s.err == nil {
 		*s.err = err
 	}
@@ -106,12 +106,12 @@
 	if !top.obj.IsObject() {
 		return out, errors.New("the settings are no object")
 	}
-	limits, rules := top.in("Limits"), top.in("Guarantees")
-	domain, prices, load := top.in("Domain"), top.in("Deductions"), top.in("LoadInfo")
+	limits, rules := top.object("Limits"), top.object("Guarantees")
+	domain, prices, load := top.object("Domain"), top.object("Deductions"), top.object("LoadInfo")
 	s := control.Settings{
 		Ordinal: top.int("Ordinal"), Gateways: top.int("Balancers"), Zone: top.int("Zone"),
-		Subscribe: pick(top, discoveries, "Discovery", "discovery"),
-		LoadFrom:  pick(load, vias, "Via", "load report source"),
+		Subscribe: lookupKey(top, discoverySubscribes, "Discovery", "discovery"),
+		LoadFrom:  lookupKey(load, loadSources, "Via", "load report source"),
 		Meter:     domain.num("MeterPeriod"),
 		Limits: control.Limits{
 			MaxAttempts: limits.int("MaxAttempts"), SecondCopies: limits.bool("SecondCopies"),
@@ -143,7 +143,7 @@
 		out.Classes = append(out.Classes, c.str("Name"))
 		s.Classes = append(s.Classes, control.Class{
 			Aim: c.num("Aim"), Deadline: c.num("HardLimit"), Worth: c.num("Worth"), LateWorth: c.num("LateWorth"),
-			Repeat: pick(c, repeats, "Repeat", "repeat"), Group: pick(c, groups, "Group", "group"),
+			Repeat: lookupKey(c, repeats, "Repeat", "repeat"), Group: lookupKey(c, groups, "Group", "group"),
 			Window: c.num("Window"), Stream: c.bool("Stream"),
 		})
 	})
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -35,7 +35,7 @@
 
 func readSizedBase(tb testing.TB) *Operator {
 	tb.Helper()
-	base := withDefaults()
+	base := defaultOperator()
 	if faults := base.read([]byte(sizedBase)); len(faults) > 0 {
 		tb.Fatal(faults)
 	}
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -11,7 +11,7 @@
 
 // fixed are the parts of a document that can't change while a gateway serves, with the reason that its operator
 // is told. A version may leave them out; what it says must be what the gateway was started with.
-var fixed = []struct {
+var immutableSettings = []struct {
 	key, why string
 	part     func(o *Operator) any
 }{
@@ -36,26 +36,26 @@
 
 // readVersion has a document decoded and checked over what it may leave out, and looks for what can't change.
 func readVersion(base *Operator, decodeAndCheck func(*Operator) []error) (*Operator, []error) {
-	o := withDefaults()
-	for _, f := range fixed {
-		set(f.part(o), f.part(base))
+	o := defaultOperator()
+	for _, f := range immutableSettings {
+		copyValue(f.part(o), f.part(base))
 	}
 	o.Sites = nil // a list is read into: it must not be the base's own
 	faults := decodeAndCheck(o)
 	if o.Sites == nil {
 		o.Sites = base.Sites
-		o.Module.Site, o.Module.Sites, o.Module.SiteGateways, o.Far = base.Module.Site, base.Module.Sites, base.Module.SiteGateways, base.Far
+		o.Module.Site, o.Module.Sites, o.Module.SiteGateways, o.SitesModule = base.Module.Site, base.Module.Sites, base.Module.SiteGateways, base.SitesModule
 	}
-	for _, f := range fixed {
+	for _, f := range immutableSettings {
 		if !reflect.DeepEqual(f.part(o), f.part(base)) {
 			faults = append(faults, fmt.Errorf("%s can't change while the gateway serves: %s", f.key, f.why))
 		}
 	}
-	o.KeyPlans()
+	o.SetPlanKeys()
 	return o, faults
 }
 
-func set(to, from any) { reflect.ValueOf(to).Elem().Set(reflect.ValueOf(from).Elem()) }
+func copyValue(to, from any) { reflect.ValueOf(to).Elem().Set(reflect.ValueOf(from).Elem()) }
 
 // planKey names a plan's counts: another rate or burst is another count, since windows are cut by them.
 func planKey(p PlanSettings) uint64 {
@@ -67,8 +67,8 @@
 	return h.Sum64() | 1
 }
 
-// KeyPlans gives the plans their keys, alike at all gateways, whatever versions each has seen.
-func (o *Operator) KeyPlans() {
+// SetPlanKeys gives the plans their keys, alike at all gateways, whatever versions each has seen.
+func (o *Operator) SetPlanKeys() {
 	for i := range o.Module.Plans {
 		o.Module.Plans[i].Key = planKey(o.Plans[i])
 	}
@@ -83,32 +83,32 @@
 	PlanNames  []string
 }
 
-// Take numbers a version's classes and plans; used tells which numbers must stay as they are. from is, for each
+// Assign numbers a version's classes and plans; used tells which numbers must stay as they are. from is, for each
 // class number, the one whose learned times it begins with.
-func (s *Slots) Take(o *Operator, usedClass, usedPlan func(int) bool) (classes, plans, from []int) {
-	from = make([]int, len(s.Classes))
-	for i := range from {
-		from[i] = i
+func (s *Slots) Assign(o *Operator, usedClass, usedPlan func(int) bool) (classes, plans, inheritFrom []int) {
+	inheritFrom = make([]int, len(s.Classes))
+	for i := range inheritFrom {
+		inheritFrom[i] = i
 	}
 	taken := map[int]bool{}
 	for i, c := range o.Module.Classes {
-		name, slot, kin := o.Classes[i].Name, -1, -1
+		name, slot, sameName := o.Classes[i].Name, -1, -1
 		for n := range s.Classes {
 			if s.ClassNames[n] != name {
 				continue
 			}
-			kin = n
+			sameName = n
 			if s.Classes[n] == c {
 				slot = n
 				break
 			}
 		}
 		if slot < 0 {
-			slot = free(len(s.Classes), func(n int) bool { return taken[n] || usedClass(n) })
+			slot = firstFree(len(s.Classes), func(n int) bool { return taken[n] || usedClass(n) })
 			if slot == len(s.Classes) {
-				s.Classes, s.ClassNames, from = append(s.Classes, c), append(s.ClassNames, name), append(from, kin)
+				s.Classes, s.ClassNames, inheritFrom = append(s.Classes, c), append(s.ClassNames, name), append(inheritFrom, sameName)
 			} else {
-				s.Classes[slot], s.ClassNames[slot], from[slot] = c, name, kin
+				s.Classes[slot], s.ClassNames[slot], inheritFrom[slot] = c, name, sameName
 			}
 		}
 		taken[slot] = true
@@ -123,7 +123,7 @@
 			}
 		}
 		if slot < 0 {
-			slot = free(len(s.Plans), func(n int) bool { return taken[n] || usedPlan(n) })
+			slot = firstFree(len(s.Plans), func(n int) bool { return taken[n] || usedPlan(n) })
 			if slot == len(s.Plans) {
 				s.Plans, s.PlanNames = append(s.Plans, p), append(s.PlanNames, o.Plans[i].Name)
 			} else {
@@ -133,10 +133,10 @@
 		taken[slot] = true
 		plans = append(plans, slot)
 	}
-	return classes, plans, from
+	return classes, plans, inheritFrom
 }
 
-func free(n int, used func(int) bool) int {
+func firstFree(n int, used func(int) bool) int {
 	for i := range n {
 		if !used(i) {
 			return i
--- a/internal/config/version_test.go
+++ b/internal/config/version_test.go
@@ -6,26 +6,26 @@
 	"testing"
 )
 
-func base(t testing.TB) *Operator {
+func loadBase(t testing.TB) *Operator {
 	t.Helper()
-	o := withDefaults()
-	if err := errors.Join(o.read([]byte(good))...); err != nil {
+	o := defaultOperator()
+	if err := errors.Join(o.read([]byte(validOperatorFile))...); err != nil {
 		t.Fatal(err)
 	}
-	o.KeyPlans()
+	o.SetPlanKeys()
 	return o
 }
 
-const changeable = `trusted_proxies = ["127.0.0.0/8"]
+const versionDocument = `trusted_proxies = ["127.0.0.0/8"]
 class = [{name = "move-submit", aim = "1s", deadline = "2s", worth = 6.0, repeat = "keyed", window = "4s", group = "site"}]
 plan = [{name = "club", rate = 1.0, burst = 5.0, worth = 1.0}]
 discovery = {address = "127.0.0.1:9500"}
 `
 
 func TestVersionKeepsWhatIsFixed(t *testing.T) {
-	b := base(t)
+	b := loadBase(t)
 	b.Targets, b.Discovery.Address = nil, "127.0.0.1:9500"
-	o, faults := ReadVersion([]byte(changeable), b)
+	o, faults := ReadVersion([]byte(versionDocument), b)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -39,7 +39,7 @@
 		`site = [{name="a",here=true}]`: "site can't change",
 		`nonsense = 1`:                  "unknown key nonsense",
 	} {
-		if _, faults := ReadVersion([]byte(text+"\n"+changeable), b); !strings.Contains(errors.Join(faults...).Error(), want) {
+		if _, faults := ReadVersion([]byte(text+"\n"+versionDocument), b); !strings.Contains(errors.Join(faults...).Error(), want) {
 			t.Errorf("%s: %v", text, faults)
 		}
 	}
@@ -53,33 +53,33 @@
 func TestSlots(t *testing.T) {
 	var s Slots
 	never, always := func(int) bool { return false }, func(int) bool { return true }
-	b := base(t)
-	c, p, _ := s.Take(b, always, always)
+	b := loadBase(t)
+	c, p, _ := s.Assign(b, always, always)
 	if len(c) != 1 || c[0] != 0 || p[0] != 0 {
 		t.Fatalf("first %v %v", c, p)
 	}
-	changed := base(t)
+	changed := loadBase(t)
 	changed.Module.Classes[0].Aim, changed.Module.Plans[0].Rate = 0.5, 2
-	c, p, from := s.Take(changed, always, always)
+	c, p, from := s.Assign(changed, always, always)
 	if c[0] != 1 || p[0] != 1 || from[1] != 0 || from[0] != 0 {
 		t.Errorf("changed: %v %v, from %v", c, p, from)
 	}
-	if c, p, _ = s.Take(b, always, always); c[0] != 0 || p[0] != 0 {
+	if c, p, _ = s.Assign(b, always, always); c[0] != 0 || p[0] != 0 {
 		t.Errorf("back: %v %v", c, p)
 	}
-	third := base(t)
+	third := loadBase(t)
 	third.Module.Classes[0].Aim = 0.7
-	if c, _, from = s.Take(third, never, never); c[0] != 0 || len(s.Classes) != 2 || from[0] != 1 && from[0] != 0 {
+	if c, _, from = s.Assign(third, never, never); c[0] != 0 || len(s.Classes) != 2 || from[0] != 1 && from[0] != 0 {
 		t.Errorf("used again: %v, from %v", c, from)
 	}
 }
 
 // Whatever a document holds, it is read whole or turned down with words, and never changes the base.
 func FuzzReadVersion(f *testing.F) {
-	f.Add(good)
-	f.Add(changeable + "route = [{path = \"/a/*\", class = \"move-submit\"}]\n")
+	f.Add(validOperatorFile)
+	f.Add(versionDocument + "route = [{path = \"/a/*\", class = \"move-submit\"}]\n")
 	f.Add("plan = [{rate = nan}]")
-	b := base(f)
+	b := loadBase(f)
 	f.Fuzz(func(t *testing.T, text string) {
 		o, faults := ReadVersion([]byte(text), b)
 		if len(faults) == 0 {
--- a/internal/configuration/manager.go
+++ b/internal/configuration/manager.go
@@ -23,9 +23,9 @@
 const MaxDocument = 8 << 20
 
 const (
-	mailboxSize = 1024
-	answersMost = 4096 // offers whose answer is pending or may come again
-	rosterPause = 200 * time.Millisecond
+	mailboxSize        = 1024
+	maxPendingAnswers  = 4096 // offers whose answer is pending or may come again
+	rosterRecheckDelay = 200 * time.Millisecond
 )
 
 // Offer is a document as somebody offers it.
@@ -44,18 +44,18 @@
 }
 
 type (
-	offered struct{ o Offer }
-	done    struct {
+	offerMessage struct{ o Offer }
+	stepResult   struct {
 		versions.Done
-		ready *staged
+		candidate *staged
 	}
-	roster  struct{ ids map[string]bool }
-	recheck struct{}
-	pin     struct{ on bool }
-	ask     struct{ got chan Status }
-	read    struct {
+	rosterMessage   struct{ ids map[string]bool }
+	recheckMessage  struct{}
+	pinMessage      struct{ on bool }
+	statusRequest   struct{ reply chan Status }
+	documentRequest struct {
 		number int64
-		got    chan []byte
+		reply  chan []byte
 	}
 )
 
@@ -65,24 +65,24 @@
 	reader  *config.VersionReader
 	core    *core.Core
 	front   *forwardauth.Front
-	targets func(*config.Operator) // told of each version that comes into force
+	onApply func(*config.Operator) // told of each version that comes into force
 	log     *slog.Logger
 
 	mailbox chan any
-	done    chan struct{}
+	stopped chan struct{}
 	started time.Time
 
-	life      *versions.Lifecycle
-	slots     config.Slots
-	documents map[key][]byte
-	old       []key // documents that are kept though no version needs them, oldest first
-	answers   map[string]func(string)
-	lastID    int
-	now       *staged // in force
-	next      *staged // checked or staged, of the version on its way
-	roster    map[string]bool
-	waits     bool // for the pause after a change of the roster
-	actions   []versions.Action
+	lifecycle      *versions.Lifecycle
+	slots          config.Slots
+	documents      map[documentKey][]byte
+	retained       []documentKey // documents that are kept though no version needs them, oldest first
+	pendingAnswers map[string]func(string)
+	lastNonce      int
+	current        *staged // in force
+	candidate      *staged // checked or staged, of the version on its way
+	roster         map[string]bool
+	recheckPending bool // for the pause after a change of the roster
+	actions        []versions.Action
 }
 
 // New makes the manager of a gateway that was started with base and begins with effective: base itself (number 0),
@@ -90,15 +90,15 @@
 func New(base, effective *config.Operator, number int64, content []byte, c *core.Core, f *forwardauth.Front,
 	targets func(*config.Operator), log *slog.Logger) *Manager {
 	m := &Manager{
-		base: base, reader: config.NewVersionReader(base), core: c, front: f, targets: targets, log: log,
-		mailbox: make(chan any, mailboxSize), done: make(chan struct{}), started: time.Now(),
-		documents: map[key][]byte{}, answers: map[string]func(string){},
-		now: &staged{o: effective},
+		base: base, reader: config.NewVersionReader(base), core: c, front: f, onApply: targets, log: log,
+		mailbox: make(chan any, mailboxSize), stopped: make(chan struct{}), started: time.Now(),
+		documents: map[documentKey][]byte{}, pendingAnswers: map[string]func(string){},
+		current: &staged{operator: effective},
 	}
 	first := versions.Offer{Source: versions.FromDisk, Number: number, Digest: snapshot.Digest(content)}
-	m.documents[key{first.Number, first.Digest}] = content
-	m.life = versions.New(0, first, base.Versions.Snapshot != "")
-	m.slots.Take(effective, func(int) bool { return true }, func(int) bool { return true })
+	m.documents[documentKey{first.Number, first.Digest}] = content
+	m.lifecycle = versions.New(0, first, base.Versions.Snapshot != "")
+	m.slots.Assign(effective, func(int) bool { return true }, func(int) bool { return true })
 	c.SetClassNames(slices.Clone(m.slots.ClassNames))
 	return m
 }
@@ -106,26 +106,26 @@
 // Offer hands a document over; its answer comes through it.
 func (m *Manager) Offer(o Offer) {
 	select {
-	case m.mailbox <- offered{o}:
+	case m.mailbox <- offerMessage{o}:
 	default:
 		go o.Answer("the gateway is busy with other versions")
 	}
 }
 
-// Roster tells which targets the roster names. It does not wait.
-func (m *Manager) Roster(ids map[string]bool) { m.leave(roster{ids}) }
+// SetRoster tells which targets the roster names. It does not wait.
+func (m *Manager) SetRoster(ids map[string]bool) { m.postAsync(rosterMessage{ids}) }
 
 // Pin keeps the version in force, or lets go of it.
-func (m *Manager) Pin(on bool) { m.post(pin{on}) }
+func (m *Manager) Pin(on bool) { m.post(pinMessage{on}) }
 
 // Status tells how things stand; false when the manager has ended.
 func (m *Manager) Status() (Status, bool) {
 	got := make(chan Status, 1)
-	m.post(ask{got})
+	m.post(statusRequest{got})
 	select {
 	case st := <-got:
 		return st, true
-	case <-m.done:
+	case <-m.stopped:
 		return Status{}, false
 	}
 }
@@ -133,11 +133,11 @@
 // Document is the document of a version that is still kept; number -1 is the one in force.
 func (m *Manager) Document(number int64) []byte {
 	got := make(chan []byte, 1)
-	m.post(read{number, got})
+	m.post(documentRequest{number, got})
 	select {
 	case text := <-got:
 		return text
-	case <-m.done:
+	case <-m.stopped:
 		return nil
 	}
 }
@@ -145,15 +145,15 @@
 func (m *Manager) post(message any) {
 	select {
 	case m.mailbox <- message:
-	case <-m.done:
+	case <-m.stopped:
 	}
 }
 
-func (m *Manager) clock() versions.Seconds { return time.Since(m.started).Seconds() }
+func (m *Manager) elapsed() versions.Seconds { return time.Since(m.started).Seconds() }
 
 // Run handles messages until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
-	defer close(m.done)
+	defer close(m.stopped)
 	for {
 		select {
 		case <-ctx.Done():
@@ -166,59 +166,59 @@
 
 func (m *Manager) handle(message any) {
 	switch message := message.(type) {
-	case offered:
-		m.offer(message.o)
-	case done:
-		if message.ready != nil {
-			m.next = message.ready
+	case offerMessage:
+		m.handleOffer(message.o)
+	case stepResult:
+		if message.candidate != nil {
+			m.candidate = message.candidate
 		}
-		m.feed(message.Done)
-	case roster:
+		m.handleEvent(message.Done)
+	case rosterMessage:
 		m.roster = message.ids
-		if !m.waits { // a roster may change many times a second
-			m.waits = true
-			time.AfterFunc(rosterPause, func() { m.post(recheck{}) })
+		if !m.recheckPending { // a roster may change many times a second
+			m.recheckPending = true
+			time.AfterFunc(rosterRecheckDelay, func() { m.post(recheckMessage{}) })
 		}
-	case recheck:
-		m.waits = false
-		m.feed(versions.Roster{})
-	case pin:
+	case recheckMessage:
+		m.recheckPending = false
+		m.handleEvent(versions.Roster{})
+	case pinMessage:
 		if message.on {
-			m.feed(versions.Pin{})
+			m.handleEvent(versions.Pin{})
 		} else {
-			m.feed(versions.Unpin{})
+			m.handleEvent(versions.Unpin{})
 		}
-	case ask:
-		st := m.life.Status()
-		message.got <- Status{st, time.Duration((m.clock() - st.Since) * float64(time.Second))}
-	case read:
+	case statusRequest:
+		st := m.lifecycle.Status()
+		message.reply <- Status{st, time.Duration((m.elapsed() - st.Since) * float64(time.Second))}
+	case documentRequest:
 		if message.number < 0 {
-			message.number = m.life.Status().InForce.Number
+			message.number = m.lifecycle.Status().InForce.Number
 		}
-		message.got <- m.document(message.number)
+		message.reply <- m.document(message.number)
 	}
 }
 
 // offer takes a document in.
-func (m *Manager) offer(o Offer) {
+func (m *Manager) handleOffer(o Offer) {
 	if len(o.Content) > MaxDocument {
 		o.Answer(fmt.Sprintf("version %d holds %d bytes, %d are allowed", o.Number, len(o.Content), MaxDocument))
 		return
 	}
-	if len(m.answers) >= answersMost {
+	if len(m.pendingAnswers) >= maxPendingAnswers {
 		o.Answer("too many versions wait for their turn")
 		return
 	}
-	m.lastID++
-	v := versions.Offer{Source: o.Source, Nonce: strconv.Itoa(m.lastID), Number: o.Number,
+	m.lastNonce++
+	v := versions.Offer{Source: o.Source, Nonce: strconv.Itoa(m.lastNonce), Number: o.Number,
 		Digest: snapshot.Digest(o.Content), Rollback: o.Rollback}
-	m.answers[v.Nonce] = o.Answer
-	m.documents[key{v.Number, v.Digest}] = o.Content
-	m.feed(v)
+	m.pendingAnswers[v.Nonce] = o.Answer
+	m.documents[documentKey{v.Number, v.Digest}] = o.Content
+	m.handleEvent(v)
 }
 
 // leave is post by those who must not wait: the manager itself, and who tells of the roster.
-func (m *Manager) leave(message any) {
+func (m *Manager) postAsync(message any) {
 	select {
 	case m.mailbox <- message:
 	default:
@@ -227,8 +227,8 @@
 }
 
 // feed hands one event to the life of versions and carries its actions out.
-func (m *Manager) feed(ev versions.Event) {
-	m.actions = m.life.Handle(m.clock(), ev, nil)
+func (m *Manager) handleEvent(ev versions.Event) {
+	m.actions = m.lifecycle.Handle(m.elapsed(), ev, nil)
 	for _, a := range m.actions {
 		switch a := a.(type) {
 		case versions.Check:
@@ -240,7 +240,7 @@
 		case versions.Apply:
 			m.apply(a.Offer)
 		case versions.Drop:
-			m.drop(a.Offer)
+			m.releaseDocument(a.Offer)
 		case versions.Answer:
 			m.answer(a)
 		}
@@ -253,11 +253,11 @@
 	} else {
 		m.log.Warn("version turned down", "number", a.Number, "why", a.Reason)
 	}
-	tell := m.answers[a.Nonce]
-	if !m.life.Needs(a.Offer) || a.Reason == "" {
-		delete(m.answers, a.Nonce)
+	notify := m.pendingAnswers[a.Nonce]
+	if !m.lifecycle.Needs(a.Offer) || a.Reason == "" {
+		delete(m.pendingAnswers, a.Nonce)
 	}
-	if tell != nil {
-		go tell(a.Reason) // whoever it is, the manager does not wait
+	if notify != nil {
+		go notify(a.Reason) // whoever it is, the manager does not wait
 	}
 }
--- a/internal/configuration/manager_test.go
+++ b/internal/configuration/manager_test.go
@@ -38,7 +38,7 @@
 	held     chan struct{}
 }
 
-const body = `trusted_proxies = ["127.0.0.0/8"]
+const baseDocument = `trusted_proxies = ["127.0.0.0/8"]
 class = [{name = "table-view", aim = "2s", deadline = "7s", worth = 2.0, repeat = "safe"},
  {name = "move-submit", aim = "1s", deadline = "4s", worth = 6.0, repeat = "keyed", window = "4s"}]
 plan = [{name = "club", rate = 50.0, burst = 100.0, worth = 1.0, over_cost = 1.0}]
@@ -73,9 +73,9 @@
 		}
 		t.Cleanup(r.registry.Close)
 		r.registry.Put(standin.Instance{ID: "t1", HostPort: address, Lifecycle: "SERVING"})
-		r.file += fmt.Sprintf("discovery = {address = %q}\n", r.registry.Addr()) + body
+		r.file += fmt.Sprintf("discovery = {address = %q}\n", r.registry.Addr()) + baseDocument
 	} else {
-		r.file += body + fmt.Sprintf("target = [{id = \"t1\", address = %q}]\n", address)
+		r.file += baseDocument + fmt.Sprintf("target = [{id = \"t1\", address = %q}]\n", address)
 	}
 	r.start()
 	t.Cleanup(func() { r.stop() })
@@ -109,7 +109,7 @@
 
 // version is a document: the common body with changes, and the target where there is no registry.
 func (r *rig) version(changes ...string) string {
-	text := body
+	text := baseDocument
 	if r.registry == nil {
 		text += fmt.Sprintf("target = [{id = \"t1\", address = %q}]\n", strings.TrimPrefix(r.table.URL, "http://"))
 	}
@@ -131,7 +131,7 @@
 	return strings.TrimSpace(string(answer))
 }
 
-func (r *rig) ask(method, path, key string, more ...string) (status int, text string) {
+func (r *rig) request(method, path, key string, more ...string) (status int, text string) {
 	q, err := http.NewRequest(method, r.front.URL+path, nil)
 	if err != nil {
 		r.t.Error(err)
@@ -159,7 +159,7 @@
 	return resp.StatusCode, string(b)
 }
 
-func (r *rig) running() int64 {
+func (r *rig) runningVersion() int64 {
 	s, ok := r.g.Configuration.Status()
 	if !ok {
 		r.t.Fatal("the manager has ended")
@@ -178,10 +178,10 @@
 // changes.
 func TestVersionIsTakenOrTurnedDown(t *testing.T) {
 	r := newRig(t, false)
-	status, _ := r.ask("GET", "/boards/7", "")
+	status, _ := r.request("GET", "/boards/7", "")
 	r.expect("before", status, http.StatusNotFound)
 	r.expect("push", r.push(1, r.version()+"route = [{path = \"/boards/*\", methods = [\"GET\"], class = \"table-view\"}]\n"), "")
-	status, text := r.ask("GET", "/boards/7", "")
+	status, text := r.request("GET", "/boards/7", "")
 	r.expect("by the route", fmt.Sprint(status, text), "200seen /boards/7")
 	reason := r.push(2, r.version("rate = 50.0", "rate = -1.0", `repeat = "safe"`, `repeat = "never"`)+
 		"route = [{path = \"/boards/*\", class = \"gone\"}]\n")
@@ -196,8 +196,8 @@
 	if reason = r.push(4, "class = [{"); reason == "" {
 		t.Error("half a document was taken")
 	}
-	r.expect("version", r.running(), int64(1))
-	status, _ = r.ask("GET", "/boards/7", "")
+	r.expect("version", r.runningVersion(), int64(1))
+	status, _ = r.request("GET", "/boards/7", "")
 	r.expect("still", status, http.StatusOK)
 }
 
@@ -209,13 +209,13 @@
 	r.mu.Unlock()
 	got := make(chan int, 1)
 	go func() {
-		status, _ := r.ask("GET", "/table-view/1", "")
+		status, _ := r.request("GET", "/table-view/1", "")
 		got <- status
 	}()
 	<-r.held
 	without := strings.Replace(r.version(), `{name = "table-view", aim = "2s", deadline = "7s", worth = 2.0, repeat = "safe"},`, "", 1)
 	r.expect("push", r.push(1, without), "")
-	status, _ := r.ask("GET", "/table-view/1", "")
+	status, _ := r.request("GET", "/table-view/1", "")
 	r.expect("a new one", status, http.StatusNotFound)
 	r.mu.Lock()
 	close(r.hold)
@@ -224,7 +224,7 @@
 	r.expect("the held one", <-got, http.StatusOK)
 	for n := 2; n < 30; n++ { // numbers of classes and plans are used again
 		r.expect("push", r.push(n, r.version("rate = 50.0", fmt.Sprintf("rate = 5%d.0", n))), "")
-		status, _ = r.ask("GET", "/table-view/1", "")
+		status, _ = r.request("GET", "/table-view/1", "")
 		r.expect("served", status, http.StatusOK)
 	}
 }
@@ -235,7 +235,7 @@
 	r.expect("push", r.push(1, r.version("rate = 50.0, burst = 100.0", "rate = 0.01, burst = 20.0")), "")
 	served := func(n int) (ok int) {
 		for i := range n {
-			if status, _ := r.ask("POST", "/move-submit/1", fmt.Sprint("k", time.Now().UnixNano(), i)); status == http.StatusOK {
+			if status, _ := r.request("POST", "/move-submit/1", fmt.Sprint("k", time.Now().UnixNano(), i)); status == http.StatusOK {
 				ok++
 			}
 		}
@@ -252,7 +252,7 @@
 
 func TestPlanInUseIsNotTakenAway(t *testing.T) {
 	r := newRig(t, false)
-	status, _ := r.ask("GET", "/table-view/1", "")
+	status, _ := r.request("GET", "/table-view/1", "")
 	r.expect("in service", status, http.StatusOK)
 	if reason := r.push(1, r.version(`name = "club"`, `name = "league"`)); !strings.Contains(reason, "plan club is taken away while 1 customers") {
 		t.Errorf("%q", reason)
@@ -269,7 +269,7 @@
 	}
 	r.registry.Put(standin.Instance{ID: "t2", HostPort: strings.TrimPrefix(r.table.URL, "http://"), Lifecycle: "SERVING"})
 	by := time.Now().Add(10 * time.Second)
-	for r.running() != 1 {
+	for r.runningVersion() != 1 {
 		if time.Now().After(by) {
 			t.Fatal("it was not taken when the roster named it")
 		}
@@ -283,8 +283,8 @@
 	r.expect("push", r.push(5, r.version()+"route = [{path = \"/boards/*\", class = \"table-view\"}]\n"), "")
 	r.stop()
 	r.start()
-	r.expect("version", r.running(), int64(5))
-	status, _ := r.ask("GET", "/boards/7", "")
+	r.expect("version", r.runningVersion(), int64(5))
+	status, _ := r.request("GET", "/boards/7", "")
 	r.expect("by the snapshot's route", status, http.StatusOK)
 	if reason := r.push(4, r.version()); !strings.Contains(reason, "no newer than 5") {
 		t.Errorf("%q", reason)
@@ -295,7 +295,7 @@
 		t.Fatal(err)
 	}
 	r.start()
-	r.expect("after a spoilt one", r.running(), int64(0))
+	r.expect("after a spoilt one", r.runningVersion(), int64(0))
 	if _, err := os.Stat(r.snapshot + ".spoilt"); err != nil {
 		t.Error(err)
 	}
@@ -313,7 +313,7 @@
 	if reason := r.push(1, r.version()); !strings.Contains(reason, "can't be saved") {
 		t.Errorf("%q", reason)
 	}
-	r.expect("version", r.running(), int64(0))
+	r.expect("version", r.runningVersion(), int64(0))
 }
 
 // Good and broken versions come thick and fast while clients ask: each request gets one answer, each version one
@@ -330,7 +330,7 @@
 					return
 				default:
 				}
-				status, text := r.ask("POST", "/move-submit/1", fmt.Sprint(c, "-", n))
+				status, text := r.request("POST", "/move-submit/1", fmt.Sprint(c, "-", n))
 				if status != http.StatusOK && status != http.StatusTooManyRequests || status == http.StatusOK && text != "e2e4seen /move-submit/1" {
 					t.Errorf("%d %q", status, text)
 				}
@@ -351,7 +351,7 @@
 	}
 	close(stop)
 	clients.Wait()
-	r.expect("version", r.running(), int64(60))
+	r.expect("version", r.runningVersion(), int64(60))
 	if v, err := snapshot.Load(r.snapshot); err != nil || v.Number != 60 {
 		t.Errorf("saved: %d, %v", v.Number, err)
 	}
--- a/internal/configuration/steps.go
+++ b/internal/configuration/steps.go
@@ -13,17 +13,17 @@
 
 // staged is a version that was built beside the one in force.
 type staged struct {
-	o    *config.Operator
-	view *forwardauth.View
+	operator *config.Operator
+	view     *forwardauth.View
 }
 
-func finished(o versions.Offer, faults []string, waiting bool) versions.Done {
+func newResult(o versions.Offer, faults []string, waiting bool) versions.Done {
 	return versions.Done{Number: o.Number, Digest: o.Digest, Faults: faults, Waiting: waiting}
 }
 
 // check reads a document and looks at it against what the gateway knows, beside its own work.
 func (m *Manager) check(o versions.Offer) {
-	content, known, now := m.documents[key{o.Number, o.Digest}], m.roster, m.now.o
+	content, onRoster, current := m.documents[documentKey{o.Number, o.Digest}], m.roster, m.current.operator
 	names := append([]string(nil), m.slots.PlanNames...)
 	go func() {
 		next, errs := m.reader.Read(content)
@@ -35,42 +35,42 @@
 			if err := next.Module.Check(); err != nil {
 				faults = append(faults, err.Error())
 			}
-			faults = append(faults, m.plansTaken(now, next, names)...)
+			faults = append(faults, m.removedPlansInUse(current, next, names)...)
 			faults = append(faults, m.front.WindowFaults(next)...)
 		}
-		sound := len(faults) == 0
+		valid := len(faults) == 0
 		if m.base.Discovery.Address != "" {
 			for _, t := range next.Targets {
-				if !known[t.ID] {
+				if !onRoster[t.ID] {
 					faults = append(faults, fmt.Sprintf("target %s is not on the roster", t.ID))
 				}
 			}
 		}
-		m.post(done{finished(o, faults, sound && len(faults) > 0), &staged{o: next}})
+		m.post(stepResult{newResult(o, faults, valid && len(faults) > 0), &staged{operator: next}})
 	}()
 }
 
 // plansTaken names the plans that a version no longer has while customers in service use them.
-func (m *Manager) plansTaken(now, next *config.Operator, names []string) (faults []string) {
+func (m *Manager) removedPlansInUse(current, next *config.Operator, names []string) (faults []string) {
 	kept := map[string]bool{}
 	for _, p := range next.Plans {
 		kept[p.Name] = true
 	}
-	gone := false
-	for _, p := range now.Plans {
-		gone = gone || !kept[p.Name]
+	removed := false
+	for _, p := range current.Plans {
+		removed = removed || !kept[p.Name]
 	}
-	if !gone {
+	if !removed {
 		return nil
 	}
-	by := map[string]int{}
+	customers := map[string]int{}
 	for number, n := range m.core.PlansInUse() {
 		if number < len(names) {
-			by[names[number]] += n
+			customers[names[number]] += n
 		}
 	}
-	for _, p := range now.Plans {
-		if n := by[p.Name]; n > 0 && !kept[p.Name] {
+	for _, p := range current.Plans {
+		if n := customers[p.Name]; n > 0 && !kept[p.Name] {
 			faults = append(faults, fmt.Sprintf("plan %s is taken away while %d customers in service use it; move them first", p.Name, n))
 		}
 	}
@@ -79,43 +79,43 @@
 
 // stage builds what the version needs; after it nothing can fail but the disk.
 func (m *Manager) stage(o versions.Offer) {
-	next := m.next
+	next := m.candidate
 	go func() {
-		view, err := m.front.NewView(next.o, nil, nil)
+		view, err := m.front.NewView(next.operator, nil, nil)
 		var faults []string
 		if err != nil {
 			faults = []string{err.Error()}
 		}
-		m.post(done{finished(o, faults, false), &staged{next.o, view}})
+		m.post(stepResult{newResult(o, faults, false), &staged{next.operator, view}})
 	}()
 }
 
 func (m *Manager) save(o versions.Offer) {
-	v, path := snapshot.Version{Number: o.Number, Content: m.documents[key{o.Number, o.Digest}]}, m.base.Versions.Snapshot
+	v, path := snapshot.Version{Number: o.Number, Content: m.documents[documentKey{o.Number, o.Digest}]}, m.base.Versions.Snapshot
 	go func() {
 		var faults []string
 		if err := snapshot.Save(path, v); err != nil {
 			faults = []string{"it can't be saved, and would be lost with the next start: " + err.Error()}
 		}
-		m.post(done{finished(o, faults, false), nil})
+		m.post(stepResult{newResult(o, faults, false), nil})
 	}()
 }
 
 // apply puts the staged version in force. New requests are decided under it from here on; those that are held end
 // under the one they came in with, whose numbers stay for as long.
 func (m *Manager) apply(o versions.Offer) {
-	next := m.next
+	next := m.candidate
 	classes, customers, plans := m.front.Classes(), m.core.PlansInUse(), m.front.Plans()
-	c, p, from := m.slots.Take(next.o, func(n int) bool { return classes[n] },
+	c, p, inheritFrom := m.slots.Assign(next.operator, func(n int) bool { return classes[n] },
 		func(n int) bool { return plans[n] || customers[n] > 0 })
 	m.core.Reconfigure(control.Reconfigured{
 		Classes: append([]control.Class(nil), m.slots.Classes...),
-		Plans:   append([]control.Plan(nil), m.slots.Plans...), From: from,
+		Plans:   append([]control.Plan(nil), m.slots.Plans...), From: inheritFrom,
 	})
 	next.view.SetNumbers(c, p)
 	m.core.SetClassNames(slices.Clone(m.slots.ClassNames))
 	m.front.Install(next.view)
-	m.targets(next.o)
-	m.now, m.next = next, nil
-	m.leave(done{finished(o, nil, false), nil})
+	m.onApply(next.operator)
+	m.current, m.candidate = next, nil
+	m.postAsync(stepResult{newResult(o, nil, false), nil})
 }
--- a/internal/forwardauth/view.go
+++ b/internal/forwardauth/view.go
@@ -22,7 +22,7 @@
 
 // NewView returns a view of a configuration version. Requests use it only after Install.
 func (f *Front) NewView(o *config.Operator, classes, plans []int) (*View, error) {
-	v := &View{o: o, names: &front.Names{Gateways: o.Gateways, Routes: o.Paths}, classes: classes, plans: plans}
+	v := &View{o: o, names: &front.Names{Gateways: o.Gateways, Routes: o.RouteTable}, classes: classes, plans: plans}
 	for i, class := range o.Classes {
 		v.names.Classes = append(v.names.Classes, class.Name)
 		v.names.Repeats = append(v.names.Repeats, o.Module.Classes[i].Repeat)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,7 +52,7 @@
 // New joins the parts; nothing runs yet. base is what the file says; where a snapshot is kept the gateway begins
 // with the last good version instead.
 func New(base *config.Operator, log *slog.Logger, seed uint64) (*Gateway, error) {
-	base.KeyPlans()
+	base.SetPlanKeys()
 	o, number, content := lastGood(base, log)
 	tally := counter.NewRedis(o.Redis.Address, o.Redis.Timeout.Duration)
 	c, err := core.New(o.Module, seed, egress.NewFleet(egressOptions(o)...), tally, log)
@@ -62,8 +62,8 @@
 	figures := telemetry.New("svc")
 	c.SetMetrics(figures)
 	if len(o.Sites) > 0 {
-		o.Far.Seed = rand.New(rand.NewPCG(seed, 1)).Uint64()
-		router, err := sites.New(o.Far)
+		o.SitesModule.Seed = rand.New(rand.NewPCG(seed, 1)).Uint64()
+		router, err := sites.New(o.SitesModule)
 		if err != nil {
 			return nil, err
 		}
@@ -83,7 +83,7 @@
 	}
 	g := &Gateway{Core: c, Figures: figures, fence: gate, front: front, o: o, tally: tally, log: log, roster: &routetable.Roster{Publish: c.Routes}}
 	g.Configuration = configuration.New(base, o, number, content, c, front, g.targets, log)
-	g.roster.OnChange = g.Configuration.Roster
+	g.roster.OnChange = g.Configuration.SetRoster
 	return g, nil
 }
 
@@ -177,11 +177,11 @@
 		s, site := &o.Sites[i], base
 		site.ConnectTimeout += dialTrips * 2 * s.Distance.Duration
 		site.Conns = cmp.Or(s.Connections, max(leastConns, base.Conns/(2*len(o.Sites))))
-		site.Warm, site.Abort = s.Idle(), !s.Here
+		site.Warm, site.Abort = s.WarmConnections(), !s.Here
 		rest -= site.Conns
 		all = append(all, site)
 	}
-	if own := o.Far.Own; o.Sites[own].Connections == 0 {
+	if own := o.SitesModule.Own; o.Sites[own].Connections == 0 {
 		all[own].Conns += max(0, rest)
 	}
 	return all
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -118,7 +118,7 @@
 	if f.err != nil {
 		return 0
 	}
-	s, err := config.Word(statuses, code, "disposition")
+	s, err := config.Lookup(statuses, code, "disposition")
 	if err != nil {
 		f.err = fmt.Errorf("%s: %w", f.name, err)
 	}
@@ -234,7 +234,7 @@
 			return e.err
 		}
 		var err error
-		if m.State, err = config.Word(conditions, state, "condition"); err != nil {
+		if m.State, err = config.Lookup(conditions, state, "condition"); err != nil {
 			return fmt.Errorf("%s: %w", f.name, err)
 		}
 		members = append(members, m)
@@ -258,7 +258,7 @@
 			return nil, f.err
 		}
 		var err error
-		if e.Kind, err = config.Word(listKinds, kind, "list kind"); err != nil {
+		if e.Kind, err = config.Lookup(listKinds, kind, "list kind"); err != nil {
 			return nil, fmt.Errorf("%s: %w", f.name, err)
 		}
 		if e.Kind != control.Failed {
