--- a/internal/configuration/calls_test.go
+++ b/internal/configuration/calls_test.go
@@ -16,7 +16,7 @@
 	for _, c := range []struct {
 		method, path, body string
 		status             int
-		answer             string // a part of it
+		answer             string // text that the answer contains
 	}{
 		{http.MethodGet, "/config", "", http.StatusOK, `"pinned": false`},
 		{http.MethodGet, "/config/document", "", http.StatusNotFound, "version 0 is the file"},
@@ -50,7 +50,7 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != c.status || !strings.Contains(string(answer), c.answer) {
-				t.Errorf("%d %q, want %d with %q", resp.StatusCode, answer, c.status, c.answer)
+				t.Errorf("status %d with body %q, want %d with %q", resp.StatusCode, answer, c.status, c.answer)
 			}
 		})
 	}
--- a/internal/configuration/documents.go
+++ b/internal/configuration/documents.go
@@ -2,18 +2,19 @@
 
 import "junctionring/versions"
 
-// key names a document.
+// documentKey identifies a document by its version number and the digest of its content.
 type documentKey struct {
 	number int64
 	digest uint64
 }
 
 const (
-	maxRetainedDocuments = 16      // kept to be shown and compared
-	maxRetainedBytes     = 8 << 20 // that they hold together at most
+	maxRetainedDocuments = 16      // retained after their last use, for operators to read and compare
+	maxRetainedBytes     = 8 << 20 // total size of the retained documents
 )
 
-// document is the content of a version that is still kept: the one in force, or one of its number.
+// document returns the content of a version whose document is still held, or nil. If several documents have the
+// same number, the one in force takes precedence.
 func (m *Manager) document(number int64) []byte {
 	in := m.lifecycle.Status().InForce
 	if in.Number == number {
@@ -27,7 +28,8 @@
 	return nil
 }
 
-// drop lets go of a document, but for the last few, which operators compare.
+// releaseDocument marks a document as no longer needed by the lifecycle. The most recent ones are retained, since
+// operators compare them; the oldest are deleted once there are too many or they are too large.
 func (m *Manager) releaseDocument(o versions.Offer) {
 	k := documentKey{o.Number, o.Digest}
 	if m.lifecycle.Needs(o) || m.documents[k] == nil {
--- a/internal/configuration/manager.go
+++ b/internal/configuration/manager.go
@@ -1,7 +1,7 @@
-// Package configuration is the actor round the life of versions: it has offered documents checked, staged, saved
-// and put in force, and tells whoever offered them what became of them. It owns the documents that a version
-// needs, the numbers that classes and plans have in the core, and the last good one on disk. What is taken and what
-// is turned down is decided in package versions and in the checks of package config.
+// Package configuration runs the actor that drives the lifecycle of configuration versions: it checks, stages, saves
+// and applies offered documents, and reports the outcome to whoever offered them. It owns the documents of these
+// versions, the numbers of classes and plans in the core, and the snapshot of the last good version on disk. It does
+// not decide which versions are accepted: package versions and the checks of package config do.
 package configuration
 
 import (
@@ -19,28 +19,28 @@
 	"junctionring/versions"
 )
 
-// MaxDocument is the most that a version's document may hold, in bytes.
+// MaxDocument is the maximum size of a version's document, in bytes.
 const MaxDocument = 8 << 20
 
 const (
 	mailboxSize        = 1024
-	maxPendingAnswers  = 4096 // offers whose answer is pending or may come again
+	maxPendingAnswers  = 4096 // offers whose answer is pending or may be followed by a second one
 	rosterRecheckDelay = 200 * time.Millisecond
 )
 
-// Offer is a document as somebody offers it.
+// Offer is a request to put a document in force as a version.
 type Offer struct {
 	Number   int64
 	Content  []byte
 	Rollback bool
-	Source   int          // as in package versions
-	Answer   func(string) // told "" when it is in force, else why not; after a wait for the roster once more
+	Source   int          // a source as defined in package versions
+	Answer   func(string) // receives "" once in force, else the reason; called again after a wait for the roster
 }
 
-// Status is how things stand.
+// Status is the state of the lifecycle and the age of the version in force.
 type Status struct {
 	versions.Status
-	Age time.Duration // of the version in force
+	Age time.Duration // how long the version has been in force
 }
 
 type (
@@ -59,13 +59,14 @@
 	}
 )
 
-// Manager is the actor. Run runs it; the other methods may be called from anywhere.
+// Manager is the actor. Run handles its messages; the other exported methods may be called from any goroutine. The
+// fields from lifecycle on belong to the goroutine of Run.
 type Manager struct {
-	base    *config.Operator // what the gateway was started with
+	base    *config.Operator // the configuration that the gateway was started with
 	reader  *config.VersionReader
 	core    *core.Core
 	front   *forwardauth.Front
-	onApply func(*config.Operator) // told of each version that comes into force
+	onApply func(*config.Operator) // called with each version that is applied
 	log     *slog.Logger
 
 	mailbox chan any
@@ -75,22 +76,22 @@
 	lifecycle      *versions.Lifecycle
 	slots          config.Slots
 	documents      map[documentKey][]byte
-	retained       []documentKey // documents that are kept though no version needs them, oldest first
+	retained       []documentKey // documents that the lifecycle no longer needs, oldest first
 	pendingAnswers map[string]func(string)
 	lastNonce      int
 	current        *staged // in force
-	candidate      *staged // checked or staged, of the version on its way
+	candidate      *staged // the checked or staged version that is not yet in force
 	roster         map[string]bool
-	recheckPending bool // for the pause after a change of the roster
+	recheckPending bool // a recheck is scheduled after a change of the roster
 	actions        []versions.Action
 }
 
-// New makes the manager of a gateway that was started with base and begins with effective: base itself (number 0),
-// or what was found in its snapshot.
+// New returns the manager of a gateway that was started with base. The first version in force is effective: either
+// base itself, with number 0, or the version from the snapshot.
 func New(base, effective *config.Operator, number int64, content []byte, c *core.Core, f *forwardauth.Front,
-	targets func(*config.Operator), log *slog.Logger) *Manager {
+	onApply func(*config.Operator), log *slog.Logger) *Manager {
 	m := &Manager{
-		base: base, reader: config.NewVersionReader(base), core: c, front: f, onApply: targets, log: log,
+		base: base, reader: config.NewVersionReader(base), core: c, front: f, onApply: onApply, log: log,
 		mailbox: make(chan any, mailboxSize), stopped: make(chan struct{}), started: time.Now(),
 		documents: map[documentKey][]byte{}, pendingAnswers: map[string]func(string){},
 		current: &staged{operator: effective},
@@ -103,7 +104,8 @@
 	return m
 }
 
-// Offer hands a document over; its answer comes through it.
+// Offer queues a document and returns at once; the outcome is passed to o.Answer. If the mailbox is full, the document
+// is rejected.
 func (m *Manager) Offer(o Offer) {
 	select {
 	case m.mailbox <- offerMessage{o}:
@@ -112,13 +114,13 @@
 	}
 }
 
-// SetRoster tells which targets the roster names. It does not wait.
+// SetRoster reports which targets the roster lists. It does not block.
 func (m *Manager) SetRoster(ids map[string]bool) { m.postAsync(rosterMessage{ids}) }
 
-// Pin keeps the version in force, or lets go of it.
+// Pin pins the version in force, so that no offer replaces it, or unpins it.
 func (m *Manager) Pin(on bool) { m.post(pinMessage{on}) }
 
-// Status tells how things stand; false when the manager has ended.
+// Status returns the current status, or false if Run has returned.
 func (m *Manager) Status() (Status, bool) {
 	got := make(chan Status, 1)
 	m.post(statusRequest{got})
@@ -130,7 +132,7 @@
 	}
 }
 
-// Document is the document of a version that is still kept; number -1 is the one in force.
+// Document returns the document of a version, or nil if it is no longer held. Number -1 means the version in force.
 func (m *Manager) Document(number int64) []byte {
 	got := make(chan []byte, 1)
 	m.post(documentRequest{number, got})
@@ -151,7 +153,7 @@
 
 func (m *Manager) elapsed() versions.Seconds { return time.Since(m.started).Seconds() }
 
-// Run handles messages until ctx ends.
+// Run handles messages until ctx is done.
 func (m *Manager) Run(ctx context.Context) {
 	defer close(m.stopped)
 	for {
@@ -175,7 +177,7 @@
 		m.handleEvent(message.Done)
 	case rosterMessage:
 		m.roster = message.ids
-		if !m.recheckPending { // a roster may change many times a second
+		if !m.recheckPending { // the roster may change many times a second, so rechecks are batched
 			m.recheckPending = true
 			time.AfterFunc(rosterRecheckDelay, func() { m.post(recheckMessage{}) })
 		}
@@ -199,7 +201,7 @@
 	}
 }
 
-// offer takes a document in.
+// handleOffer registers a document and its answer callback and passes the offer to the lifecycle.
 func (m *Manager) handleOffer(o Offer) {
 	if len(o.Content) > MaxDocument {
 		o.Answer(fmt.Sprintf("version %d holds %d bytes, %d are allowed", o.Number, len(o.Content), MaxDocument))
@@ -217,7 +219,7 @@
 	m.handleEvent(v)
 }
 
-// leave is post by those who must not wait: the manager itself, and who tells of the roster.
+// postAsync posts a message without blocking, for callers that must not wait: the manager itself and SetRoster.
 func (m *Manager) postAsync(message any) {
 	select {
 	case m.mailbox <- message:
@@ -226,7 +228,7 @@
 	}
 }
 
-// feed hands one event to the life of versions and carries its actions out.
+// handleEvent passes one event to the lifecycle and carries out the actions that it returns.
 func (m *Manager) handleEvent(ev versions.Event) {
 	m.actions = m.lifecycle.Handle(m.elapsed(), ev, nil)
 	for _, a := range m.actions {
@@ -251,13 +253,13 @@
 	if a.Reason == "" {
 		m.log.Info("version in force", "number", a.Number)
 	} else {
-		m.log.Warn("version turned down", "number", a.Number, "why", a.Reason)
+		m.log.Warn("version rejected", "number", a.Number, "why", a.Reason)
 	}
 	notify := m.pendingAnswers[a.Nonce]
 	if !m.lifecycle.Needs(a.Offer) || a.Reason == "" {
 		delete(m.pendingAnswers, a.Nonce)
 	}
 	if notify != nil {
-		go notify(a.Reason) // whoever it is, the manager does not wait
+		go notify(a.Reason) // the callback may block, and the manager must not
 	}
 }
--- a/internal/configuration/manager_test.go
+++ b/internal/configuration/manager_test.go
@@ -22,20 +22,20 @@
 	"junctionring/internal/standin"
 )
 
-// rig is a gateway whose versions a test offers, before one table server that echoes.
+// rig is a gateway to which a test offers versions, in front of one table server that echoes request bodies.
 type rig struct {
 	t        *testing.T
 	g        *gateway.Gateway
 	front    *httptest.Server
 	ops      *httptest.Server
 	table    *httptest.Server
-	file     string // its document
+	file     string // content of the operator's file
 	registry *standin.Registry
 	snapshot string
 	stop     func()
 	mu       sync.Mutex
-	hold     chan struct{} // not nil: table servers wait for it
-	held     chan struct{}
+	hold     chan struct{} // if not nil, the table server blocks until it is closed
+	held     chan struct{} // receives a value for each request that blocks
 }
 
 const baseDocument = `trusted_proxies = ["127.0.0.0/8"]
@@ -97,7 +97,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	if !r.g.Start(ctx, ctx) {
-		r.t.Fatal("not started")
+		r.t.Fatal("the gateway did not start")
 	}
 	r.front, r.ops = httptest.NewServer(r.g.Front()), httptest.NewServer(r.g.Operations(management.Hooks{}))
 	r.stop = func() {
@@ -107,7 +107,7 @@
 	}
 }
 
-// version is a document: the common body with changes, and the target where there is no registry.
+// version returns the base document with the given old, new replacements, plus the target if there is no registry.
 func (r *rig) version(changes ...string) string {
 	text := baseDocument
 	if r.registry == nil {
@@ -116,7 +116,7 @@
 	return strings.NewReplacer(changes...).Replace(text)
 }
 
-// push offers a document by the API; reason is empty where it was taken.
+// push offers a document through the operations API. reason is empty if the version was accepted.
 func (r *rig) push(number int, text string, more ...string) (reason string) {
 	r.t.Helper()
 	resp, err := http.Post(fmt.Sprintf("%s/config?version=%d%s", r.ops.URL, number, strings.Join(more, "")), "application/toml", strings.NewReader(text))
@@ -162,7 +162,7 @@
 func (r *rig) runningVersion() int64 {
 	s, ok := r.g.Configuration.Status()
 	if !ok {
-		r.t.Fatal("the manager has ended")
+		r.t.Fatal("the configuration manager has stopped")
 	}
 	return s.InForce.Number
 }
@@ -174,15 +174,15 @@
 	}
 }
 
-// A version with routes is taken, and requests go by it; a broken one is turned down with every fault, and nothing
-// changes.
+// A version with routes is accepted and its routes apply to requests. An invalid version is rejected with all of its
+// faults, and the version in force stays.
 func TestVersionIsTakenOrTurnedDown(t *testing.T) {
 	r := newRig(t, false)
 	status, _ := r.request("GET", "/boards/7", "")
-	r.expect("before", status, http.StatusNotFound)
+	r.expect("status before the version with routes", status, http.StatusNotFound)
 	r.expect("push", r.push(1, r.version()+"route = [{path = \"/boards/*\", methods = [\"GET\"], class = \"table-view\"}]\n"), "")
 	status, text := r.request("GET", "/boards/7", "")
-	r.expect("by the route", fmt.Sprint(status, text), "200seen /boards/7")
+	r.expect("answer through the route", fmt.Sprint(status, text), "200seen /boards/7")
 	reason := r.push(2, r.version("rate = 50.0", "rate = -1.0", `repeat = "safe"`, `repeat = "never"`)+
 		"route = [{path = \"/boards/*\", class = \"gone\"}]\n")
 	for _, want := range []string{"plan club: rate", "repeat must be", `there is no class "gone"`} {
@@ -191,17 +191,17 @@
 		}
 	}
 	if reason = r.push(3, `listen = "127.0.0.1:1"`+"\n"+r.version()); !strings.Contains(reason, "listen can't change") {
-		t.Errorf("%q", reason)
+		t.Errorf("version with another listen address: reason %q, want that it can't change", reason)
 	}
 	if reason = r.push(4, "class = [{"); reason == "" {
-		t.Error("half a document was taken")
+		t.Error("a truncated document was accepted")
 	}
 	r.expect("version", r.runningVersion(), int64(1))
 	status, _ = r.request("GET", "/boards/7", "")
-	r.expect("still", status, http.StatusOK)
+	r.expect("status after rejected versions", status, http.StatusOK)
 }
 
-// What is held ends under the version that it came in with, though its class is gone by then.
+// A held request finishes under the version it arrived with, even if a later version has removed its class.
 func TestHeldRequestEndsUnderItsVersion(t *testing.T) {
 	r := newRig(t, false)
 	r.mu.Lock()
@@ -216,20 +216,20 @@
 	without := strings.Replace(r.version(), `{name = "table-view", aim = "2s", deadline = "7s", worth = 2.0, repeat = "safe"},`, "", 1)
 	r.expect("push", r.push(1, without), "")
 	status, _ := r.request("GET", "/table-view/1", "")
-	r.expect("a new one", status, http.StatusNotFound)
+	r.expect("status of a new request for the removed class", status, http.StatusNotFound)
 	r.mu.Lock()
 	close(r.hold)
 	r.hold = nil
 	r.mu.Unlock()
-	r.expect("the held one", <-got, http.StatusOK)
-	for n := 2; n < 30; n++ { // numbers of classes and plans are used again
+	r.expect("status of the held request", <-got, http.StatusOK)
+	for n := 2; n < 30; n++ { // enough versions for numbers of classes and plans to be reused
 		r.expect("push", r.push(n, r.version("rate = 50.0", fmt.Sprintf("rate = 5%d.0", n))), "")
 		status, _ = r.request("GET", "/table-view/1", "")
-		r.expect("served", status, http.StatusOK)
+		r.expect("status under a later version", status, http.StatusOK)
 	}
 }
 
-// A plan is halved while a club is in its burst: what it has used stays used, over the change.
+// The burst of a plan is halved while a customer is using it. Units used before the change stay counted after it.
 func TestPlanHalvedInItsBurst(t *testing.T) {
 	r := newRig(t, false)
 	r.expect("push", r.push(1, r.version("rate = 50.0, burst = 100.0", "rate = 0.01, burst = 20.0")), "")
@@ -242,25 +242,25 @@
 		return ok
 	}
 	if n := served(12); n != 12 {
-		t.Errorf("%d of 12 within a burst of 20", n)
+		t.Errorf("%d of 12 requests served within a burst of 20, want all", n)
 	}
 	r.expect("push", r.push(2, r.version("rate = 50.0, burst = 100.0", "rate = 0.01, burst = 10.0")), "")
-	if n := served(15); n < 6 || n > 10 { // 8 of the 20 were left
-		t.Errorf("%d more after the burst was halved, want 8", n)
+	if n := served(15); n < 6 || n > 10 { // 8 of the 20 units were left
+		t.Errorf("%d more requests served after the burst was halved, want 8", n)
 	}
 }
 
 func TestPlanInUseIsNotTakenAway(t *testing.T) {
 	r := newRig(t, false)
 	status, _ := r.request("GET", "/table-view/1", "")
-	r.expect("in service", status, http.StatusOK)
+	r.expect("status of a customer in service", status, http.StatusOK)
 	if reason := r.push(1, r.version(`name = "club"`, `name = "league"`)); !strings.Contains(reason, "plan club is taken away while 1 customers") {
-		t.Errorf("%q", reason)
+		t.Errorf("removal of a plan in use: reason %q, want one that names the plan and its customers", reason)
 	}
-	r.expect("beside it", r.push(2, r.version("plan = [", `plan = [{name = "league", rate = 9.0, burst = 9.0, worth = 1.0}, `)), "")
+	r.expect("push of a version with an additional plan", r.push(2, r.version("plan = [", `plan = [{name = "league", rate = 9.0, burst = 9.0, worth = 1.0}, `)), "")
 }
 
-// A target that the roster does not name: turned down with that reason, and taken when the roster names it.
+// A version with a target that is not on the roster is rejected for that reason, and applied once the roster lists it.
 func TestTargetNotYetOnTheRoster(t *testing.T) {
 	r := newRig(t, true)
 	reason := r.push(1, r.version()+"target = [{id = \"t2\"}]\n")
@@ -271,13 +271,14 @@
 	by := time.Now().Add(10 * time.Second)
 	for r.runningVersion() != 1 {
 		if time.Now().After(by) {
-			t.Fatal("it was not taken when the roster named it")
+			t.Fatal("version 1 was not applied within 10 s after the roster listed its target")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// The last good version serves at a start; a spoilt snapshot is set aside, and the file serves.
+// A gateway starts with the last good version from the snapshot. A corrupt snapshot is renamed, and the gateway starts
+// with the operator's file.
 func TestStartFromTheSnapshot(t *testing.T) {
 	r := newRig(t, false)
 	r.expect("push", r.push(5, r.version()+"route = [{path = \"/boards/*\", class = \"table-view\"}]\n"), "")
@@ -285,44 +286,46 @@
 	r.start()
 	r.expect("version", r.runningVersion(), int64(5))
 	status, _ := r.request("GET", "/boards/7", "")
-	r.expect("by the snapshot's route", status, http.StatusOK)
+	r.expect("status through the route of the snapshot", status, http.StatusOK)
 	if reason := r.push(4, r.version()); !strings.Contains(reason, "no newer than 5") {
-		t.Errorf("%q", reason)
+		t.Errorf("older version: reason %q, want that it is no newer than 5", reason)
 	}
-	r.expect("a rollback", r.push(4, r.version(), "&rollback=true"), "")
+	r.expect("push of a rollback", r.push(4, r.version(), "&rollback=true"), "")
 	r.stop()
 	if err := os.WriteFile(r.snapshot, []byte("junctionring-snapshot 1 9 00"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	r.start()
-	r.expect("after a spoilt one", r.runningVersion(), int64(0))
+	r.expect("version after a corrupt snapshot", r.runningVersion(), int64(0))
 	if _, err := os.Stat(r.snapshot + ".spoilt"); err != nil {
 		t.Error(err)
 	}
 }
 
-// A version that can't be saved is turned down: it would be lost with the next start.
+// A version that can't be saved is rejected, since the next start would lose it.
 func TestDiskThatCantBeWritten(t *testing.T) {
 	r := newRig(t, false)
-	if err := os.Mkdir(r.snapshot, 0o700); err != nil { // a folder stands where the file is to go
+	if err := os.Mkdir(r.snapshot, 0o700); err != nil { // a directory at the snapshot's path
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(filepath.Join(r.snapshot, "x"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if reason := r.push(1, r.version()); !strings.Contains(reason, "can't be saved") {
-		t.Errorf("%q", reason)
+		t.Errorf("snapshot path not writable: reason %q, want that the version can't be saved", reason)
 	}
 	r.expect("version", r.runningVersion(), int64(0))
 }
 
-// Good and broken versions come thick and fast while clients ask: each request gets one answer, each version one
-// answer, and the newest good one is in force at the end.
+// Valid and invalid versions arrive in quick succession under client load. Each request and each version gets one
+// answer, and the newest valid version is in force at the end.
 func TestChurnUnderLoad(t *testing.T) {
 	r := newRig(t, false)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	for c := range 3 { // of the six slots that control first gives a server: more would be shed by chance, versions or not
+	// Three clients use half of the six slots that control first gives a server. With more clients, requests could be
+	// shed by chance, whether versions change or not.
+	for c := range 3 {
 		clients.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -332,7 +335,7 @@
 				}
 				status, text := r.request("POST", "/move-submit/1", fmt.Sprint(c, "-", n))
 				if status != http.StatusOK && status != http.StatusTooManyRequests || status == http.StatusOK && text != "e2e4seen /move-submit/1" {
-					t.Errorf("%d %q", status, text)
+					t.Errorf("status %d with body %q, want 429, or 200 with the echoed body", status, text)
 				}
 			}
 		})
@@ -346,20 +349,20 @@
 			text, good = text[:len(text)/2], false
 		}
 		if reason := r.push(n, text); (reason == "") != good {
-			t.Errorf("version %d: %q", n, reason)
+			t.Errorf("version %d: reason for rejection %q, want accepted: %t", n, reason, good)
 		}
 	}
 	close(stop)
 	clients.Wait()
 	r.expect("version", r.runningVersion(), int64(60))
 	if v, err := snapshot.Load(r.snapshot); err != nil || v.Number != 60 {
-		t.Errorf("saved: %d, %v", v.Number, err)
+		t.Errorf("snapshot holds version %d, error %v, want version 60", v.Number, err)
 	}
 }
 
 func TestTooLongADocument(t *testing.T) {
 	r := newRig(t, false)
 	if reason := r.push(1, strings.Repeat("# 0123456789\n", configuration.MaxDocument/12)); !strings.Contains(reason, "bytes") && !strings.Contains(reason, "large") {
-		t.Errorf("%.200q", reason)
+		t.Errorf("oversized document: reason %.200q, want one that names its size", reason)
 	}
 }
--- a/internal/configuration/steps.go
+++ b/internal/configuration/steps.go
@@ -11,7 +11,7 @@
 	"junctionring/versions"
 )
 
-// staged is a version that was built beside the one in force.
+// staged is a checked version that is prepared while another one is in force. view is nil until it has been built.
 type staged struct {
 	operator *config.Operator
 	view     *forwardauth.View
@@ -21,7 +21,8 @@
 	return versions.Done{Number: o.Number, Digest: o.Digest, Faults: faults, Waiting: waiting}
 }
 
-// check reads a document and looks at it against what the gateway knows, beside its own work.
+// check reads and checks a document against the plans in use, the front's windows and the roster. It works in its own
+// goroutine, so that the manager keeps handling messages.
 func (m *Manager) check(o versions.Offer) {
 	content, onRoster, current := m.documents[documentKey{o.Number, o.Digest}], m.roster, m.current.operator
 	names := append([]string(nil), m.slots.PlanNames...)
@@ -50,7 +51,7 @@
 	}()
 }
 
-// plansTaken names the plans that a version no longer has while customers in service use them.
+// removedPlansInUse returns a fault for each plan that a version removes while customers in service use it.
 func (m *Manager) removedPlansInUse(current, next *config.Operator, names []string) (faults []string) {
 	kept := map[string]bool{}
 	for _, p := range next.Plans {
@@ -77,7 +78,7 @@
 	return faults
 }
 
-// stage builds what the version needs; after it nothing can fail but the disk.
+// stage builds the view of the version. After it only saving to disk can fail.
 func (m *Manager) stage(o versions.Offer) {
 	next := m.candidate
 	go func() {
@@ -101,8 +102,8 @@
 	}()
 }
 
-// apply puts the staged version in force. New requests are decided under it from here on; those that are held end
-// under the one they came in with, whose numbers stay for as long.
+// apply puts the staged version in force. New requests are decided under it from here on. Requests already held finish
+// under the version they arrived with, whose class and plan numbers stay reserved until then.
 func (m *Manager) apply(o versions.Offer) {
 	next := m.candidate
 	classes, customers, plans := m.front.Classes(), m.core.PlansInUse(), m.front.Plans()
