--- a/internal/config/faults.go
+++ b/internal/config/faults.go
@@ -8,7 +8,7 @@
 // Faults collects what is wrong with a configuration, in the order in which it is found.
 type Faults []error
 
-// Require adds a fault with this text unless ok.
+// Require adds a fault with the formatted text unless ok is true.
 func (f *Faults) Require(ok bool, format string, args ...any) {
 	if !ok {
 		*f = append(*f, fmt.Errorf(format, args...))
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -8,8 +8,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// ReadFile decodes a TOML file over what into holds, and has it checked. The error names the file and each key that is
-// unknown or wrong.
+// ReadFile decodes a TOML file into a value, which keeps its defaults for absent keys, and calls check. The error names
+// the file and every key that is unknown or invalid.
 func ReadFile(path string, into any, check func() []error) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// read decodes a document over what into holds, and returns all that is wrong with the outcome.
+// read decodes a document into a value, which keeps its defaults for absent keys, and returns all faults.
 func read(text []byte, into any, check func() []error) []error {
 	meta, faults := decode(text, into)
 	if meta == nil {
@@ -30,7 +30,7 @@
 	return append(faults, check()...)
 }
 
-// decode decodes a document over what into holds. meta is nil where it is no TOML.
+// decode decodes a document into a value, which keeps its defaults for absent keys. meta is nil if decoding fails.
 func decode(text []byte, into any) (meta *toml.MetaData, faults []error) {
 	found, err := toml.Decode(string(text), into)
 	if err != nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,7 +13,7 @@
 	"junctionring/sites"
 )
 
-// Duration is a time in an operator's file, such as "800ms".
+// Duration is a duration in an operator's file, written as "800ms".
 type Duration struct{ time.Duration }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -22,11 +22,11 @@
 	return err
 }
 
-// Operator is an operator's file: the forward-auth front and all that it needs.
+// Operator holds the content of an operator's file: the settings of the forward-auth front and its dependencies.
 type Operator struct {
 	Listen         string         `toml:"listen"`
-	Ordinal        int            `toml:"ordinal"`  // this gateway's number
-	Gateways       int            `toml:"gateways"` // all that share the store
+	Ordinal        int            `toml:"ordinal"`  // number of this gateway, from 0
+	Gateways       int            `toml:"gateways"` // number of gateways that share the store
 	TrustedProxies []netip.Prefix `toml:"trusted_proxies"`
 	MaxBody        int64          `toml:"max_body"`
 	MaxHeader      int            `toml:"max_header"`
@@ -42,14 +42,14 @@
 		Plan    string `toml:"plan_header"`
 	} `toml:"identity"`
 	Checker struct {
-		URL             string   `toml:"url"` // empty: identity headers are taken from trusted proxies
+		URL             string   `toml:"url"` // empty: identity headers of trusted proxies are used
 		Timeout         Duration `toml:"timeout"`
-		RequestHeaders  []string `toml:"request_headers"`  // passed to the checker; empty: all
-		ResponseHeaders []string `toml:"response_headers"` // of its 2xx, copied onward
+		RequestHeaders  []string `toml:"request_headers"`  // headers passed to the checker; empty: all
+		ResponseHeaders []string `toml:"response_headers"` // headers of a 2xx response that are copied to the forwarded request
 		RetryAfter      Duration `toml:"retry_after"`
 	} `toml:"checker"`
 	Asked struct {
-		Path string `toml:"path"` // where a proxy asks for a verdict; empty: nowhere
+		Path string `toml:"path"` // path at which a proxy asks for a verdict; empty: disabled
 	} `toml:"asked"`
 	Redis struct {
 		Address string   `toml:"address"`
@@ -59,20 +59,20 @@
 	Plans    []PlanSettings   `toml:"plan"`
 	Targets  []TargetSettings `toml:"target"`
 	Sites    []SiteSettings   `toml:"site"`
-	Routes   []Route          `toml:"route"` // in order; none: the first part of a path is its class
+	Routes   []Route          `toml:"route"` // in order of precedence; none: the first path segment names the class
 	Versions struct {
-		Snapshot string `toml:"snapshot"` // file of the last good version; empty: none is kept
+		Snapshot string `toml:"snapshot"` // file of the last good version; empty: none is saved
 	} `toml:"versions"`
 	Discovery struct {
-		Address string `toml:"address"` // of a registry that is watched; empty: the targets stand in this file
+		Address string `toml:"address"` // registry to watch; empty: targets come from this file
 	} `toml:"discovery"`
 	Operations struct {
-		Listen string `toml:"listen"` // where operators read the status; empty: nowhere
+		Listen string `toml:"listen"` // address of the operations endpoint; empty: disabled
 	} `toml:"operations"`
 
-	Module      control.Settings `toml:"-"` // what the module is told of all this
-	SitesModule sites.Settings   `toml:"-"` // and the module of sites, if there are any
-	RouteTable  *routes.Table    `toml:"-"` // the compiled routes; nil without any
+	Module      control.Settings `toml:"-"` // settings of the control module, derived from this file
+	SitesModule sites.Settings   `toml:"-"` // settings of the sites module, if there are sites
+	RouteTable  *routes.Table    `toml:"-"` // the compiled routes; nil if there are none
 }
 
 // ClassSettings is one [[class]].
@@ -83,8 +83,8 @@
 	Worth     float64  `toml:"worth"`
 	LateWorth float64  `toml:"late_worth"`
 	Repeat    string   `toml:"repeat"` // safe, keyed, unsafe
-	Window    Duration `toml:"window"` // of keyed: how long targets drop a repeat
-	Group     string   `toml:"group"`  // of keyed: the targets that do so: all, site or zone
+	Window    Duration `toml:"window"` // keyed only: how long targets drop a repeated request
+	Group     string   `toml:"group"`  // keyed only: targets that drop each other's repeats: all, site or zone
 }
 
 // PlanSettings is one [[plan]].
@@ -113,7 +113,7 @@
 	Class   string   `toml:"class"`
 }
 
-// checkRoutes checks the routes and compiles them.
+// checkRoutes checks the routes and compiles them into o.RouteTable.
 func (o *Operator) checkRoutes(fault func(error)) {
 	if len(o.Routes) == 0 {
 		return
@@ -136,15 +136,15 @@
 // SiteSettings is one [[site]].
 type SiteSettings struct {
 	Name        string   `toml:"name"`
-	Here        bool     `toml:"here"`        // the gateway stands here
-	Distance    Duration `toml:"distance"`    // one way, from here
-	Gateways    int      `toml:"gateways"`    // that stand there; 0: not told
-	Zones       []string `toml:"zones"`       // the registry's zones that are this site; empty: the one of its name
-	Connections int      `toml:"connections"` // to all its targets, at the most; 0: a share of the sockets
-	Warm        *int     `toml:"warm"`        // kept open at rest to each target; not stated: 2 over a link
+	Here        bool     `toml:"here"`        // the gateway is at this site
+	Distance    Duration `toml:"distance"`    // one-way delay from this gateway
+	Gateways    int      `toml:"gateways"`    // number of gateways at the site; 0: unknown
+	Zones       []string `toml:"zones"`       // zones of the registry that form the site; empty: the zone of the same name
+	Connections int      `toml:"connections"` // maximum to all its targets; 0: a share of the sockets
+	Warm        *int     `toml:"warm"`        // idle connections kept open to each target; absent: 0 here, 2 elsewhere
 }
 
-// WarmConnections is how many connections rest warm at each target of the site.
+// WarmConnections returns how many idle connections are kept open to each target of the site.
 func (s *SiteSettings) WarmConnections() int {
 	switch {
 	case s.Warm != nil:
@@ -155,10 +155,11 @@
 	return remoteWarmConnections
 }
 
-// farWarm is how many connections rest at each target over a link, where one costs a round trip.
+// remoteWarmConnections is the default number of idle connections kept open to each target at another site, where a
+// new connection costs a round trip.
 const remoteWarmConnections = 2
 
-// ZoneSites tells the site of each zone of the registry.
+// ZoneSites maps each zone of the registry to the number of its site.
 func (o *Operator) ZoneSites() map[string]int {
 	m := map[string]int{}
 	for i, s := range o.Sites {
@@ -173,12 +174,12 @@
 	return m
 }
 
-// SiteOf is the number of the site that a target of the file stands at.
+// SiteOf returns the number of the site with the given name, or 0 if there is none.
 func (o *Operator) SiteOf(name string) int {
 	return max(0, slices.IndexFunc(o.Sites, func(s SiteSettings) bool { return s.Name == name }))
 }
 
-// checkSites checks the sites and fills in what the modules are told of them.
+// checkSites checks the sites and fills in the site settings of both modules.
 func (o *Operator) checkSites(require func(ok bool, format string, args ...any)) {
 	here, siteNames, zones := -1, map[string]bool{}, map[string]string{}
 	for i, s := range o.Sites {
@@ -214,7 +215,7 @@
 	o.Module.Site, o.Module.Sites = o.SitesModule.Own, len(o.Sites)
 }
 
-// LoadOperator reads and checks an operator's file. An error says plainly what is wrong.
+// LoadOperator reads and checks an operator's file. The error lists every fault.
 func LoadOperator(path string) (*Operator, error) {
 	o := defaultOperator()
 	if err := ReadFile(path, o, o.check); err != nil {
@@ -233,10 +234,10 @@
 	return o
 }
 
-// read decodes a document over what o holds, and returns all that is wrong with the outcome.
+// read decodes a document into o, which keeps its values for absent keys, and returns all faults.
 func (o *Operator) read(text []byte) []error { return read(text, o, o.check) }
 
-// check returns everything that is wrong, and fills in what the module is told.
+// check returns all faults, and fills in the settings of the modules and the route table.
 func (o *Operator) check() []error {
 	var faults Faults
 	seen := map[string]bool{}
@@ -256,7 +257,7 @@
 	return faults
 }
 
-// checkGateway checks what the gateway listens on and the bounds that it keeps.
+// checkGateway checks the listen address, the ordinal and the limits of the gateway.
 func (o *Operator) checkGateway(faults *Faults) {
 	require := faults.Require
 	faults.RequirePort("listen", o.Listen)
@@ -270,7 +271,7 @@
 		"limits: cores and memory_mb must be above 0 and sockets at least 64")
 }
 
-// checkIdentity checks who says who a client is, and the store of what clients used.
+// checkIdentity checks the sources of client identity and the store that counts used quota.
 func (o *Operator) checkIdentity(faults *Faults) {
 	require := faults.Require
 	require(o.Identity.Account != "" && o.Identity.Plan != "", "identity: both headers need a name")
@@ -288,7 +289,7 @@
 	require(o.Redis.Timeout.Duration > 0, "redis: timeout must be above 0")
 }
 
-// module is what the module is told, before its classes, plans and sites.
+// module returns the control module's settings without classes, plans and sites.
 func (o *Operator) module() control.Settings {
 	return control.Settings{
 		Ordinal: o.Ordinal, Gateways: o.Gateways,
@@ -300,7 +301,7 @@
 	}
 }
 
-// checkClasses checks the classes, and tells the module of them.
+// checkClasses checks the classes and adds them to the module's settings.
 func (o *Operator) checkClasses(faults *Faults, unique func(kind, name string)) {
 	require := faults.Require
 	require(len(o.Classes) > 0, "there is no [[class]]")
@@ -324,7 +325,7 @@
 	}
 }
 
-// checkPlans checks the plans, and tells the module of them.
+// checkPlans checks the plans and adds them to the module's settings.
 func (o *Operator) checkPlans(faults *Faults, unique func(kind, name string)) {
 	require := faults.Require
 	require(len(o.Plans) > 0, "there is no [[plan]]")
@@ -339,7 +340,7 @@
 	}
 }
 
-// checkTargets checks the targets, and the addresses of discovery and operations.
+// checkTargets checks the targets and the addresses of discovery and operations.
 func (o *Operator) checkTargets(faults *Faults, unique func(kind, name string)) {
 	require := faults.Require
 	require(len(o.Targets) > 0 || o.Asked.Path != "" || o.Discovery.Address != "",
@@ -352,7 +353,7 @@
 	}
 	for _, t := range o.Targets {
 		unique("target", t.ID)
-		if o.Discovery.Address != "" { // the roster says where it is; named here, it and no other is used
+		if o.Discovery.Address != "" { // the roster has the address; naming targets restricts use to them
 			require(t.Address == "" && t.Site == "", "target %s: with discovery it has neither address nor site", t.ID)
 			continue
 		}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -35,10 +35,10 @@
 		t.Errorf("%+v", o.SitesModule)
 	}
 	if z := o.ZoneSites(); z["hall-b"] != 0 || z["west"] != 1 || len(z) != 3 {
-		t.Errorf("zones %v", z)
+		t.Errorf("sites by zone: %v", z)
 	}
 	if o.SiteOf("west") != 1 || o.Sites[0].WarmConnections() != 0 || o.Sites[1].WarmConnections() != remoteWarmConnections {
-		t.Error("a target's site, or the warm connections")
+		t.Error("wrong number of a target's site, or of warm connections")
 	}
 }
 
--- a/internal/config/parts.go
+++ b/internal/config/parts.go
@@ -9,26 +9,26 @@
 	"junctionring/configdelta"
 )
 
-// VersionReader reads the documents of versions for a gateway that was started with a base. What it decoded of a
-// document's parts (package configdelta) is kept for the next one, so that a version that changes one route does
-// not cost the decoding of all. What is checked, and what is found, is as with ReadVersion.
+// VersionReader reads the documents of versions for a gateway that was started with a base configuration. It caches the
+// decoded parts of the last document (package configdelta), so that a version that changes one route does not require
+// decoding all of them. Checks and results are the same as with ReadVersion.
 type VersionReader struct {
 	base *Operator
 
 	mu      sync.Mutex
-	decoded map[configdelta.Hash]partTables // parts of the last document
+	decoded map[configdelta.Hash]partTables // decoded parts of the last document, by digest
 }
 
-// tables are the tables of a part that holds nothing else.
+// partTables holds the tables of a part that contains only routes or targets.
 type partTables struct {
 	Routes  []Route          `toml:"route"`
 	Targets []TargetSettings `toml:"target"`
 }
 
-// NewVersionReader makes a reader for a gateway that was started with base.
+// NewVersionReader returns a reader for a gateway that was started with base.
 func NewVersionReader(base *Operator) *VersionReader { return &VersionReader{base: base} }
 
-// Read reads a version's document. It returns all that is wrong.
+// Read reads and checks a version's document. It returns all faults.
 func (r *VersionReader) Read(text []byte) (*Operator, []error) {
 	rest, listed, ok := r.decodeParts(string(text))
 	if !ok {
@@ -38,7 +38,7 @@
 		before := *o
 		meta, faults := decode([]byte(rest), o)
 		if len(faults) > 0 || meta.IsDefined("route") || meta.IsDefined("target") {
-			*o = before // all that is wrong is found by reading it as one
+			*o = before // reading the document as a whole finds every fault
 			return o.read(text)
 		}
 		o.Routes, o.Targets = listed.Routes, listed.Targets
@@ -46,8 +46,8 @@
 	})
 }
 
-// decodeParts decodes the parts that hold routes or targets alone, and returns the rest of the document. It is
-// false where the document must be read as one: it has no parts, or one of them means nothing by itself.
+// decodeParts decodes the parts that hold only routes or targets, and returns them with the rest of the document. ok is
+// false if the document must be read as a whole: it has no parts, or a part can't be decoded on its own.
 func (r *VersionReader) decodeParts(document string) (rest string, listed partTables, ok bool) {
 	_, parts, err := configdelta.SplitDocument(document)
 	if err != nil || strings.Contains(document, `"""`) || strings.Contains(document, "'''") {
@@ -60,7 +60,7 @@
 	for i, part := range parts {
 		if !strings.HasPrefix(part.Content, "[[route]]\n") && !strings.HasPrefix(part.Content, "[[target]]\n") {
 			if i > 0 && !strings.HasPrefix(part.Content, "[[") {
-				return "", listed, false // it goes on with the part before
+				return "", listed, false // it continues a table of the previous part
 			}
 			remaining.WriteString(part.Content)
 			continue
@@ -69,7 +69,7 @@
 		if !known {
 			meta, err := toml.Decode(part.Content, &table)
 			if err != nil || len(meta.Undecoded()) > 0 {
-				return "", listed, false // the faults are named with the lines of the whole
+				return "", listed, false // faults must carry line numbers of the whole document
 			}
 		}
 		used[part.Digest()] = table
--- a/internal/config/parts_test.go
+++ b/internal/config/parts_test.go
@@ -11,7 +11,7 @@
 	"junctionring/configdelta"
 )
 
-// mustReadAlike reads a document by its parts and as one, and fails where the two differ.
+// requireSameResult reads a document by parts and as a whole, and fails the test if the results differ.
 func requireSameResult(t interface {
 	Helper()
 	Fatalf(string, ...any)
@@ -21,12 +21,12 @@
 	got, faults := reader.Read([]byte(document))
 	if errors.Join(faults...) != nil || errors.Join(wholeFaults...) != nil {
 		if a, b := errors.Join(faults...), errors.Join(wholeFaults...); a == nil || b == nil || a.Error() != b.Error() {
-			t.Fatalf("by parts: %v\nas one: %v", a, b)
+			t.Fatalf("faults when read by parts: %v\nfaults when read as a whole: %v", a, b)
 		}
 		return
 	}
 	if !reflect.DeepEqual(got, whole) {
-		t.Fatalf("by parts another outcome than as one, for\n%s", document)
+		t.Fatalf("reading by parts and as a whole gave different results for\n%s", document)
 	}
 }
 
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -10,19 +10,19 @@
 	"github.com/tidwall/gjson"
 )
 
-// Platform is what the platform tells a gateway at its start.
+// Platform is the configuration that the platform gives a gateway at its start.
 type Platform struct {
 	Name, Listen, Discovery, Counter string
-	Management                       string // the operators' address; "": none
+	Management                       string // listen address of the management endpoint; "": none
 	Seed                             uint64
 	Cores                            float64
 	MemoryMB, Sockets                int
-	Known                            []byte // the list as last had, in discovery's form
+	Known                            []byte // the last known list of servers, in the format of discovery
 	Settings                         Settings
-	SettingsRaw                      []byte // as written, for CheckReload
+	SettingsRaw                      []byte // raw JSON, for CheckReload
 }
 
-// LoadPlatform reads the file that EDGE_CONFIG names. The other variables win over it.
+// LoadPlatform reads the file named by EDGE_CONFIG. The other environment variables take precedence over the file.
 func LoadPlatform(path string) (Platform, error) {
 	p, err := ReadPlatform(path)
 	if err != nil {
@@ -32,13 +32,13 @@
 	p.Discovery = cmp.Or(os.Getenv("EDGE_DISCOVERY"), p.Discovery)
 	p.Management = cmp.Or(os.Getenv("EDGE_MANAGEMENT"), p.Management)
 	if p.Listen == "" {
-		return p, fmt.Errorf("%s: no address to listen on", path)
+		return p, fmt.Errorf("%s: no listen address in the file or in EDGE_LISTEN", path)
 	}
 	return p, nil
 }
 
-// ReadPlatform reads the file alone. It is how a running gateway learns of new addresses: the variables are
-// those of its start and know nothing of them.
+// ReadPlatform reads only the file. A running gateway uses it to learn new addresses, since its environment variables
+// still hold the values from its start.
 func ReadPlatform(path string) (Platform, error) {
 	var p Platform
 	raw, err := os.ReadFile(path)
@@ -66,7 +66,7 @@
 	return p, nil
 }
 
-// CheckAddresses tells whether discovery and, where it is called, the counter have addresses to go to.
+// CheckAddresses returns an error unless discovery and, if the module may call it, the counter have valid addresses.
 func (p *Platform) CheckAddresses() error {
 	for key, address := range map[string]string{"discovery": p.Discovery, "counter": p.Counter} {
 		if key == "counter" && !p.Settings.Module.Counter.Allowed {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -7,9 +7,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// CheckReload says what is wrong with settings that come with SIGHUP, naming the key and the reason. At the
-// start a key that is missing is taken as its zero; later, a file that lacks one is taken to be broken or
-// written halfway, and nothing of it is taken.
+// CheckReload checks settings that are reloaded on SIGHUP. The error names the key and the reason. At the start a
+// missing key means its zero value. On a reload a missing key is taken as a sign of a broken or partially written
+// file, and the whole file is rejected.
 func CheckReload(raw []byte) error {
 	if len(raw) == 0 || !gjson.ValidBytes(raw) {
 		return errors.New("settings: missing, or not JSON")
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// A file that is broken or written halfway is turned down, naming the key and the reason.
+// A broken or partially written file is rejected with an error that names the key and the reason.
 func TestCheckReload(t *testing.T) {
 	const good = `{"Limits":{"MaxAttempts":3},"RequestClasses":[{"Name":"move","Aim":0.2,"HardLimit":4,"Repeat":"idempotency_key"}],"Plans":[{"Name":"club"}]}`
 	if err := CheckReload([]byte(good)); err != nil {
-		t.Fatalf("a good file: %v", err)
+		t.Fatalf("valid settings were rejected: %v", err)
 	}
 	for raw, want := range map[string]string{
 		``:                 "missing, or not JSON",
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,6 @@
-// Package config reads what a gateway is told at its start: the platform's file with the settings
-// object, which the simulator's adapter shares, and the operator's file of the forward-auth front.
+// Package config reads and checks a gateway's configuration: the platform's file with the settings object, which the
+// simulator's adapter also uses, and the operator's file of the forward-auth front with its later versions. It does not
+// put anything in force: package configuration does that for versions.
 package config
 
 import (
@@ -12,7 +13,7 @@
 	"junctionring/control"
 )
 
-// The words of the settings and what they stand for.
+// String values of the settings object and the constants that they stand for.
 var (
 	repeats = map[string]control.Repeat{
 		"read_like": control.Safe, "idempotency_key": control.Keyed, "non_idempotent": control.Unsafe,
@@ -27,7 +28,7 @@
 	discoverySubscribes = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
-// Lookup looks a word of a protocol up, or says which one is not known.
+// Lookup returns the value for a key of a protocol or file. The error for an unknown key states the key and what it is.
 func Lookup[K comparable, V any](values map[K]V, key K, what string) (V, error) {
 	v, ok := values[key]
 	if !ok {
@@ -36,8 +37,8 @@
 	return v, nil
 }
 
-// section is an object of the settings. A value of the wrong type is remembered, the first one sticks:
-// a quota that was read as 0 would let everything in.
+// section is an object within the settings. The first value of a wrong type is recorded in err rather than read as
+// zero: a quota that was read as 0 would let everything in.
 type section struct {
 	path string
 	obj  gjson.Result
@@ -68,14 +69,14 @@
 	return section{s.path + key + ".", s.get(key, gjson.JSON), s.err}
 }
 
-// list calls each for the objects of an array.
+// list calls each for every element of an array.
 func (s section) list(key string, each func(section)) {
 	for i, v := range s.get(key, gjson.JSON).Array() {
 		each(section{fmt.Sprintf("%s%s[%d].", s.path, key, i), v, s.err})
 	}
 }
 
-// pick looks a word up; the first unknown one sticks.
+// lookupKey looks up the string value of a key and records the first unknown one in the section's err.
 func lookupKey[V any](s section, words map[string]V, key, what string) V {
 	v, err := Lookup(words, s.str(key), what)
 	if err != nil && *s.err == nil {
@@ -84,18 +85,18 @@
 	return v
 }
 
-// Settings is the settings object: what the module is told, and what only the network code needs.
+// Settings is the settings object: the settings of the control module and those that only the network code uses.
 type Settings struct {
 	Module         control.Settings
-	Classes        []string // names, by the module's number of the class
+	Classes        []string // class names, indexed by the module's class number
 	Plans          []string
 	Zones          []string
-	MaxUnits       float64 // of one exchange; 0: not stated
+	MaxUnits       float64 // maximum units of one exchange; 0: not stated
 	ConnIdle       control.Seconds
 	ConnectTimeout control.Seconds
 }
 
-// DecodeSettings reads the settings object. Keys it does not name are skipped.
+// DecodeSettings decodes the settings object. Unknown keys are ignored.
 func DecodeSettings(raw []byte) (Settings, error) {
 	var out Settings
 	if !gjson.ValidBytes(raw) {
@@ -104,7 +105,7 @@
 	var err error
 	top := section{"", gjson.ParseBytes(raw), &err}
 	if !top.obj.IsObject() {
-		return out, errors.New("the settings are no object")
+		return out, errors.New("the settings are not a JSON object")
 	}
 	limits, rules := top.object("Limits"), top.object("Guarantees")
 	domain, prices, load := top.object("Domain"), top.object("Deductions"), top.object("LoadInfo")
@@ -156,7 +157,7 @@
 		})
 	})
 	out.Module, out.MaxUnits = s, domain.num("UnitsTop")
-	// Where a figure is missing, a careful one: 0 would close every connection at once.
+	// Missing values get conservative defaults: 0 would close every connection at once.
 	out.ConnIdle, out.ConnectTimeout = cmp.Or(limits.num("ConnIdle"), 10), cmp.Or(limits.num("ConnectTimeout"), 0.25)
 	return out, err
 }
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -8,7 +8,7 @@
 	"junctionring/configdelta"
 )
 
-// sizedBase is the operator's file of a gateway that takes documents of any size.
+// sizedBase is the operator's file of the gateway that reads the documents of sizedDocument.
 const sizedBase = `listen = "127.0.0.1:0"
 redis = {address = "127.0.0.1:1"}
 trusted_proxies = ["127.0.0.0/8"]
@@ -17,8 +17,8 @@
 plan = [{name = "club", rate = 50.0, burst = 100.0, worth = 1.0}]
 `
 
-// sizedDocument is a version's document with so many routes and targets, each over several lines as operators
-// write them.
+// sizedDocument returns a version's document with the given numbers of routes and targets, each written over several
+// lines as operators write them.
 func sizedDocument(routes, targets int) string {
 	var b strings.Builder
 	b.WriteString("trusted_proxies = [\"127.0.0.0/8\"]\n")
@@ -42,7 +42,7 @@
 	return base
 }
 
-// BenchmarkReadVersion is what one whole version costs a gateway: decoded, checked and compiled.
+// BenchmarkReadVersion measures decoding, checking and compiling one whole version.
 func BenchmarkReadVersion(b *testing.B) {
 	base := readSizedBase(b)
 	for _, size := range []struct{ routes, targets int }{{100, 60}, {1000, 600}, {5000, 2900}, {23000, 13000}} {
@@ -59,7 +59,7 @@
 	}
 }
 
-// withParts is a document as a stream of increments hands it over.
+// withParts returns a document divided into parts, as a stream of increments delivers it.
 func withParts(tb testing.TB, document string) string {
 	tb.Helper()
 	parts, err := configdelta.Partition(document, configdelta.State{})
@@ -73,7 +73,7 @@
 	return string(state.Document())
 }
 
-// BenchmarkReadChangedVersion is what a version costs a gateway that differs in one route from the one before.
+// BenchmarkReadChangedVersion measures reading a version that differs in one route from the previous one.
 func BenchmarkReadChangedVersion(b *testing.B) {
 	base := readSizedBase(b)
 	for _, size := range []struct{ routes, targets int }{{100, 60}, {1000, 600}, {5000, 2900}, {23000, 13000}} {
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -9,8 +9,8 @@
 	"junctionring/control"
 )
 
-// fixed are the parts of a document that can't change while a gateway serves, with the reason that its operator
-// is told. A version may leave them out; what it says must be what the gateway was started with.
+// immutableSettings are the parts of a document that can't change while a gateway serves, with the reason given to the
+// operator. A version may omit them; if present, they must equal those that the gateway was started with.
 var immutableSettings = []struct {
 	key, why string
 	part     func(o *Operator) any
@@ -29,18 +29,19 @@
 	{"versions", "it says where versions come from", func(o *Operator) any { return &o.Versions }},
 }
 
-// ReadVersion reads a version's document for a gateway that was started with base. It returns all that is wrong.
+// ReadVersion reads and checks a version's document for a gateway that was started with base. It returns all faults.
 func ReadVersion(text []byte, base *Operator) (*Operator, []error) {
 	return readVersion(base, func(o *Operator) []error { return o.read(text) })
 }
 
-// readVersion has a document decoded and checked over what it may leave out, and looks for what can't change.
+// readVersion calls decodeAndCheck with an Operator that holds the defaults and the immutable settings of base, then
+// adds a fault for each immutable setting that differs from base.
 func readVersion(base *Operator, decodeAndCheck func(*Operator) []error) (*Operator, []error) {
 	o := defaultOperator()
 	for _, f := range immutableSettings {
 		copyValue(f.part(o), f.part(base))
 	}
-	o.Sites = nil // a list is read into: it must not be the base's own
+	o.Sites = nil // decoding writes into an existing slice, which must not be that of base
 	faults := decodeAndCheck(o)
 	if o.Sites == nil {
 		o.Sites = base.Sites
@@ -57,7 +58,8 @@
 
 func copyValue(to, from any) { reflect.ValueOf(to).Elem().Set(reflect.ValueOf(from).Elem()) }
 
-// planKey names a plan's counts: another rate or burst is another count, since windows are cut by them.
+// planKey returns the key under which a plan's use is counted. It depends on rate and burst, since the counting windows
+// are derived from them.
 func planKey(p PlanSettings) uint64 {
 	h := fnv.New64a()
 	for _, part := range []string{p.Name, strconv.FormatFloat(p.Rate, 'g', -1, 64), strconv.FormatFloat(p.Burst, 'g', -1, 64)} {
@@ -67,15 +69,15 @@
 	return h.Sum64() | 1
 }
 
-// SetPlanKeys gives the plans their keys, alike at all gateways, whatever versions each has seen.
+// SetPlanKeys sets the keys of the plans. They are the same at all gateways, whichever versions each has seen.
 func (o *Operator) SetPlanKeys() {
 	for i := range o.Module.Plans {
 		o.Module.Plans[i].Key = planKey(o.Plans[i])
 	}
 }
 
-// Slots gives the classes and plans of versions their numbers in the core: one that goes on as it was keeps its
-// number, another gets one that no version in use has. Numbers mean the same for as long as anybody uses them.
+// Slots assigns numbers in the core to the classes and plans of versions. An unchanged class or plan keeps its number;
+// a new or changed one gets a number that no version in use has. A number keeps its meaning as long as it is in use.
 type Slots struct {
 	Classes    []control.Class
 	ClassNames []string
@@ -83,8 +85,9 @@
 	PlanNames  []string
 }
 
-// Assign numbers a version's classes and plans; used tells which numbers must stay as they are. from is, for each
-// class number, the one whose learned times it begins with.
+// Assign assigns numbers to a version's classes and plans. usedClass and usedPlan report whether a number is in use and
+// must not be reassigned. For each class number, inheritFrom is the number of the class whose learned times it starts
+// with, or -1.
 func (s *Slots) Assign(o *Operator, usedClass, usedPlan func(int) bool) (classes, plans, inheritFrom []int) {
 	inheritFrom = make([]int, len(s.Classes))
 	for i := range inheritFrom {
@@ -136,6 +139,7 @@
 	return classes, plans, inheritFrom
 }
 
+// firstFree returns the first number below n that is not used, or n.
 func firstFree(n int, used func(int) bool) int {
 	for i := range n {
 		if !used(i) {
--- a/internal/config/version_test.go
+++ b/internal/config/version_test.go
@@ -44,37 +44,37 @@
 		}
 	}
 	if len(b.Sites) != 2 || b.Sites[0].Name != "east" {
-		t.Error("a version changed what the gateway was started with")
+		t.Error("reading a version changed the sites of the base")
 	}
 }
 
-// A class or plan that goes on keeps its number; a changed one gets another while the old one is in use, and its
-// learned times; numbers are used again.
+// An unchanged class or plan keeps its number. A changed one gets another number while the old one is in use, and a
+// class inherits the learned times. Numbers that are no longer in use are reused.
 func TestSlots(t *testing.T) {
 	var s Slots
 	never, always := func(int) bool { return false }, func(int) bool { return true }
 	b := loadBase(t)
 	c, p, _ := s.Assign(b, always, always)
 	if len(c) != 1 || c[0] != 0 || p[0] != 0 {
-		t.Fatalf("first %v %v", c, p)
+		t.Fatalf("first version: classes %v, plans %v, want number 0 for each", c, p)
 	}
 	changed := loadBase(t)
 	changed.Module.Classes[0].Aim, changed.Module.Plans[0].Rate = 0.5, 2
 	c, p, from := s.Assign(changed, always, always)
 	if c[0] != 1 || p[0] != 1 || from[1] != 0 || from[0] != 0 {
-		t.Errorf("changed: %v %v, from %v", c, p, from)
+		t.Errorf("changed version: classes %v, plans %v, learned times from %v", c, p, from)
 	}
 	if c, p, _ = s.Assign(b, always, always); c[0] != 0 || p[0] != 0 {
-		t.Errorf("back: %v %v", c, p)
+		t.Errorf("first version again: classes %v, plans %v, want number 0 for each", c, p)
 	}
 	third := loadBase(t)
 	third.Module.Classes[0].Aim = 0.7
 	if c, _, from = s.Assign(third, never, never); c[0] != 0 || len(s.Classes) != 2 || from[0] != 1 && from[0] != 0 {
-		t.Errorf("used again: %v, from %v", c, from)
+		t.Errorf("number to be reused: classes %v, learned times from %v", c, from)
 	}
 }
 
-// Whatever a document holds, it is read whole or turned down with words, and never changes the base.
+// Any document is either accepted with valid module settings or rejected with faults, and never changes the base.
 func FuzzReadVersion(f *testing.F) {
 	f.Add(validOperatorFile)
 	f.Add(versionDocument + "route = [{path = \"/a/*\", class = \"move-submit\"}]\n")
@@ -84,11 +84,11 @@
 		o, faults := ReadVersion([]byte(text), b)
 		if len(faults) == 0 {
 			if err := o.Module.Check(); err != nil {
-				t.Errorf("taken, though %v", err)
+				t.Errorf("document accepted with invalid module settings: %v", err)
 			}
 		}
 		if b.Sites[0].Name != "east" || len(b.Module.Plans) != 1 {
-			t.Error("the base changed")
+			t.Error("reading a version changed the base")
 		}
 	})
 }
