--- a/internal/config/parts_test.go
+++ b/internal/config/parts_test.go
@@ -11,8 +11,8 @@
 	"junctionring/configdelta"
 )
 
-// mustReadAlike reads a document by its parts and as one, and fails where the two differ.
-func mustReadAlike(t interface {
+// requireSameResult reads a document by parts and as a whole, and fails the test if the results differ.
+func requireSameResult(t interface {
 	Helper()
 	Fatalf(string, ...any)
 }, reader *VersionReader, document string) {
@@ -21,12 +21,12 @@
 	got, faults := reader.Read([]byte(document))
 	if errors.Join(faults...) != nil || errors.Join(wholeFaults...) != nil {
 		if a, b := errors.Join(faults...), errors.Join(wholeFaults...); a == nil || b == nil || a.Error() != b.Error() {
-			t.Fatalf("by parts: %v\nas one: %v", a, b)
+			t.Fatalf("faults when read by parts: %v\nfaults when read as a whole: %v", a, b)
 		}
 		return
 	}
 	if !reflect.DeepEqual(got, whole) {
-		t.Fatalf("by parts another outcome than as one, for\n%s", document)
+		t.Fatalf("reading by parts and as a whole gave different results for\n%s", document)
 	}
 }
 
@@ -52,9 +52,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			reader := NewVersionReader(base)
-			mustReadAlike(t, reader, withParts(t, good))
-			mustReadAlike(t, reader, withParts(t, text))
-			mustReadAlike(t, reader, withParts(t, good))
+			requireSameResult(t, reader, withParts(t, good))
+			requireSameResult(t, reader, withParts(t, text))
+			requireSameResult(t, reader, withParts(t, good))
 		})
 	}
 	for name, text := range map[string]string{
@@ -64,7 +64,7 @@
 		"without parts": good,
 		"parts swapped": "#increments 1 epoch=1\n#part b\n[[route]]\npath = \"/x\"\n#part a\n[[route]]\npath = \"/y\"\n",
 	} {
-		t.Run(name, func(t *testing.T) { mustReadAlike(t, NewVersionReader(base), text) })
+		t.Run(name, func(t *testing.T) { requireSameResult(t, NewVersionReader(base), text) })
 	}
 }
 
@@ -86,7 +86,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			mustReadAlike(t, reader, string(state.Document()))
+			requireSameResult(t, reader, string(state.Document()))
 		}
 	})
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,6 @@
-// Package config reads what a gateway is told at its start: the platform's file with the settings
-// object, which the simulator's adapter shares, and the operator's file of the forward-auth front.
+// Package config reads and checks a gateway's configuration: the platform's file with the settings object, which the
+// simulator's adapter also uses, and the operator's file of the forward-auth front with its later versions. It does not
+// put anything in force: package configuration does that for versions.
 package config
 
 import (
@@ -12,7 +13,7 @@
 	"junctionring/control"
 )
 
-// The words of the settings and what they stand for.
+// String values of the settings object and the constants that they stand for.
 var (
 	repeats = map[string]control.Repeat{
 		"read_like": control.Safe, "idempotency_key": control.Keyed, "non_idempotent": control.Unsafe,
@@ -20,26 +21,26 @@
 	groups = map[string]control.Group{
 		"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone, "cell": control.GroupCell,
 	}
-	vias = map[string]control.LoadVia{
+	loadSources = map[string]control.LoadVia{
 		"": control.LoadNone, "none": control.LoadNone,
 		"answers": control.LoadInAnswers, "probe": control.LoadInProbes,
 	}
-	discoveries = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	discoverySubscribes = map[string]bool{"": false, "automatic": false, "subscribe": true}
 )
 
-// Word looks a word of a protocol up, or says which one is not known.
-func Word[K comparable, V any](words map[K]V, key K, what string) (V, error) {
-	v, ok := words[key]
+// Lookup returns the value for a key of a protocol or file. The error for an unknown key states the key and what it is.
+func Lookup[K comparable, V any](values map[K]V, key K, what string) (V, error) {
+	v, ok := values[key]
 	if !ok {
 		return v, fmt.Errorf("%s %v is not known", what, key)
 	}
 	return v, nil
 }
 
-// section is an object of the settings. A value of the wrong type is remembered, the first one sticks:
-// a quota that was read as 0 would let everything in.
+// section is an object within the settings. The first value of a wrong type is recorded in err rather than read as
+// zero: a quota that was read as 0 would let everything in.
 type section struct {
-	name string
+	path string
 	obj  gjson.Result
 	err  *error
 }
@@ -55,7 +56,7 @@
 		}
 	}
 	if *s.err == nil {
-		*s.err = fmt.Errorf("%s%s: %s is of the wrong type", s.name, key, v.Raw)
+		*s.err = fmt.Errorf("%s%s: %s is of the wrong type", s.path, key, v.Raw)
 	}
 	return gjson.Result{}
 }
@@ -64,38 +65,38 @@
 func (s section) int(key string) int     { return int(s.get(key, gjson.Number).Int()) }
 func (s section) str(key string) string  { return s.get(key, gjson.String).String() }
 func (s section) bool(key string) bool   { return s.get(key, gjson.True, gjson.False).Bool() }
-func (s section) in(key string) section {
-	return section{s.name + key + ".", s.get(key, gjson.JSON), s.err}
+func (s section) object(key string) section {
+	return section{s.path + key + ".", s.get(key, gjson.JSON), s.err}
 }
 
-// list calls each for the objects of an array.
+// list calls each for every element of an array.
 func (s section) list(key string, each func(section)) {
 	for i, v := range s.get(key, gjson.JSON).Array() {
-		each(section{fmt.Sprintf("%s%s[%d].", s.name, key, i), v, s.err})
+		each(section{fmt.Sprintf("%s%s[%d].", s.path, key, i), v, s.err})
 	}
 }
 
-// pick looks a word up; the first unknown one sticks.
-func pick[V any](s section, words map[string]V, key, what string) V {
-	v, err := Word(words, s.str(key), what)
+// lookupKey looks up the string value of a key and records the first unknown one in the section's err.
+func lookupKey[V any](s section, words map[string]V, key, what string) V {
+	v, err := Lookup(words, s.str(key), what)
 	if err != nil && *s.err == nil {
 		*s.err = err
 	}
 	return v
 }
 
-// Settings is the settings object: what the module is told, and what only the network code needs.
+// Settings is the settings object: the settings of the control module and those that only the network code uses.
 type Settings struct {
 	Module         control.Settings
-	Classes        []string // names, by the module's number of the class
+	Classes        []string // class names, indexed by the module's class number
 	Plans          []string
 	Zones          []string
-	MaxUnits       float64 // of one exchange; 0: not stated
+	MaxUnits       float64 // maximum units of one exchange; 0: not stated
 	ConnIdle       control.Seconds
 	ConnectTimeout control.Seconds
 }
 
-// DecodeSettings reads the settings object. Keys it does not name are skipped.
+// DecodeSettings decodes the settings object. Unknown keys are ignored.
 func DecodeSettings(raw []byte) (Settings, error) {
 	var out Settings
 	if !gjson.ValidBytes(raw) {
@@ -104,14 +105,14 @@
 	var err error
 	top := section{"", gjson.ParseBytes(raw), &err}
 	if !top.obj.IsObject() {
-		return out, errors.New("the settings are no object")
+		return out, errors.New("the settings are not a JSON object")
 	}
-	limits, rules := top.in("Limits"), top.in("Guarantees")
-	domain, prices, load := top.in("Domain"), top.in("Deductions"), top.in("LoadInfo")
+	limits, rules := top.object("Limits"), top.object("Guarantees")
+	domain, prices, load := top.object("Domain"), top.object("Deductions"), top.object("LoadInfo")
 	s := control.Settings{
 		Ordinal: top.int("Ordinal"), Gateways: top.int("Balancers"), Zone: top.int("Zone"),
-		Subscribe: pick(top, discoveries, "Discovery", "discovery"),
-		LoadFrom:  pick(load, vias, "Via", "load report source"),
+		Subscribe: lookupKey(top, discoverySubscribes, "Discovery", "discovery"),
+		LoadFrom:  lookupKey(load, loadSources, "Via", "load report source"),
 		Meter:     domain.num("MeterPeriod"),
 		Limits: control.Limits{
 			MaxAttempts: limits.int("MaxAttempts"), SecondCopies: limits.bool("SecondCopies"),
@@ -143,7 +144,7 @@
 		out.Classes = append(out.Classes, c.str("Name"))
 		s.Classes = append(s.Classes, control.Class{
 			Aim: c.num("Aim"), Deadline: c.num("HardLimit"), Worth: c.num("Worth"), LateWorth: c.num("LateWorth"),
-			Repeat: pick(c, repeats, "Repeat", "repeat"), Group: pick(c, groups, "Group", "group"),
+			Repeat: lookupKey(c, repeats, "Repeat", "repeat"), Group: lookupKey(c, groups, "Group", "group"),
 			Window: c.num("Window"), Stream: c.bool("Stream"),
 		})
 	})
@@ -156,7 +157,7 @@
 		})
 	})
 	out.Module, out.MaxUnits = s, domain.num("UnitsTop")
-	// Where a figure is missing, a careful one: 0 would close every connection at once.
+	// Missing values get conservative defaults: 0 would close every connection at once.
 	out.ConnIdle, out.ConnectTimeout = cmp.Or(limits.num("ConnIdle"), 10), cmp.Or(limits.num("ConnectTimeout"), 0.25)
 	return out, err
 }
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -9,9 +9,9 @@
 	"junctionring/control"
 )
 
-// fixed are the parts of a document that can't change while a gateway serves, with the reason that its operator
-// is told. A version may leave them out; what it says must be what the gateway was started with.
-var fixed = []struct {
+// immutableSettings are the parts of a document that can't change while a gateway serves, with the reason given to the
+// operator. A version may omit them; if present, they must equal those that the gateway was started with.
+var immutableSettings = []struct {
 	key, why string
 	part     func(o *Operator) any
 }{
@@ -29,35 +29,37 @@
 	{"versions", "it says where versions come from", func(o *Operator) any { return &o.Versions }},
 }
 
-// ReadVersion reads a version's document for a gateway that was started with base. It returns all that is wrong.
+// ReadVersion reads and checks a version's document for a gateway that was started with base. It returns all faults.
 func ReadVersion(text []byte, base *Operator) (*Operator, []error) {
 	return readVersion(base, func(o *Operator) []error { return o.read(text) })
 }
 
-// readVersion has a document decoded and checked over what it may leave out, and looks for what can't change.
+// readVersion calls decodeAndCheck with an Operator that holds the defaults and the immutable settings of base, then
+// adds a fault for each immutable setting that differs from base.
 func readVersion(base *Operator, decodeAndCheck func(*Operator) []error) (*Operator, []error) {
-	o := withDefaults()
-	for _, f := range fixed {
-		set(f.part(o), f.part(base))
+	o := defaultOperator()
+	for _, f := range immutableSettings {
+		copyValue(f.part(o), f.part(base))
 	}
-	o.Sites = nil // a list is read into: it must not be the base's own
+	o.Sites = nil // decoding writes into an existing slice, which must not be that of base
 	faults := decodeAndCheck(o)
 	if o.Sites == nil {
 		o.Sites = base.Sites
-		o.Module.Site, o.Module.Sites, o.Module.SiteGateways, o.Far = base.Module.Site, base.Module.Sites, base.Module.SiteGateways, base.Far
+		o.Module.Site, o.Module.Sites, o.Module.SiteGateways, o.SitesModule = base.Module.Site, base.Module.Sites, base.Module.SiteGateways, base.SitesModule
 	}
-	for _, f := range fixed {
+	for _, f := range immutableSettings {
 		if !reflect.DeepEqual(f.part(o), f.part(base)) {
 			faults = append(faults, fmt.Errorf("%s can't change while the gateway serves: %s", f.key, f.why))
 		}
 	}
-	o.KeyPlans()
+	o.SetPlanKeys()
 	return o, faults
 }
 
-func set(to, from any) { reflect.ValueOf(to).Elem().Set(reflect.ValueOf(from).Elem()) }
+func copyValue(to, from any) { reflect.ValueOf(to).Elem().Set(reflect.ValueOf(from).Elem()) }
 
-// planKey names a plan's counts: another rate or burst is another count, since windows are cut by them.
+// planKey returns the key under which a plan's use is counted. It depends on rate and burst, since the counting windows
+// are derived from them.
 func planKey(p PlanSettings) uint64 {
 	h := fnv.New64a()
 	for _, part := range []string{p.Name, strconv.FormatFloat(p.Rate, 'g', -1, 64), strconv.FormatFloat(p.Burst, 'g', -1, 64)} {
@@ -67,15 +69,15 @@
 	return h.Sum64() | 1
 }
 
-// KeyPlans gives the plans their keys, alike at all gateways, whatever versions each has seen.
-func (o *Operator) KeyPlans() {
+// SetPlanKeys sets the keys of the plans. They are the same at all gateways, whichever versions each has seen.
+func (o *Operator) SetPlanKeys() {
 	for i := range o.Module.Plans {
 		o.Module.Plans[i].Key = planKey(o.Plans[i])
 	}
 }
 
-// Slots gives the classes and plans of versions their numbers in the core: one that goes on as it was keeps its
-// number, another gets one that no version in use has. Numbers mean the same for as long as anybody uses them.
+// Slots assigns numbers in the core to the classes and plans of versions. An unchanged class or plan keeps its number;
+// a new or changed one gets a number that no version in use has. A number keeps its meaning as long as it is in use.
 type Slots struct {
 	Classes    []control.Class
 	ClassNames []string
@@ -83,32 +85,33 @@
 	PlanNames  []string
 }
 
-// Take numbers a version's classes and plans; used tells which numbers must stay as they are. from is, for each
-// class number, the one whose learned times it begins with.
-func (s *Slots) Take(o *Operator, usedClass, usedPlan func(int) bool) (classes, plans, from []int) {
-	from = make([]int, len(s.Classes))
-	for i := range from {
-		from[i] = i
+// Assign assigns numbers to a version's classes and plans. usedClass and usedPlan report whether a number is in use and
+// must not be reassigned. For each class number, inheritFrom is the number of the class whose learned times it starts
+// with, or -1.
+func (s *Slots) Assign(o *Operator, usedClass, usedPlan func(int) bool) (classes, plans, inheritFrom []int) {
+	inheritFrom = make([]int, len(s.Classes))
+	for i := range inheritFrom {
+		inheritFrom[i] = i
 	}
 	taken := map[int]bool{}
 	for i, c := range o.Module.Classes {
-		name, slot, kin := o.Classes[i].Name, -1, -1
+		name, slot, sameName := o.Classes[i].Name, -1, -1
 		for n := range s.Classes {
 			if s.ClassNames[n] != name {
 				continue
 			}
-			kin = n
+			sameName = n
 			if s.Classes[n] == c {
 				slot = n
 				break
 			}
 		}
 		if slot < 0 {
-			slot = free(len(s.Classes), func(n int) bool { return taken[n] || usedClass(n) })
+			slot = firstFree(len(s.Classes), func(n int) bool { return taken[n] || usedClass(n) })
 			if slot == len(s.Classes) {
-				s.Classes, s.ClassNames, from = append(s.Classes, c), append(s.ClassNames, name), append(from, kin)
+				s.Classes, s.ClassNames, inheritFrom = append(s.Classes, c), append(s.ClassNames, name), append(inheritFrom, sameName)
 			} else {
-				s.Classes[slot], s.ClassNames[slot], from[slot] = c, name, kin
+				s.Classes[slot], s.ClassNames[slot], inheritFrom[slot] = c, name, sameName
 			}
 		}
 		taken[slot] = true
@@ -123,7 +126,7 @@
 			}
 		}
 		if slot < 0 {
-			slot = free(len(s.Plans), func(n int) bool { return taken[n] || usedPlan(n) })
+			slot = firstFree(len(s.Plans), func(n int) bool { return taken[n] || usedPlan(n) })
 			if slot == len(s.Plans) {
 				s.Plans, s.PlanNames = append(s.Plans, p), append(s.PlanNames, o.Plans[i].Name)
 			} else {
@@ -133,10 +136,11 @@
 		taken[slot] = true
 		plans = append(plans, slot)
 	}
-	return classes, plans, from
+	return classes, plans, inheritFrom
 }
 
-func free(n int, used func(int) bool) int {
+// firstFree returns the first number below n that is not used, or n.
+func firstFree(n int, used func(int) bool) int {
 	for i := range n {
 		if !used(i) {
 			return i
