--- a/internal/leaseholder/ask.go
+++ b/internal/leaseholder/ask.go
@@ -25,10 +25,10 @@
 	Via          map[string]string // where to dial for an address; others are dialled as they are
 	Try          time.Duration     // for one coordinator's answer before the next is asked; 5 s where it is 0
 
-	mu     sync.Mutex
-	conns  map[string]*grpc.ClientConn
-	leader string
-	turn   int
+	mu        sync.Mutex
+	conns     map[string]*grpc.ClientConn
+	leader    string
+	nextIndex int
 }
 
 // NewGroup is a way to some coordinators, each dialled at its address.
@@ -45,30 +45,30 @@
 }
 
 // next is the coordinator to ask now: the one that led last, else each in turn.
-func (g *Group) next() (address string, c *grpc.ClientConn, err error) {
+func (g *Group) nextCoordinator() (address string, conn *grpc.ClientConn, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if address = g.leader; address == "" {
 		if len(g.Coordinators) == 0 {
 			return "", nil, errors.New("no coordinator is named")
 		}
-		address = g.Coordinators[g.turn%len(g.Coordinators)]
-		g.turn++
+		address = g.Coordinators[g.nextIndex%len(g.Coordinators)]
+		g.nextIndex++
 	}
-	if c = g.conns[address]; c == nil {
-		if c, err = leasepb.Dial(cmp.Or(g.Via[address], address)); err != nil {
+	if conn = g.conns[address]; conn == nil {
+		if conn, err = leasepb.Dial(cmp.Or(g.Via[address], address)); err != nil {
 			return "", nil, err
 		}
 		if g.conns == nil {
 			g.conns = map[string]*grpc.ClientConn{}
 		}
-		g.conns[address] = c
+		g.conns[address] = conn
 	}
-	return address, c, nil
+	return address, conn, nil
 }
 
 // led notes who leads; empty: nobody known.
-func (g *Group) led(address string) {
+func (g *Group) setLeader(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leader = address
@@ -76,27 +76,27 @@
 
 // Ask makes one call at whichever coordinator leads, as long as ctx lasts.
 func Ask[T any](ctx context.Context, g *Group, call func(context.Context, leasepb.LeasesClient) (T, error)) (T, error) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstPause, longPause
-	var last error
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval, retryDelay.MaxInterval = minBackoff, maxBackoff
+	var lastErr error
 	t, err := backoff.Retry(ctx, func() (t T, err error) {
-		address, conn, err := g.next()
+		address, conn, err := g.nextCoordinator()
 		if err != nil {
 			return t, backoff.Permanent(err)
 		}
-		one, done := context.WithTimeout(ctx, cmp.Or(g.Try, 5*time.Second))
-		defer done()
+		callCtx, cancel := context.WithTimeout(ctx, cmp.Or(g.Try, 5*time.Second))
+		defer cancel()
 		var trailer metadata.MD
-		t, err = call(withTrailer(one, &trailer), leasepb.NewLeasesClient(conn))
+		t, err = call(withTrailer(callCtx, &trailer), leasepb.NewLeasesClient(conn))
 		leader := trailer.Get("leader")
 		switch code := status.Code(err); {
 		case code == codes.OK:
-			g.led(address)
+			g.setLeader(address)
 			return t, nil
 		case len(leader) == 1 && leader[0] != address:
-			g.led(leader[0])
+			g.setLeader(leader[0])
 		case code != codes.ResourceExhausted:
-			g.led("")
+			g.setLeader("")
 		}
 		switch status.Code(err) {
 		case codes.Unavailable, codes.DeadlineExceeded, codes.ResourceExhausted:
@@ -107,11 +107,11 @@
 		default:
 			return t, backoff.Permanent(errors.New(status.Convert(err).Message()))
 		}
-		last = fmt.Errorf("%s: %s", address, status.Convert(err).Message())
-		return t, last
-	}, backoff.WithBackOff(pause))
-	if err != nil && ctx.Err() != nil && last != nil {
-		err = fmt.Errorf("no coordinator answered in time; the last one tried: %w", last)
+		lastErr = fmt.Errorf("%s: %s", address, status.Convert(err).Message())
+		return t, lastErr
+	}, backoff.WithBackOff(retryDelay))
+	if err != nil && ctx.Err() != nil && lastErr != nil {
+		err = fmt.Errorf("no coordinator answered in time; the last one tried: %w", lastErr)
 	}
 	return t, err
 }
@@ -132,21 +132,21 @@
 
 // Backup fetches a whole backup of what the group keeps.
 func Backup(ctx context.Context, g *Group) ([]byte, error) {
-	return Ask(ctx, g, func(ctx context.Context, to leasepb.LeasesClient) ([]byte, error) {
-		s, err := to.Backup(ctx, &leasepb.BackupAsk{}, Trailer(ctx))
+	return Ask(ctx, g, func(ctx context.Context, client leasepb.LeasesClient) ([]byte, error) {
+		stream, err := client.Backup(ctx, &leasepb.BackupAsk{}, Trailer(ctx))
 		if err != nil {
 			return nil, err
 		}
-		var all []byte
+		var data []byte
 		for {
-			p, err := s.Recv()
+			part, err := stream.Recv()
 			if err == io.EOF {
-				return all, nil
+				return data, nil
 			}
 			if err != nil {
 				return nil, err
 			}
-			all = append(all, p.Data...)
+			data = append(data, part.Data...)
 		}
 	})
 }
--- a/internal/leaseholder/client.go
+++ b/internal/leaseholder/client.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	lookEvery  = 50 * time.Millisecond // at the clock
-	firstPause = 50 * time.Millisecond // before the next coordinator is tried, doubled with jitter
-	longPause  = 2 * time.Second
-	openWait   = 2 * time.Second // for the first answer of a coordinator
-	mailbox    = 256
+	clockCheckInterval = 50 * time.Millisecond // at the clock
+	minBackoff         = 50 * time.Millisecond // before the next coordinator is tried, doubled with jitter
+	maxBackoff         = 2 * time.Second
+	firstAnswerTimeout = 2 * time.Second // for the first answer of a coordinator
+	mailboxSize        = 256
 
-	electionLooks = 40 // in a life, at coordinators that know no leader yet; with jitter half as many
+	electionRetries = 40 // in a life, at coordinators that know no leader yet; with jitter half as many
 )
 
 // Options start a client.
@@ -41,45 +41,45 @@
 	Log          *slog.Logger
 }
 
-// ErrOver says that the client was closed, or that the coordinators turn its session down for good.
-var ErrOver = errors.New("the lease client is closed")
+// ErrClosed says that the client was closed, or that the coordinators turn its session down for good.
+var ErrClosed = errors.New("the lease client is closed")
 
 // Client keeps one session, and a new one when that is lost.
 type Client struct {
-	o     Options
-	rules lease.Timing
-	clock func() time.Duration
-	wall  func() time.Duration
-	ask   chan any
-	ended chan struct{}
-	close context.CancelFunc
+	options   Options
+	timing    lease.Timing
+	clock     func() time.Duration
+	wallClock func() time.Duration
+	mailbox   chan any
+	ended     chan struct{}
+	cancel    context.CancelFunc
 
 	// the actor's own
-	h       *lease.Holder
-	session string
-	stream  *connection
-	leases  map[string]*Lease
-	turn    int
-	leader  string
-	pause   *backoff.ExponentialBackOff
-	retry   <-chan time.Time // when the next coordinator is tried
-	resend  <-chan time.Time // when the first ask is sent again
-	asked   uint64           // the ask that is out on this stream
-	closing chan struct{}
-	fault   error  // why it ended; read once ended is closed
-	renewal uint64 // the newest, and when it was sent
-	sent    time.Duration
+	holder        *lease.Holder
+	session       string
+	stream        *connection
+	leases        map[string]*Lease
+	nextIndex     int
+	leader        string
+	backoff       *backoff.ExponentialBackOff
+	retry         <-chan time.Time // when the next coordinator is tried
+	resend        <-chan time.Time // when the first ask is sent again
+	sentSeq       uint64           // the ask that is out on this stream
+	closing       chan struct{}
+	endErr        error  // why it ended; read once ended is closed
+	lastRenewal   uint64 // the newest, and when it was sent
+	lastRenewalAt time.Duration
 }
 
 // messages to the actor
 type (
-	acquire struct{ l *Lease }
-	release struct {
-		l    *Lease
-		done chan struct{}
+	acquireRequest struct{ lease *Lease }
+	releaseRequest struct {
+		lease *Lease
+		done  chan struct{}
 	}
-	report  struct{ m lease.Member }
-	closing struct{ done chan struct{} }
+	reportRequest struct{ member lease.Member }
+	closeRequest  struct{ done chan struct{} }
 )
 
 // Start begins a session. It goes on until ctx ends or Close is called.
@@ -99,91 +99,93 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	c := &Client{o: o, clock: o.Clock, ask: make(chan any, mailbox), ended: make(chan struct{}), leases: map[string]*Lease{},
-		rules: lease.Timing{TTL: o.Life, Drift: o.Drift, Margin: o.Margin, MaxPause: o.Life / 2, MaxClockJump: o.Life / 4},
-		pause: backoff.NewExponentialBackOff(), turn: rand.IntN(len(o.Coordinators))}
-	if c.rules.Validity() < o.Life/4 {
-		return nil, fmt.Errorf("life %v with a margin of %v and a drift of %g leaves %v to act in", o.Life, o.Margin, o.Drift, c.rules.Validity())
+	c := &Client{options: o, clock: o.Clock, mailbox: make(chan any, mailboxSize), ended: make(chan struct{}), leases: map[string]*Lease{},
+		timing:  lease.Timing{TTL: o.Life, Drift: o.Drift, Margin: o.Margin, MaxPause: o.Life / 2, MaxClockJump: o.Life / 4},
+		backoff: backoff.NewExponentialBackOff(), nextIndex: rand.IntN(len(o.Coordinators))}
+	if c.timing.Validity() < o.Life/4 {
+		return nil, fmt.Errorf("life %v with a margin of %v and a drift of %g leaves %v to act in", o.Life, o.Margin, o.Drift, c.timing.Validity())
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	if c.clock == nil {
-		c.clock = func() time.Duration { return time.Since(begun) }
+		c.clock = func() time.Duration { return time.Since(startedAt) }
 	}
-	c.wall = func() time.Duration { return time.Duration(time.Now().UnixNano()) }
-	c.pause.InitialInterval, c.pause.MaxInterval = firstPause, longPause
-	ctx, c.close = context.WithCancel(ctx)
+	c.wallClock = func() time.Duration { return time.Duration(time.Now().UnixNano()) }
+	c.backoff.InitialInterval, c.backoff.MaxInterval = minBackoff, maxBackoff
+	ctx, c.cancel = context.WithCancel(ctx)
 	go c.run(ctx)
 	return c, nil
 }
 
 // Acquire asks for a lease and waits until this process has it. The ask stands until Release, or until ctx ends.
 func (c *Client) Acquire(ctx context.Context, name string) (*Lease, error) {
-	l := &Lease{Name: name, c: c, got: make(chan struct{}), lost: make(chan struct{})}
-	if err := c.tell(ctx, acquire{l}); err != nil {
+	l := &Lease{Name: name, client: c, granted: make(chan struct{}), lost: make(chan struct{})}
+	if err := c.submit(ctx, acquireRequest{l}); err != nil {
 		return nil, err
 	}
 	select {
-	case <-l.got:
+	case <-l.granted:
 		return l, nil
 	case <-l.lost: // another ask of this process for the same name, or the client's end
 		select {
 		case <-c.ended:
-			return nil, c.over()
+			return nil, c.endError()
 		default:
 		}
 		return nil, fmt.Errorf("lease %s: %s", name, l.cause)
 	case <-ctx.Done():
-		c.tell(context.Background(), release{l, nil})
+		c.submit(context.Background(), releaseRequest{l, nil})
 		return nil, ctx.Err()
 	case <-c.ended:
-		return nil, c.over()
+		return nil, c.endError()
 	}
 }
 
-func (c *Client) over() error { return cmp.Or(c.fault, ErrOver) }
+func (c *Client) endError() error { return cmp.Or(c.endErr, ErrClosed) }
 
 // Report tells the fleet how this member is.
-func (c *Client) Report(ctx context.Context, m lease.Member) error { return c.tell(ctx, report{m}) }
+func (c *Client) Report(ctx context.Context, m lease.Member) error {
+	return c.submit(ctx, reportRequest{m})
+}
 
 // Close ends the session: what it holds is free at once for others. Nothing may be done under it from the call on.
 func (c *Client) Close(ctx context.Context) {
 	done := make(chan struct{})
-	if c.tell(ctx, closing{done}) == nil {
+	if c.submit(ctx, closeRequest{done}) == nil {
 		select {
 		case <-done:
 		case <-ctx.Done():
 		case <-c.ended:
 		}
 	}
-	c.close()
+	c.cancel()
 	<-c.ended
 }
 
-func (c *Client) tell(ctx context.Context, m any) error {
+func (c *Client) submit(ctx context.Context, request any) error {
 	select {
-	case c.ask <- m:
+	case c.mailbox <- request:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-c.ended:
-		return c.over()
+		return c.endError()
 	}
 }
 
 // run is the actor.
 func (c *Client) run(ctx context.Context) {
-	look := time.NewTicker(lookEvery)
-	renew := time.NewTicker(c.o.Life / 5)
+	clockTicker := time.NewTicker(clockCheckInterval)
+	renewTicker := time.NewTicker(c.options.Life / 5)
 	defer func() {
-		look.Stop()
-		renew.Stop()
-		c.hangUp()
+		clockTicker.Stop()
+		renewTicker.Stop()
+		c.disconnect()
 		close(c.ended)
 		for _, l := range c.leases {
 			l.end(lease.CauseReleased)
 		}
 	}()
-	c.begin()
+	c.startSession()
 	for {
 		var in <-chan *leasepb.ToHolder
 		var failed <-chan error
@@ -194,29 +196,29 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
-			c.follow(c.h.Tick(c.clock(), c.wall(), nil))
-		case <-renew.C:
+		case <-clockTicker.C:
+			c.perform(c.holder.Tick(c.clock(), c.wallClock(), nil))
+		case <-renewTicker.C:
 			c.renew()
 		case <-c.retry:
 			c.retry = nil
 			c.connect(ctx)
 		case <-c.resend:
 			c.resend = nil
-			c.asked = 0
-		case r := <-in:
-			c.follow(c.h.Tick(c.clock(), c.wall(), nil)) // first: a pause ends the session, whatever was answered in it
-			if c.stream == stream {                      // else the session that it was meant for is over
-				c.received(r)
+			c.sentSeq = 0
+		case message := <-in:
+			c.perform(c.holder.Tick(c.clock(), c.wallClock(), nil)) // first: a pause ends the session, whatever was answered in it
+			if c.stream == stream {                                 // else the session that it was meant for is over
+				c.handleMessage(message)
 			}
 		case err := <-failed:
-			c.follow(c.h.Tick(c.clock(), c.wall(), nil))
-			c.failed(stream, err)
-		case m := <-c.ask:
-			c.follow(c.h.Tick(c.clock(), c.wall(), nil))
-			c.asks(m)
+			c.perform(c.holder.Tick(c.clock(), c.wallClock(), nil))
+			c.handleFailure(stream, err)
+		case request := <-c.mailbox:
+			c.perform(c.holder.Tick(c.clock(), c.wallClock(), nil))
+			c.handleRequest(request)
 		}
-		c.sendAsk()
-		c.publish()
+		c.sendRequest()
+		c.publishValidity()
 	}
 }
--- a/internal/leaseholder/connection.go
+++ b/internal/leaseholder/connection.go
@@ -9,7 +9,7 @@
 	"junctionring/lease"
 )
 
-func viewIn(v *leasepb.View) (out lease.View) {
+func viewFromProto(v *leasepb.View) (out lease.View) {
 	out.Rev = v.GetRev()
 	for _, g := range v.GetHeld() {
 		out.Held = append(out.Held, lease.Grant{Name: g.Name, Token: g.Token})
@@ -22,29 +22,29 @@
 
 // connection is one stream to a coordinator. Its writer and its reader wait for the network; the client never does.
 type connection struct {
-	address string
-	in      chan *leasepb.ToHolder
-	failed  chan error
-	out     chan *leasepb.FromHolder
-	end     context.CancelFunc
-	opened  bool // it has answered
-	heard   time.Duration
+	address      string
+	in           chan *leasepb.ToHolder
+	failed       chan error
+	out          chan *leasepb.FromHolder
+	cancel       context.CancelFunc
+	sessionOpen  bool // it has answered
+	lastReceived time.Duration
 }
 
-func open(ctx context.Context, address string, via map[string]string) (*connection, error) {
+func openConnection(ctx context.Context, address string, via map[string]string) (*connection, error) {
 	conn, err := leasepb.Dial(cmp.Or(via[address], address))
 	if err != nil {
 		return nil, err
 	}
-	ctx, end := context.WithCancel(ctx)
-	c := &connection{address: address, in: make(chan *leasepb.ToHolder, 16), failed: make(chan error, 1), out: make(chan *leasepb.FromHolder, 16), end: end}
+	ctx, cancel := context.WithCancel(ctx)
+	c := &connection{address: address, in: make(chan *leasepb.ToHolder, 16), failed: make(chan error, 1), out: make(chan *leasepb.FromHolder, 16), cancel: cancel}
 	go func() {
 		defer conn.Close()
-		defer end()
-		late := time.AfterFunc(openWait, end)
-		g, err := leasepb.NewLeasesClient(conn).Session(ctx)
+		defer cancel()
+		timer := time.AfterFunc(firstAnswerTimeout, cancel)
+		stream, err := leasepb.NewLeasesClient(conn).Session(ctx)
 		if err != nil {
-			late.Stop()
+			timer.Stop()
 			c.failed <- err
 			return
 		}
@@ -52,7 +52,7 @@
 			for {
 				select {
 				case m := <-c.out:
-					if g.Send(m) != nil {
+					if stream.Send(m) != nil {
 						return // the reader is told why
 					}
 				case <-ctx.Done():
@@ -61,8 +61,8 @@
 			}
 		}()
 		for {
-			m, err := g.Recv()
-			late.Stop()
+			m, err := stream.Recv()
+			timer.Stop()
 			if err != nil {
 				c.failed <- err
 				return
--- a/internal/leaseholder/hold.go
+++ b/internal/leaseholder/hold.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	killBefore  = 250 * time.Millisecond // before the lease ends nothing of the command may be left
-	watchEvery  = 20 * time.Millisecond
-	releaseWait = 2 * time.Second
+	killMargin            = 250 * time.Millisecond // before the lease ends nothing of the command may be left
+	validityCheckInterval = 20 * time.Millisecond
+	releaseTimeout        = 2 * time.Second
 )
 
 // Hold runs a command while a lease is held. The command's environment names the lease (JUNCTIONRING_LEASE), its
@@ -36,11 +36,11 @@
 	if err != nil {
 		return ExitNotHeld, fmt.Errorf("lease %s: not held within %v: %w", name, wait, err)
 	}
-	token, left, ok := l.Token()
+	token, remaining, ok := l.Token()
 	if !ok {
 		return ExitLost, fmt.Errorf("lease %s: lost before the command began", name)
 	}
-	cmd := commandUnder(name, token, left, command)
+	cmd := leasedCommand(name, token, remaining, command)
 	// The kernel ties the signal of Pdeathsig to the thread that starts the command, not to the process.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -50,14 +50,14 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
-	h := &heldCommand{lease: l, group: cmd.Process.Pid, grace: grace}
+	h := &heldCommand{lease: l, processGroup: cmd.Process.Pid, grace: grace}
 	h.supervise(ctx, ended)
 	h.signal(syscall.SIGKILL) // what it left behind in its group
-	free, done := context.WithTimeout(context.Background(), releaseWait)
-	defer done()
-	l.Release(free)
-	if h.why != "" && ctx.Err() == nil {
-		return ExitLost, fmt.Errorf("lease %s: %s: the command was ended", name, h.why)
+	releaseCtx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+	defer cancel()
+	l.Release(releaseCtx)
+	if h.stopCause != "" && ctx.Err() == nil {
+		return ExitLost, fmt.Errorf("lease %s: %s: the command was ended", name, h.stopCause)
 	}
 	return exitStatus(cmd), nil
 }
@@ -65,18 +65,18 @@
 // acquireWithin waits for a lease for some time, or as long as it takes where that is 0.
 func acquireWithin(ctx context.Context, c *Client, name string, wait time.Duration) (*Lease, error) {
 	if wait > 0 {
-		var done context.CancelFunc
-		ctx, done = context.WithTimeout(ctx, wait)
-		defer done()
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, wait)
+		defer cancel()
 	}
 	return c.Acquire(ctx, name)
 }
 
 // commandUnder is a command in a process group of its own, with the lease in its environment.
-func commandUnder(name string, token uint64, left time.Duration, command []string) *exec.Cmd {
+func leasedCommand(name string, token uint64, remaining time.Duration, command []string) *exec.Cmd {
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
-	deadline := float64(time.Now().Add(left).UnixMilli()) / 1000
+	deadline := float64(time.Now().Add(remaining).UnixMilli()) / 1000
 	cmd.Env = append(os.Environ(), "JUNCTIONRING_LEASE="+name, "JUNCTIONRING_TOKEN="+strconv.FormatUint(token, 10),
 		"JUNCTIONRING_DEADLINE="+strconv.FormatFloat(deadline, 'f', 3, 64))
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -85,60 +85,60 @@
 
 // heldCommand is a command that runs while a lease is held.
 type heldCommand struct {
-	lease *Lease
-	group int           // the command's process group
-	grace time.Duration // from SIGTERM to SIGKILL
-	why   string        // it was told to end; empty: it was not
-	kill  time.Time     // when SIGKILL follows, once it was told
+	lease        *Lease
+	processGroup int           // the command's process group
+	grace        time.Duration // from SIGTERM to SIGKILL
+	stopCause    string        // it was told to end; empty: it was not
+	killAt       time.Time     // when SIGKILL follows, once it was told
 }
 
 // supervise returns when the command has ended. It tells the command to end where the lease is lost or runs out, or
 // ctx ends.
 func (h *heldCommand) supervise(ctx context.Context, ended <-chan error) {
-	look := time.NewTicker(watchEvery)
-	defer look.Stop()
-	lost, told := h.lease.Lost(), ctx.Done()
+	ticker := time.NewTicker(validityCheckInterval)
+	defer ticker.Stop()
+	lost, interrupted := h.lease.Lost(), ctx.Done()
 	for {
 		select {
 		case <-ended:
 			return
 		case <-lost:
 			lost = nil
-			patience := h.grace
+			grace := h.grace
 			if h.lease.Cause() != lease.CauseRevoked {
-				patience = 0
+				grace = 0
 			}
-			h.stop(string(h.lease.Cause()), min(patience, h.lease.Left()-killBefore))
-		case <-told:
-			told = nil
+			h.stop(string(h.lease.Cause()), min(grace, h.lease.Left()-killMargin))
+		case <-interrupted:
+			interrupted = nil
 			h.stop("told to end", h.grace)
-		case <-look.C:
-			h.look()
+		case <-ticker.C:
+			h.checkValidity()
 		}
 	}
 }
 
 // look tells the command to end in time before the lease does, and kills one that was told and did not.
-func (h *heldCommand) look() {
-	switch left := h.lease.Left(); {
-	case h.why == "" && left < h.grace:
-		h.stop("no answer from the coordinators in time", left-killBefore)
-	case h.why != "" && (time.Now().After(h.kill) || left < killBefore):
+func (h *heldCommand) checkValidity() {
+	switch remaining := h.lease.Left(); {
+	case h.stopCause == "" && remaining < h.grace:
+		h.stop("no answer from the coordinators in time", remaining-killMargin)
+	case h.stopCause != "" && (time.Now().After(h.killAt) || remaining < killMargin):
 		h.signal(syscall.SIGKILL)
 	}
 }
 
 // stop tells the command to end, once.
-func (h *heldCommand) stop(why string, patience time.Duration) {
-	if h.why != "" {
+func (h *heldCommand) stop(cause string, grace time.Duration) {
+	if h.stopCause != "" {
 		return
 	}
-	h.why = why
+	h.stopCause = cause
 	h.signal(syscall.SIGTERM)
-	h.kill = time.Now().Add(patience)
+	h.killAt = time.Now().Add(grace)
 }
 
-func (h *heldCommand) signal(s syscall.Signal) { syscall.Kill(-h.group, s) }
+func (h *heldCommand) signal(s syscall.Signal) { syscall.Kill(-h.processGroup, s) }
 
 // exitStatus is a command's exit status as shells tell it.
 func exitStatus(cmd *exec.Cmd) int {
--- a/internal/leaseholder/hold_test.go
+++ b/internal/leaseholder/hold_test.go
@@ -21,10 +21,10 @@
 	"junctionring/lease"
 )
 
-const life = time.Second
+const ttl = time.Second
 
-// group starts one coordinator, and returns its address and its end.
-func group(t *testing.T) (address string, stop func()) {
+// startCoordinator starts a group of one coordinator, and returns its address and a function that stops it.
+func startCoordinator(t *testing.T) (address string, stop func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 	address = l.Addr().String()
 	l.Close()
 	path := filepath.Join(t.TempDir(), "c.toml")
-	if err := os.WriteFile(path, []byte(fmt.Sprintf("listen = %q\ndata = \"data\"\nlongest_life = %q\n", address, life)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(fmt.Sprintf("listen = %q\ndata = \"data\"\nlongest_life = %q\n", address, ttl)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c, err := coordinator.LoadConfig(path)
@@ -61,9 +61,9 @@
 	return address, stop
 }
 
-func client(t *testing.T, address, name string) *leaseholder.Client {
+func startClient(t *testing.T, address, name string) *leaseholder.Client {
 	t.Helper()
-	c, err := leaseholder.Start(t.Context(), leaseholder.Options{Coordinators: []string{address}, Life: life, Member: lease.Member{Kind: "test", Name: name}})
+	c, err := leaseholder.Start(t.Context(), leaseholder.Options{Coordinators: []string{address}, Life: ttl, Member: lease.Member{Kind: "test", Name: name}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,10 +71,10 @@
 }
 
 func TestHoldRunsACommandUnderALease(t *testing.T) {
-	address, stop := group(t)
+	address, stop := startCoordinator(t)
 	out := filepath.Join(t.TempDir(), "out")
 	hold := func(wait time.Duration, command ...string) (int, error) {
-		return leaseholder.Hold(t.Context(), client(t, address, "holder"), "sweep", command, wait, 200*time.Millisecond)
+		return leaseholder.Hold(t.Context(), startClient(t, address, "holder"), "sweep", command, wait, 200*time.Millisecond)
 	}
 	exit, err := hold(0, "sh", "-c", `echo "$JUNCTIONRING_LEASE $JUNCTIONRING_TOKEN $JUNCTIONRING_DEADLINE" >`+out+`; exit 7`)
 	if exit != 7 || err != nil {
@@ -89,7 +89,7 @@
 	if exit, err := hold(0, "/nonexistent/command"); exit != leaseholder.ExitNoStart || err == nil {
 		t.Errorf("a command that can't be started: %d, %v", exit, err)
 	}
-	other := client(t, address, "other")
+	other := startClient(t, address, "other")
 	held, err := other.Acquire(t.Context(), "sweep")
 	if err != nil {
 		t.Fatal(err)
@@ -119,18 +119,18 @@
 	if text, _ := os.ReadFile(out); string(text) != "told\n" {
 		t.Errorf("the command was not told to end before it was ended: %q", text)
 	}
-	if took := time.Since(begun); took > 10*life {
+	if took := time.Since(begun); took > 10*ttl {
 		t.Errorf("it was ended after %v", took)
 	}
 }
 
 // A revoked lease goes on only after the command has ended.
 func TestHoldEndsACommandWhoseLeaseIsRevoked(t *testing.T) {
-	address, _ := group(t)
+	address, _ := startCoordinator(t)
 	dir := t.TempDir()
 	began, ended := filepath.Join(dir, "began"), filepath.Join(dir, "ended")
-	next := client(t, address, "next")
-	got := make(chan bool, 1)
+	next := startClient(t, address, "next")
+	endedFirst := make(chan bool, 1)
 	go func() {
 		for {
 			if _, err := os.Stat(began); err == nil {
@@ -147,28 +147,28 @@
 			t.Error(err)
 		}
 		_, err := os.Stat(ended)
-		got <- err == nil
+		endedFirst <- err == nil
 	}()
-	exit, err := leaseholder.Hold(t.Context(), client(t, address, "first"), "sweep",
+	exit, err := leaseholder.Hold(t.Context(), startClient(t, address, "first"), "sweep",
 		[]string{"sh", "-c", `trap 'sleep 0.1; >` + ended + `; exit 0' TERM; >` + began + `; while :; do sleep 0.01; done`}, 0, 400*time.Millisecond)
 	if exit != leaseholder.ExitLost || err == nil || !strings.Contains(err.Error(), "revoked") {
 		t.Errorf("%d, %v", exit, err)
 	}
-	if !<-got {
+	if !<-endedFirst {
 		t.Error("the next holder had the lease while the command was still ending")
 	}
 }
 
 func TestASessionThatIsTurnedDownSaysWhy(t *testing.T) {
-	address, _ := group(t)
+	address, _ := startCoordinator(t)
 	c, err := leaseholder.Start(t.Context(), leaseholder.Options{Coordinators: []string{address}, Life: time.Minute})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Acquire(t.Context(), "sweep"); !errors.Is(err, leaseholder.ErrOver) || !strings.Contains(err.Error(), "longest_life") {
+	if _, err := c.Acquire(t.Context(), "sweep"); !errors.Is(err, leaseholder.ErrClosed) || !strings.Contains(err.Error(), "longest_life") {
 		t.Errorf("a life over the longest: %v", err)
 	}
-	for _, o := range []leaseholder.Options{{}, {Coordinators: []string{address}, Life: life, Margin: life}} {
+	for _, o := range []leaseholder.Options{{}, {Coordinators: []string{address}, Life: ttl, Margin: ttl}} {
 		if _, err := leaseholder.Start(t.Context(), o); err == nil {
 			t.Errorf("%+v was taken", o)
 		}
@@ -177,7 +177,7 @@
 
 // A gateway is shown with its state by a process beside it, and answers on when the coordinators are gone.
 func TestRegisterShowsAGatewayAndNeverStopsIt(t *testing.T) {
-	address, stop := group(t)
+	address, stop := startCoordinator(t)
 	var ready atomic.Bool
 	ready.Store(true)
 	gateway := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -186,20 +186,20 @@
 		}
 	}))
 	defer gateway.Close()
-	told := make(chan string, 100)
-	watched, end := context.WithCancel(t.Context())
-	defer end()
-	go leaseholder.Watch{Coordinators: []string{address}, Log: slog.New(slog.DiscardHandler)}.Run(watched, func(_ bool, changes []lease.Change) {
+	states := make(chan string, 100)
+	watchCtx, stopWatch := context.WithCancel(t.Context())
+	defer stopWatch()
+	go leaseholder.Watch{Coordinators: []string{address}, Log: slog.New(slog.DiscardHandler)}.Run(watchCtx, func(_ bool, changes []lease.Change) {
 		for _, c := range changes {
-			told <- c.Member.State
+			states <- c.Member.State
 		}
 	})
 	m := lease.Member{Kind: "gateway", Name: "gw-1", Site: "fukuoka", State: "starting"}
-	c, err := leaseholder.Start(t.Context(), leaseholder.Options{Coordinators: []string{address}, Life: life, Member: m})
+	c, err := leaseholder.Start(t.Context(), leaseholder.Options{Coordinators: []string{address}, Life: ttl, Member: m})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() {
 		done <- leaseholder.Register{Client: c, Member: m, Ready: gateway.URL, Every: 20 * time.Millisecond}.Run(ctx)
@@ -208,7 +208,7 @@
 		t.Helper()
 		for {
 			select {
-			case got := <-told:
+			case got := <-states:
 				if got == want {
 					return
 				}
@@ -224,7 +224,7 @@
 	if a, err := http.Get(gateway.URL); err != nil || a.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("without coordinators the gateway answers %v, %v", a, err)
 	}
-	leave()
+	cancel()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
--- a/internal/leaseholder/lease.go
+++ b/internal/leaseholder/lease.go
@@ -11,10 +11,10 @@
 // Lease is one lease that a client asked for.
 type Lease struct {
 	Name     string
-	c        *Client
+	client   *Client
 	grant    atomic.Pointer[grant]
-	last     atomic.Int64  // by when all that was done under it must have stopped, on the client's clock
-	got      chan struct{} // closed with the first grant
+	stopBy   atomic.Int64  // by when all that was done under it must have stopped, on the client's clock
+	granted  chan struct{} // closed with the first grant
 	lost     chan struct{} // closed when it was had, and is not any more
 	cause    lease.Cause
 	wanted   bool
@@ -23,23 +23,23 @@
 
 // grant is what a process may do now. It is replaced as a whole.
 type grant struct {
-	token uint64
-	until time.Duration
+	token      uint64
+	validUntil time.Duration
 }
 
 // Token is what each act under the lease carries; ok is false when nothing may be done under it any more, and left
 // is for how long it may be acted on if no renewal is answered from now on.
-func (l *Lease) Token() (token uint64, left time.Duration, ok bool) {
+func (l *Lease) Token() (token uint64, remaining time.Duration, ok bool) {
 	g := l.grant.Load()
 	if g == nil {
 		return 0, 0, false
 	}
-	left = g.until - l.c.clock()
-	return g.token, left, left > 0
+	remaining = g.validUntil - l.client.clock()
+	return g.token, remaining, remaining > 0
 }
 
 // Left is how long what was begun under the lease may go on, also after it was revoked.
-func (l *Lease) Left() time.Duration { return time.Duration(l.last.Load()) - l.c.clock() }
+func (l *Lease) Left() time.Duration { return time.Duration(l.stopBy.Load()) - l.client.clock() }
 
 // Lost is closed when the lease was lost or given back; Cause then says why.
 func (l *Lease) Lost() <-chan struct{} { return l.lost }
@@ -53,7 +53,7 @@
 func (l *Lease) Release(ctx context.Context) error {
 	l.grant.Store(nil)
 	done := make(chan struct{})
-	if err := l.c.tell(ctx, release{l, done}); err != nil {
+	if err := l.client.submit(ctx, releaseRequest{l, done}); err != nil {
 		return err
 	}
 	select {
@@ -61,17 +61,17 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-l.c.ended:
-		return l.c.over()
+	case <-l.client.ended:
+		return l.client.endError()
 	}
 }
 
-func (l *Lease) end(why lease.Cause) {
+func (l *Lease) end(cause lease.Cause) {
 	l.grant.Store(nil)
 	select {
 	case <-l.lost:
 	default:
-		l.cause = why
+		l.cause = cause
 		close(l.lost)
 	}
 }
--- a/internal/leaseholder/register.go
+++ b/internal/leaseholder/register.go
@@ -20,53 +20,53 @@
 }
 
 const (
-	inOrder  = "ready"
-	readWait = time.Second // for the member's answer
+	stateReady   = "ready"
+	probeTimeout = time.Second // for the member's answer
 )
 
 // Run looks and reports each change until ctx ends; then the member leaves.
 func (r Register) Run(ctx context.Context) error {
-	client := &http.Client{Timeout: readWait, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	look := time.NewTicker(r.Every)
-	defer look.Stop()
-	told := ""
+	client := &http.Client{Timeout: probeTimeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	ticker := time.NewTicker(r.Every)
+	defer ticker.Stop()
+	reported := ""
 	for {
-		if state := r.state(ctx, client); state != told && ctx.Err() == nil {
+		if state := r.probe(ctx, client); state != reported && ctx.Err() == nil {
 			m := r.Member
 			m.State = state
 			if err := r.Client.Report(ctx, m); err != nil {
 				return err
 			}
-			told = state
+			reported = state
 		}
 		select {
 		case <-ctx.Done():
-			last, done := context.WithTimeout(context.Background(), time.Second)
-			defer done()
-			r.Client.Close(last)
+			closeCtx, cancel := context.WithTimeout(context.Background(), time.Second)
+			defer cancel()
+			r.Client.Close(closeCtx)
 			return nil
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 }
 
 // state is how the member says that it is, in words that don't change from one look to the next without a cause.
-func (r Register) state(ctx context.Context, client *http.Client) string {
+func (r Register) probe(ctx context.Context, client *http.Client) string {
 	if r.Ready == "" {
-		return inOrder
+		return stateReady
 	}
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, r.Ready, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.Ready, nil)
 	if err != nil {
 		return "unknown: " + err.Error()
 	}
-	a, err := client.Do(q)
+	resp, err := client.Do(req)
 	if err != nil {
 		return "no answer"
 	}
-	defer a.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(a.Body, 64<<10))
-	if a.StatusCode/100 != 2 {
-		return fmt.Sprintf("not ready (%d)", a.StatusCode)
+	defer resp.Body.Close()
+	io.Copy(io.Discard, io.LimitReader(resp.Body, 64<<10))
+	if resp.StatusCode/100 != 2 {
+		return fmt.Sprintf("not ready (%d)", resp.StatusCode)
 	}
-	return inOrder
+	return stateReady
 }
--- a/internal/leaseholder/requests.go
+++ b/internal/leaseholder/requests.go
@@ -5,33 +5,33 @@
 	"junctionring/lease"
 )
 
-func (c *Client) asks(m any) {
+func (c *Client) handleRequest(m any) {
 	switch m := m.(type) {
-	case acquire:
-		if old := c.leases[m.l.Name]; old != nil && old.wanted {
-			m.l.end("this process asked for it already")
+	case acquireRequest:
+		if previous := c.leases[m.lease.Name]; previous != nil && previous.wanted {
+			m.lease.end("this process asked for it already")
 			return
-		} else if old != nil && old.released != nil { // taken back before what is asked now is looked at
-			close(old.released)
-			old.released = nil
+		} else if previous != nil && previous.released != nil { // taken back before what is asked now is looked at
+			close(previous.released)
+			previous.released = nil
 		}
-		m.l.wanted = true
-		c.leases[m.l.Name] = m.l
-		c.h.Acquire(m.l.Name)
-	case release:
-		if c.leases[m.l.Name] != m.l || !m.l.wanted && c.h.Phase(m.l.Name) != lease.Revoked {
+		m.lease.wanted = true
+		c.leases[m.lease.Name] = m.lease
+		c.holder.Acquire(m.lease.Name)
+	case releaseRequest:
+		if c.leases[m.lease.Name] != m.lease || !m.lease.wanted && c.holder.Phase(m.lease.Name) != lease.Revoked {
 			if m.done != nil {
 				close(m.done)
 			}
 			return
 		}
-		m.l.wanted, m.l.released = false, m.done
-		c.follow(c.h.Release(m.l.Name, nil))
-		m.l.end(lease.CauseReleased)
-	case report:
-		c.o.Member = m.m
-		c.h.Report(m.m)
-	case closing:
+		m.lease.wanted, m.lease.released = false, m.done
+		c.perform(c.holder.Release(m.lease.Name, nil))
+		m.lease.end(lease.CauseReleased)
+	case reportRequest:
+		c.options.Member = m.member
+		c.holder.Report(m.member)
+	case closeRequest:
 		c.closing = m.done
 		for _, l := range c.leases {
 			l.grant.Store(nil)
@@ -39,32 +39,32 @@
 			l.end(lease.CauseReleased)
 		}
 		if c.stream == nil || !c.stream.send(&leasepb.FromHolder{Is: &leasepb.FromHolder_Close{Close: true}}) {
-			c.close() // its life ends it
+			c.cancel() // its life ends it
 		}
 	}
 }
 
 // follow carries out what the holder decided.
-func (c *Client) follow(do []any) {
-	for _, a := range do {
+func (c *Client) perform(actions []any) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case lease.Start:
 			l := c.leases[a.Name]
 			if l == nil || !l.wanted {
-				c.h.Release(a.Name, nil)
+				c.holder.Release(a.Name, nil)
 				continue
 			}
-			c.o.Log.Info("lease held", "lease", a.Name, "token", a.Token)
-			until, _ := c.h.ValidUntil()
+			c.options.Log.Info("lease held", "lease", a.Name, "token", a.Token)
+			until, _ := c.holder.ValidUntil()
 			l.grant.Store(&grant{a.Token, until})
-			l.last.Store(int64(until))
+			l.stopBy.Store(int64(until))
 			select {
-			case <-l.got:
+			case <-l.granted:
 			default:
-				close(l.got)
+				close(l.granted)
 			}
 		case lease.Stop:
-			c.o.Log.Info("lease ended", "lease", a.Name, "token", a.Token, "cause", string(a.Cause))
+			c.options.Log.Info("lease ended", "lease", a.Name, "token", a.Token, "cause", string(a.Cause))
 			if l := c.leases[a.Name]; l != nil {
 				l.wanted = false
 				l.end(a.Cause)
@@ -73,34 +73,34 @@
 			if c.closing != nil {
 				close(c.closing)
 				c.closing = nil
-				c.close()
+				c.cancel()
 				return
 			}
-			c.o.Log.Warn("session over: a new one begins", "session", c.session, "cause", string(a.Cause))
+			c.options.Log.Warn("session over: a new one begins", "session", c.session, "cause", string(a.Cause))
 			for _, l := range c.leases {
 				if l.released != nil {
 					close(l.released)
 					l.released = nil
 				}
 			}
-			c.begin()
+			c.startSession()
 		}
 	}
 }
 
 // publish tells the process's own threads until when they may act.
-func (c *Client) publish() {
-	until, ok := c.h.ValidUntil()
+func (c *Client) publishValidity() {
+	until, ok := c.holder.ValidUntil()
 	for name, l := range c.leases {
 		g := l.grant.Load()
 		switch {
 		case g == nil:
-			if !l.wanted && l.released == nil && c.h.Phase(name) == lease.None {
+			if !l.wanted && l.released == nil && c.holder.Phase(name) == lease.None {
 				delete(c.leases, name)
 			}
-		case ok && l.wanted && g.until != until:
+		case ok && l.wanted && g.validUntil != until:
 			l.grant.CompareAndSwap(g, &grant{g.token, until})
-			l.last.Store(int64(until))
+			l.stopBy.Store(int64(until))
 		}
 	}
 }
--- a/internal/leaseholder/session.go
+++ b/internal/leaseholder/session.go
@@ -14,156 +14,156 @@
 )
 
 // begin starts a session of a name that was never used.
-func (c *Client) begin() {
-	c.h = lease.NewHolder(c.rules)
-	c.h.Tick(c.clock(), c.wall(), nil)
-	c.session = fmt.Sprintf("%s-%016x", c.o.Member.Name, rand.Uint64())
-	c.hangUp()
+func (c *Client) startSession() {
+	c.holder = lease.NewHolder(c.timing)
+	c.holder.Tick(c.clock(), c.wallClock(), nil)
+	c.session = fmt.Sprintf("%s-%016x", c.options.Member.Name, rand.Uint64())
+	c.disconnect()
 	for name, l := range c.leases {
 		if l.wanted {
-			c.h.Acquire(name)
+			c.holder.Acquire(name)
 		}
 	}
-	c.again(0)
+	c.reconnectAfter(0)
 }
 
 // again tries the next coordinator after a pause that grows, or one that was told.
-func (c *Client) again(after time.Duration) {
-	c.hangUp()
+func (c *Client) reconnectAfter(delay time.Duration) {
+	c.disconnect()
 	if c.closing != nil { // its life ends the session; opened again it would live on
-		c.close()
+		c.cancel()
 		return
 	}
 	if c.retry == nil {
-		if after == 0 && c.leader != "" {
-			after = firstPause/2 + rand.N(firstPause)
-		} else if after == 0 {
-			after = c.pause.NextBackOff()
+		if delay == 0 && c.leader != "" {
+			delay = minBackoff/2 + rand.N(minBackoff)
+		} else if delay == 0 {
+			delay = c.backoff.NextBackOff()
 		} else {
-			after += rand.N(after) // they all were told the same
+			delay += rand.N(delay) // they all were told the same
 		}
-		c.retry = time.After(after)
+		c.retry = time.After(delay)
 	}
 }
 
-func (c *Client) hangUp() {
+func (c *Client) disconnect() {
 	if c.stream != nil {
-		c.stream.end()
+		c.stream.cancel()
 		c.stream = nil
 	}
-	c.asked, c.resend = 0, nil
+	c.sentSeq, c.resend = 0, nil
 }
 
 func (c *Client) connect(ctx context.Context) {
 	address := c.leader
 	if c.leader = ""; address == "" {
-		address = c.o.Coordinators[c.turn%len(c.o.Coordinators)]
-		c.turn++
+		address = c.options.Coordinators[c.nextIndex%len(c.options.Coordinators)]
+		c.nextIndex++
 	}
-	s, err := open(ctx, address, c.o.Via)
+	conn, err := openConnection(ctx, address, c.options.Via)
 	if err != nil {
-		c.again(0)
+		c.reconnectAfter(0)
 		return
 	}
-	c.stream = s
-	m := c.o.Member
-	s.send(&leasepb.FromHolder{Is: &leasepb.FromHolder_Open{Open: &leasepb.Open{Session: c.session, LifeMs: c.o.Life.Milliseconds(),
-		Renew: c.h.Renew(c.clock()), Member: leasepb.FromMember(m)}}})
+	c.stream = conn
+	m := c.options.Member
+	conn.send(&leasepb.FromHolder{Is: &leasepb.FromHolder_Open{Open: &leasepb.Open{Session: c.session, LifeMs: c.options.Life.Milliseconds(),
+		Renew: c.holder.Renew(c.clock()), Member: leasepb.FromMember(m)}}})
 }
 
 func (c *Client) renew() {
-	if c.stream != nil && c.stream.opened {
+	if c.stream != nil && c.stream.sessionOpen {
 		// A stream that has answered nothing for most of a life is of no use.
-		if c.clock()-c.stream.heard > c.rules.TTL*2/5 {
-			c.o.Log.Warn("the coordinator is silent", "address", c.stream.address)
-			c.again(0)
+		if c.clock()-c.stream.lastReceived > c.timing.TTL*2/5 {
+			c.options.Log.Warn("the coordinator is silent", "address", c.stream.address)
+			c.reconnectAfter(0)
 			return
 		}
-		c.sent = c.clock()
-		c.renewal = c.h.Renew(c.sent)
-		if !c.stream.send(&leasepb.FromHolder{Is: &leasepb.FromHolder_Renew{Renew: c.renewal}}) {
-			c.again(0)
+		c.lastRenewalAt = c.clock()
+		c.lastRenewal = c.holder.Renew(c.lastRenewalAt)
+		if !c.stream.send(&leasepb.FromHolder{Is: &leasepb.FromHolder_Renew{Renew: c.lastRenewal}}) {
+			c.reconnectAfter(0)
 		}
 	}
 }
 
-func (c *Client) sendAsk() {
-	a, ok := c.h.NextRequest()
-	if !ok || c.stream == nil || !c.stream.opened || c.asked == a.Seq {
+func (c *Client) sendRequest() {
+	a, ok := c.holder.NextRequest()
+	if !ok || c.stream == nil || !c.stream.sessionOpen || c.sentSeq == a.Seq {
 		return
 	}
-	c.asked = a.Seq
+	c.sentSeq = a.Seq
 	m := a.Member
 	if !c.stream.send(&leasepb.FromHolder{Is: &leasepb.FromHolder_Ask{Ask: &leasepb.Ask{Seq: a.Seq, Op: uint32(a.Op), Name: a.Name, Token: a.Token,
 		Member: leasepb.FromMember(m)}}}) {
-		c.again(0)
+		c.reconnectAfter(0)
 	}
 }
 
 // failed takes in that a connection ended, after what it said before that.
-func (c *Client) failed(s *connection, err error) {
-	for c.stream == s {
+func (c *Client) handleFailure(conn *connection, err error) {
+	for c.stream == conn {
 		select {
-		case m := <-s.in:
-			c.received(m)
+		case m := <-conn.in:
+			c.handleMessage(m)
 			continue
 		default:
 		}
 		if status.Code(err) == codes.InvalidArgument {
-			c.fault = fmt.Errorf("%w: the coordinators turn its session down: %s", ErrOver, status.Convert(err).Message())
-			c.hangUp()
-			c.close()
+			c.endErr = fmt.Errorf("%w: the coordinators turn its session down: %s", ErrClosed, status.Convert(err).Message())
+			c.disconnect()
+			c.cancel()
 			return
 		}
-		c.o.Log.Info("the connection to a coordinator ended", "address", s.address, "err", err)
-		c.again(0)
+		c.options.Log.Info("the connection to a coordinator ended", "address", conn.address, "err", err)
+		c.reconnectAfter(0)
 	}
 }
 
-func (c *Client) received(m *leasepb.ToHolder) {
+func (c *Client) handleMessage(m *leasepb.ToHolder) {
 	now := c.clock()
-	c.stream.heard = now
+	c.stream.lastReceived = now
 	switch is := m.Is.(type) {
 	case *leasepb.ToHolder_Renewed:
-		c.stream.opened = true
-		if c.o.Renewed != nil && is.Renewed.Renew == c.renewal {
-			c.o.Renewed(now - c.sent)
+		c.stream.sessionOpen = true
+		if c.options.Renewed != nil && is.Renewed.Renew == c.lastRenewal {
+			c.options.Renewed(now - c.lastRenewalAt)
 		}
-		c.pause.Reset()
-		c.follow(c.h.Renewed(now, is.Renewed.Renew, viewIn(is.Renewed.View), nil))
+		c.backoff.Reset()
+		c.perform(c.holder.Renewed(now, is.Renewed.Renew, viewFromProto(is.Renewed.View), nil))
 	case *leasepb.ToHolder_Answered:
 		o := lease.Outcome{Status: lease.Status(is.Answered.Outcome.GetStatus()), Token: is.Answered.Outcome.GetToken(), Place: int(is.Answered.Outcome.GetPlace())}
-		c.follow(c.h.Answered(now, is.Answered.Seq, o, viewIn(is.Answered.View), nil))
+		c.perform(c.holder.Answered(now, is.Answered.Seq, o, viewFromProto(is.Answered.View), nil))
 		if o.Status != lease.Full {
-			c.asked = 0
+			c.sentSeq = 0
 		}
 	case *leasepb.ToHolder_Told:
-		c.follow(c.h.ViewReceived(now, viewIn(is.Told), nil))
+		c.perform(c.holder.ViewReceived(now, viewFromProto(is.Told), nil))
 	case *leasepb.ToHolder_Gone:
 		if c.closing == nil {
-			c.o.Log.Warn("the coordinators ended the session", "session", c.session)
+			c.options.Log.Warn("the coordinators ended the session", "session", c.session)
 		}
-		c.follow(c.h.SessionGone(nil))
+		c.perform(c.holder.SessionGone(nil))
 	case *leasepb.ToHolder_Busy:
 		after := time.Duration(is.Busy.RetryAfterMs) * time.Millisecond
-		c.o.Log.Warn("the coordinators are busy", "why", is.Busy.Why, "after", after)
-		if c.stream.opened {
+		c.options.Log.Warn("the coordinators are busy", "why", is.Busy.Why, "after", after)
+		if c.stream.sessionOpen {
 			c.resend = time.After(after + rand.N(after+1))
 		} else {
-			c.again(after)
+			c.reconnectAfter(after)
 		}
 	case *leasepb.ToHolder_NotLeading:
 		if c.leader = is.NotLeading.Leader; c.leader == c.stream.address {
 			c.leader = ""
 		}
 		if c.leader == "" && c.closing == nil { // an election is on: it is over long before the life is
-			c.again(c.o.Life / electionLooks)
+			c.reconnectAfter(c.options.Life / electionRetries)
 		} else {
-			c.again(0)
+			c.reconnectAfter(0)
 		}
 	}
 	for _, l := range c.leases { // what is given back is known to be so
-		if l.released != nil && c.h.Phase(l.Name) == lease.None {
+		if l.released != nil && c.holder.Phase(l.Name) == lease.None {
 			close(l.released)
 			l.released = nil
 		}
--- a/internal/leaseholder/watch.go
+++ b/internal/leaseholder/watch.go
@@ -25,30 +25,30 @@
 
 // Run tells each change in order, none twice, until ctx ends. After a stream was lost, what was missed is told; where
 // that is not known any more, everybody who is there (whole).
-func (w Watch) Run(ctx context.Context, tell func(whole bool, changes []lease.Change)) error {
+func (w Watch) Run(ctx context.Context, notify func(whole bool, changes []lease.Change)) error {
 	if len(w.Coordinators) == 0 {
 		return errors.New("no coordinator is named")
 	}
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstPause, longPause
-	var newest uint64
-	begun, turn, leader := false, 0, ""
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval, retryDelay.MaxInterval = minBackoff, maxBackoff
+	var lastSeq uint64
+	started, nextIndex, leader := false, 0, ""
 	for ctx.Err() == nil {
 		address := leader
 		if leader = ""; address == "" {
-			address = w.Coordinators[turn%len(w.Coordinators)]
-			turn++
+			address = w.Coordinators[nextIndex%len(w.Coordinators)]
+			nextIndex++
 		}
 		var err error
-		leader, err = w.follow(ctx, address, &leasepb.WatchAsk{After: newest, Whole: !begun}, func(a *leasepb.WatchAnswer) {
-			begun, newest = true, a.Seq
-			pause.Reset()
+		leader, err = w.receive(ctx, address, &leasepb.WatchAsk{After: lastSeq, Whole: !started}, func(a *leasepb.WatchAnswer) {
+			started, lastSeq = true, a.Seq
+			retryDelay.Reset()
 			var changes []lease.Change
 			for _, c := range a.Changes {
 				changes = append(changes, lease.Change{Seq: c.Seq, Kind: lease.ChangeKind(c.Kind), Session: c.Session, Member: c.Member.Lease()})
 			}
 			if a.Whole || len(changes) > 0 {
-				tell(a.Whole, changes)
+				notify(a.Whole, changes)
 			}
 		})
 		if ctx.Err() == nil && leader == "" {
@@ -56,37 +56,37 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause.NextBackOff()):
+		case <-time.After(retryDelay.NextBackOff()):
 		}
 	}
 	return nil
 }
 
 // follow keeps one stream until it ends, and returns where the leader is, where it was told.
-func (w Watch) follow(ctx context.Context, address string, ask *leasepb.WatchAsk, take func(*leasepb.WatchAnswer)) (leader string, err error) {
+func (w Watch) receive(ctx context.Context, address string, ask *leasepb.WatchAsk, handle func(*leasepb.WatchAnswer)) (leader string, err error) {
 	conn, err := leasepb.Dial(address)
 	if err != nil {
 		return "", err
 	}
 	defer conn.Close()
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	s, err := leasepb.NewLeasesClient(conn).Watch(ctx, ask)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	stream, err := leasepb.NewLeasesClient(conn).Watch(ctx, ask)
 	if err != nil {
 		return "", err
 	}
 	for {
-		a, err := s.Recv()
+		answer, err := stream.Recv()
 		if err != nil {
-			return first(s.Trailer().Get("leader"), address), err
+			return leaderOtherThan(stream.Trailer().Get("leader"), address), err
 		}
-		take(a)
+		handle(answer)
 	}
 }
 
-func first(words []string, not string) string {
-	if len(words) == 1 && words[0] != not {
-		return words[0]
+func leaderOtherThan(leaders []string, address string) string {
+	if len(leaders) == 1 && leaders[0] != address {
+		return leaders[0]
 	}
 	return ""
 }
