--- a/internal/leaseholder/ask.go
+++ b/internal/leaseholder/ask.go
@@ -18,12 +18,12 @@
 	"junctionring/internal/coordinator/leasepb"
 )
 
-// Group is a way to a group of coordinators. It keeps its connections, and whom it found leading, from call to call;
-// any number of goroutines may ask through it.
+// Group is a client of a group of coordinators. It keeps its connections and the last known leader between calls, and
+// is safe for concurrent use.
 type Group struct {
 	Coordinators []string          // host:port of all of them, in any order
-	Via          map[string]string // where to dial for an address; others are dialled as they are
-	Try          time.Duration     // for one coordinator's answer before the next is asked; 5 s where it is 0
+	Via          map[string]string // by coordinator address: what to dial instead; others are dialled as they are
+	Try          time.Duration     // time limit for one coordinator's answer before the next one is asked; 0: 5 s
 
 	mu        sync.Mutex
 	conns     map[string]*grpc.ClientConn
@@ -31,10 +31,10 @@
 	nextIndex int
 }
 
-// NewGroup is a way to some coordinators, each dialled at its address.
+// NewGroup returns a client of the coordinators at these addresses.
 func NewGroup(coordinators ...string) *Group { return &Group{Coordinators: coordinators} }
 
-// Close ends the connections. A group that is asked again opens new ones.
+// Close closes the connections. A later call opens new ones.
 func (g *Group) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -44,13 +44,14 @@
 	g.conns = nil
 }
 
-// next is the coordinator to ask now: the one that led last, else each in turn.
+// nextCoordinator returns the coordinator to ask now, and a connection to it: the last known leader, or otherwise each
+// coordinator in turn.
 func (g *Group) nextCoordinator() (address string, conn *grpc.ClientConn, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if address = g.leader; address == "" {
 		if len(g.Coordinators) == 0 {
-			return "", nil, errors.New("no coordinator is named")
+			return "", nil, errors.New("no coordinator address given")
 		}
 		address = g.Coordinators[g.nextIndex%len(g.Coordinators)]
 		g.nextIndex++
@@ -67,14 +68,15 @@
 	return address, conn, nil
 }
 
-// led notes who leads; empty: nobody known.
+// setLeader records the leader's address; empty: no leader is known.
 func (g *Group) setLeader(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leader = address
 }
 
-// Ask makes one call at whichever coordinator leads, as long as ctx lasts.
+// Ask makes one call to the leading coordinator, whichever that is. It retries while no leader answers, until ctx
+// ends.
 func Ask[T any](ctx context.Context, g *Group, call func(context.Context, leasepb.LeasesClient) (T, error)) (T, error) {
 	retryDelay := backoff.NewExponentialBackOff()
 	retryDelay.InitialInterval, retryDelay.MaxInterval = minBackoff, maxBackoff
@@ -122,7 +124,7 @@
 	return context.WithValue(ctx, trailerKey{}, md)
 }
 
-// Trailer is the option that a call made within Ask passes on, so that the leader's address comes back.
+// Trailer returns the option that a call within Ask must be made with, so that Ask receives the leader's address.
 func Trailer(ctx context.Context) grpc.CallOption {
 	if md, ok := ctx.Value(trailerKey{}).(*metadata.MD); ok {
 		return grpc.Trailer(md)
@@ -130,7 +132,7 @@
 	return grpc.EmptyCallOption{}
 }
 
-// Backup fetches a whole backup of what the group keeps.
+// Backup fetches a complete backup of the group's state.
 func Backup(ctx context.Context, g *Group) ([]byte, error) {
 	return Ask(ctx, g, func(ctx context.Context, client leasepb.LeasesClient) ([]byte, error) {
 		stream, err := client.Backup(ctx, &leasepb.BackupAsk{}, Trailer(ctx))
--- a/internal/leaseholder/client.go
+++ b/internal/leaseholder/client.go
@@ -1,6 +1,6 @@
-// Package leaseholder is a process's side of the coordinators: a session kept alive, leases asked for and given
-// back, and the word, at any moment, whether the process may act. It owns the connection and its reconnects; what a
-// holder may do, and until when, package lease decides.
+// Package leaseholder is the client of the coordinators: it connects and reconnects, keeps a session alive, acquires
+// and releases leases, and reports at any moment whether the process may act under them. It does not decide what a
+// holder may do, and until when: package lease does.
 package leaseholder
 
 import (
@@ -19,42 +19,42 @@
 )
 
 const (
-	clockCheckInterval = 50 * time.Millisecond // at the clock
-	minBackoff         = 50 * time.Millisecond // before the next coordinator is tried, doubled with jitter
+	clockCheckInterval = 50 * time.Millisecond // between two checks of the clocks
+	minBackoff         = 50 * time.Millisecond // before the next coordinator is tried; grows exponentially with jitter
 	maxBackoff         = 2 * time.Second
-	firstAnswerTimeout = 2 * time.Second // for the first answer of a coordinator
+	firstAnswerTimeout = 2 * time.Second // for a coordinator's first answer on a stream
 	mailboxSize        = 256
 
-	electionRetries = 40 // in a life, at coordinators that know no leader yet; with jitter half as many
+	electionRetries = 40 // per TTL, while the coordinators know no leader; the jitter can halve it
 )
 
-// Options start a client.
+// Options holds the settings of a client.
 type Options struct {
 	Coordinators []string // host:port of all of them, in any order
 	Member       lease.Member
-	Life         time.Duration // of the session; 10 s where it is 0
-	Drift        float64       // of any clock's rate; 1 % where it is 0
-	Margin       time.Duration // by which it stops before it must; a tenth of the life where it is 0
-	Clock        func() time.Duration
-	Via          map[string]string        // where to dial for an address; others are dialled as they are
-	Renewed      func(took time.Duration) // each renewal's time from sending to answer; nil: nobody wants to know
+	Life         time.Duration            // the session's TTL; 0: 10 s
+	Drift        float64                  // the largest error of any clock's rate, as a fraction; 0: 0.01 (1 %)
+	Margin       time.Duration            // by which the holder stops earlier than it must; 0: a tenth of the TTL
+	Clock        func() time.Duration     // nil: the monotonic clock
+	Via          map[string]string        // by coordinator address: what to dial instead; others are dialled as they are
+	Renewed      func(took time.Duration) // called with each renewal's time from sending to answer, unless nil
 	Log          *slog.Logger
 }
 
-// ErrClosed says that the client was closed, or that the coordinators turn its session down for good.
+// ErrClosed is returned once the client is closed or the coordinators have refused its session for good.
 var ErrClosed = errors.New("the lease client is closed")
 
-// Client keeps one session, and a new one when that is lost.
+// Client keeps one session alive, and opens a new one when that is lost.
 type Client struct {
 	options   Options
 	timing    lease.Timing
 	clock     func() time.Duration
 	wallClock func() time.Duration
 	mailbox   chan any
-	ended     chan struct{}
+	ended     chan struct{} // closed when the actor has returned
 	cancel    context.CancelFunc
 
-	// the actor's own
+	// owned by the actor, which is run
 	holder        *lease.Holder
 	session       string
 	stream        *connection
@@ -62,16 +62,16 @@
 	nextIndex     int
 	leader        string
 	backoff       *backoff.ExponentialBackOff
-	retry         <-chan time.Time // when the next coordinator is tried
-	resend        <-chan time.Time // when the first ask is sent again
-	sentSeq       uint64           // the ask that is out on this stream
-	closing       chan struct{}
-	endErr        error  // why it ended; read once ended is closed
-	lastRenewal   uint64 // the newest, and when it was sent
+	retry         <-chan time.Time // fires when the next coordinator is tried
+	resend        <-chan time.Time // fires when the first request is sent again
+	sentSeq       uint64           // the request that was sent on this stream and is unanswered; 0: none
+	closing       chan struct{}    // closed when the session that Close ends has ended; nil: Close was not called
+	endErr        error            // why the client ended, if not with ErrClosed; read only after ended is closed
+	lastRenewal   uint64           // number of the newest renewal; it was sent at lastRenewalAt
 	lastRenewalAt time.Duration
 }
 
-// messages to the actor
+// The requests to the actor.
 type (
 	acquireRequest struct{ lease *Lease }
 	releaseRequest struct {
@@ -82,10 +82,10 @@
 	closeRequest  struct{ done chan struct{} }
 )
 
-// Start begins a session. It goes on until ctx ends or Close is called.
+// Start opens a session, and keeps it until ctx ends or Close is called.
 func Start(ctx context.Context, o Options) (*Client, error) {
 	if len(o.Coordinators) == 0 {
-		return nil, errors.New("no coordinator is named")
+		return nil, errors.New("no coordinator address given")
 	}
 	if o.Life == 0 {
 		o.Life = 10 * time.Second
@@ -103,7 +103,7 @@
 		timing:  lease.Timing{TTL: o.Life, Drift: o.Drift, Margin: o.Margin, MaxPause: o.Life / 2, MaxClockJump: o.Life / 4},
 		backoff: backoff.NewExponentialBackOff(), nextIndex: rand.IntN(len(o.Coordinators))}
 	if c.timing.Validity() < o.Life/4 {
-		return nil, fmt.Errorf("life %v with a margin of %v and a drift of %g leaves %v to act in", o.Life, o.Margin, o.Drift, c.timing.Validity())
+		return nil, fmt.Errorf("life %v with a margin of %v and a drift of %g leaves a validity of %v, less than a quarter of the life", o.Life, o.Margin, o.Drift, c.timing.Validity())
 	}
 	startedAt := time.Now()
 	if c.clock == nil {
@@ -116,7 +116,8 @@
 	return c, nil
 }
 
-// Acquire asks for a lease and waits until this process has it. The ask stands until Release, or until ctx ends.
+// Acquire requests a lease and waits until this process holds it. The request stands until Release is called, or until
+// ctx ends before the lease is held.
 func (c *Client) Acquire(ctx context.Context, name string) (*Lease, error) {
 	l := &Lease{Name: name, client: c, granted: make(chan struct{}), lost: make(chan struct{})}
 	if err := c.submit(ctx, acquireRequest{l}); err != nil {
@@ -125,7 +126,7 @@
 	select {
 	case <-l.granted:
 		return l, nil
-	case <-l.lost: // another ask of this process for the same name, or the client's end
+	case <-l.lost: // this process has requested the same lease already, or the client has ended
 		select {
 		case <-c.ended:
 			return nil, c.endError()
@@ -140,14 +141,16 @@
 	}
 }
 
+// endError returns the reason why the client ended.
 func (c *Client) endError() error { return cmp.Or(c.endErr, ErrClosed) }
 
-// Report tells the fleet how this member is.
+// Report sends the coordinators the current description of this member.
 func (c *Client) Report(ctx context.Context, m lease.Member) error {
 	return c.submit(ctx, reportRequest{m})
 }
 
-// Close ends the session: what it holds is free at once for others. Nothing may be done under it from the call on.
+// Close ends the session, so that its leases are free for others at once. From this call on the process must not act
+// under them.
 func (c *Client) Close(ctx context.Context) {
 	done := make(chan struct{})
 	if c.submit(ctx, closeRequest{done}) == nil {
@@ -161,6 +164,7 @@
 	<-c.ended
 }
 
+// submit sends the actor a request.
 func (c *Client) submit(ctx context.Context, request any) error {
 	select {
 	case c.mailbox <- request:
@@ -172,7 +176,7 @@
 	}
 }
 
-// run is the actor.
+// run is the actor's loop. It ends with ctx.
 func (c *Client) run(ctx context.Context) {
 	clockTicker := time.NewTicker(clockCheckInterval)
 	renewTicker := time.NewTicker(c.options.Life / 5)
@@ -207,8 +211,9 @@
 			c.resend = nil
 			c.sentSeq = 0
 		case message := <-in:
-			c.perform(c.holder.Tick(c.clock(), c.wallClock(), nil)) // first: a pause ends the session, whatever was answered in it
-			if c.stream == stream {                                 // else the session that it was meant for is over
+			// The clocks come first: a pause of the process ends the session, even if an answer came during it.
+			c.perform(c.holder.Tick(c.clock(), c.wallClock(), nil))
+			if c.stream == stream { // otherwise the session that the message is for has ended
 				c.handleMessage(message)
 			}
 		case err := <-failed:
--- a/internal/leaseholder/connection.go
+++ b/internal/leaseholder/connection.go
@@ -20,17 +20,19 @@
 	return out
 }
 
-// connection is one stream to a coordinator. Its writer and its reader wait for the network; the client never does.
+// connection is one stream to a coordinator. Only its reader and writer goroutines wait for the network; the client's
+// actor never does.
 type connection struct {
 	address      string
 	in           chan *leasepb.ToHolder
 	failed       chan error
 	out          chan *leasepb.FromHolder
 	cancel       context.CancelFunc
-	sessionOpen  bool // it has answered
-	lastReceived time.Duration
+	sessionOpen  bool          // the coordinator has answered a renewal on this stream
+	lastReceived time.Duration // when the last message was received
 }
 
+// openConnection starts a stream to a coordinator without waiting for it. A failure arrives on the failed channel.
 func openConnection(ctx context.Context, address string, via map[string]string) (*connection, error) {
 	conn, err := leasepb.Dial(cmp.Or(via[address], address))
 	if err != nil {
@@ -53,7 +55,7 @@
 				select {
 				case m := <-c.out:
 					if stream.Send(m) != nil {
-						return // the reader is told why
+						return // the reader receives the stream's error
 					}
 				case <-ctx.Done():
 					return
@@ -78,11 +80,12 @@
 	return c, nil
 }
 
+// send queues a message, and reports whether there was room for it.
 func (c *connection) send(m *leasepb.FromHolder) bool {
 	select {
 	case c.out <- m:
 		return true
 	default:
-		return false // it doesn't read
+		return false // the queue is full: the coordinator does not read
 	}
 }
--- a/internal/leaseholder/hold.go
+++ b/internal/leaseholder/hold.go
@@ -13,24 +13,25 @@
 	"junctionring/lease"
 )
 
-// Exit statuses of Hold beside the command's own.
+// Exit statuses of Hold, besides those of the command itself.
 const (
-	ExitLost    = 120 // the lease was lost, and the command was ended for it
-	ExitNotHeld = 121 // the lease was not to be had in time
+	ExitLost    = 120 // the lease was lost, and the command was therefore terminated
+	ExitNotHeld = 121 // the lease was not granted in time
 	ExitNoStart = 122 // the command could not be started
 )
 
 const (
-	killMargin            = 250 * time.Millisecond // before the lease ends nothing of the command may be left
+	killMargin            = 250 * time.Millisecond // before the lease ends: by then no process of the command may be left
 	validityCheckInterval = 20 * time.Millisecond
 	releaseTimeout        = 2 * time.Second
 )
 
-// Hold runs a command while a lease is held. The command's environment names the lease (JUNCTIONRING_LEASE), its
-// token (JUNCTIONRING_TOKEN), and until when it was known to be held at the start (JUNCTIONRING_DEADLINE, seconds
-// since 1970 by this machine's clock; renewals move it on). Before the lease ends the command gets SIGTERM, with
-// grace before SIGKILL. If this process is killed, the kernel kills the command too; if it is stopped (SIGSTOP), the
-// command goes on, and only what checks tokens is safe from it.
+// Hold runs a command while a lease is held. The command's environment carries the lease's name (JUNCTIONRING_LEASE),
+// its token (JUNCTIONRING_TOKEN), and until when it was valid as the command started (JUNCTIONRING_DEADLINE, seconds
+// since 1970 by this machine's clock; renewals extend the validity beyond that). Before the lease ends the command
+// receives SIGTERM, and SIGKILL after the grace period. If this process is killed, the kernel kills the command too;
+// if it is stopped (SIGSTOP), the command continues, and only resources that check fencing tokens are protected from
+// it.
 func Hold(ctx context.Context, c *Client, name string, command []string, wait, grace time.Duration) (exit int, err error) {
 	l, err := acquireWithin(ctx, c, name, wait)
 	if err != nil {
@@ -52,7 +53,7 @@
 	go func() { ended <- cmd.Wait() }()
 	h := &heldCommand{lease: l, processGroup: cmd.Process.Pid, grace: grace}
 	h.supervise(ctx, ended)
-	h.signal(syscall.SIGKILL) // what it left behind in its group
+	h.signal(syscall.SIGKILL) // processes that the command left behind in its group
 	releaseCtx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	l.Release(releaseCtx)
@@ -62,7 +63,7 @@
 	return exitStatus(cmd), nil
 }
 
-// acquireWithin waits for a lease for some time, or as long as it takes where that is 0.
+// acquireWithin waits for a lease up to the given time, or without a limit if that is 0.
 func acquireWithin(ctx context.Context, c *Client, name string, wait time.Duration) (*Lease, error) {
 	if wait > 0 {
 		var cancel context.CancelFunc
@@ -72,7 +73,7 @@
 	return c.Acquire(ctx, name)
 }
 
-// commandUnder is a command in a process group of its own, with the lease in its environment.
+// leasedCommand returns a command that runs in its own process group, with the lease in its environment.
 func leasedCommand(name string, token uint64, remaining time.Duration, command []string) *exec.Cmd {
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
@@ -88,12 +89,12 @@
 	lease        *Lease
 	processGroup int           // the command's process group
 	grace        time.Duration // from SIGTERM to SIGKILL
-	stopCause    string        // it was told to end; empty: it was not
-	killAt       time.Time     // when SIGKILL follows, once it was told
+	stopCause    string        // why the command was told to terminate; empty: it was not
+	killAt       time.Time     // when SIGKILL follows SIGTERM; set together with stopCause
 }
 
-// supervise returns when the command has ended. It tells the command to end where the lease is lost or runs out, or
-// ctx ends.
+// supervise returns when the command has ended. It terminates the command if the lease is lost or about to expire, or
+// if ctx ends.
 func (h *heldCommand) supervise(ctx context.Context, ended <-chan error) {
 	ticker := time.NewTicker(validityCheckInterval)
 	defer ticker.Stop()
@@ -111,14 +112,14 @@
 			h.stop(string(h.lease.Cause()), min(grace, h.lease.Left()-killMargin))
 		case <-interrupted:
 			interrupted = nil
-			h.stop("told to end", h.grace)
+			h.stop("interrupted", h.grace)
 		case <-ticker.C:
 			h.checkValidity()
 		}
 	}
 }
 
-// look tells the command to end in time before the lease does, and kills one that was told and did not.
+// checkValidity sends SIGTERM in time before the lease ends, and SIGKILL to a command that has not ended after it.
 func (h *heldCommand) checkValidity() {
 	switch remaining := h.lease.Left(); {
 	case h.stopCause == "" && remaining < h.grace:
@@ -128,7 +129,7 @@
 	}
 }
 
-// stop tells the command to end, once.
+// stop sends the command SIGTERM, once, and sets when SIGKILL follows.
 func (h *heldCommand) stop(cause string, grace time.Duration) {
 	if h.stopCause != "" {
 		return
@@ -140,7 +141,7 @@
 
 func (h *heldCommand) signal(s syscall.Signal) { syscall.Kill(-h.processGroup, s) }
 
-// exitStatus is a command's exit status as shells tell it.
+// exitStatus returns a command's exit status as shells do: 128 plus the signal's number if a signal killed it.
 func exitStatus(cmd *exec.Cmd) int {
 	if w, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && w.Signaled() {
 		return 128 + int(w.Signal())
--- a/internal/leaseholder/hold_test.go
+++ b/internal/leaseholder/hold_test.go
@@ -78,13 +78,13 @@
 	}
 	exit, err := hold(0, "sh", "-c", `echo "$JUNCTIONRING_LEASE $JUNCTIONRING_TOKEN $JUNCTIONRING_DEADLINE" >`+out+`; exit 7`)
 	if exit != 7 || err != nil {
-		t.Errorf("a command's own status 7 came out as %d, %v", exit, err)
+		t.Errorf("the command's exit status 7 was returned as %d, %v", exit, err)
 	}
 	text, _ := os.ReadFile(out)
 	var token uint64
 	var deadline float64
 	if _, err := fmt.Sscanf(string(text), "sweep %d %f", &token, &deadline); err != nil || token == 0 || deadline < float64(time.Now().Unix())-5 {
-		t.Errorf("its environment says %q: %v", text, err)
+		t.Errorf("the command's environment holds %q: %v", text, err)
 	}
 	if exit, err := hold(0, "/nonexistent/command"); exit != leaseholder.ExitNoStart || err == nil {
 		t.Errorf("a command that can't be started: %d, %v", exit, err)
@@ -100,7 +100,7 @@
 	if err := held.Release(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	// With the coordinators gone the command is ended before the lease is, though it won't end on SIGTERM.
+	// Without coordinators the command is killed before the lease ends, even though it does not end on SIGTERM.
 	began := filepath.Join(t.TempDir(), "began")
 	go func() {
 		for {
@@ -117,14 +117,14 @@
 		t.Errorf("a lease that was lost: %d, %v", exit, err)
 	}
 	if text, _ := os.ReadFile(out); string(text) != "told\n" {
-		t.Errorf("the command was not told to end before it was ended: %q", text)
+		t.Errorf("the command received no SIGTERM before it was killed: %q", text)
 	}
 	if took := time.Since(begun); took > 10*ttl {
-		t.Errorf("it was ended after %v", took)
+		t.Errorf("the command was killed only after %v", took)
 	}
 }
 
-// A revoked lease goes on only after the command has ended.
+// A revoked lease is granted to the next session only after the command has ended.
 func TestHoldEndsACommandWhoseLeaseIsRevoked(t *testing.T) {
 	address, _ := startCoordinator(t)
 	dir := t.TempDir()
@@ -152,10 +152,10 @@
 	exit, err := leaseholder.Hold(t.Context(), startClient(t, address, "first"), "sweep",
 		[]string{"sh", "-c", `trap 'sleep 0.1; >` + ended + `; exit 0' TERM; >` + began + `; while :; do sleep 0.01; done`}, 0, 400*time.Millisecond)
 	if exit != leaseholder.ExitLost || err == nil || !strings.Contains(err.Error(), "revoked") {
-		t.Errorf("%d, %v", exit, err)
+		t.Errorf("the command of a revoked lease: exit status %d, %v", exit, err)
 	}
 	if !<-endedFirst {
-		t.Error("the next holder had the lease while the command was still ending")
+		t.Error("the next session was granted the lease before the command had ended")
 	}
 }
 
@@ -166,16 +166,16 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Acquire(t.Context(), "sweep"); !errors.Is(err, leaseholder.ErrClosed) || !strings.Contains(err.Error(), "longest_life") {
-		t.Errorf("a life over the longest: %v", err)
+		t.Errorf("a life above longest_life: %v", err)
 	}
 	for _, o := range []leaseholder.Options{{}, {Coordinators: []string{address}, Life: ttl, Margin: ttl}} {
 		if _, err := leaseholder.Start(t.Context(), o); err == nil {
-			t.Errorf("%+v was taken", o)
+			t.Errorf("%+v was accepted", o)
 		}
 	}
 }
 
-// A gateway is shown with its state by a process beside it, and answers on when the coordinators are gone.
+// A process beside the gateway registers it and reports its state; the gateway keeps answering without coordinators.
 func TestRegisterShowsAGatewayAndNeverStopsIt(t *testing.T) {
 	address, stop := startCoordinator(t)
 	var ready atomic.Bool
@@ -213,7 +213,7 @@
 					return
 				}
 			case <-time.After(10 * time.Second):
-				t.Fatalf("never told %q", want)
+				t.Fatalf("state %q was not reported within 10 s", want)
 			}
 		}
 	}
--- a/internal/leaseholder/lease.go
+++ b/internal/leaseholder/lease.go
@@ -8,27 +8,27 @@
 	"junctionring/lease"
 )
 
-// Lease is one lease that a client asked for.
+// Lease is one lease that a client has requested.
 type Lease struct {
 	Name     string
 	client   *Client
 	grant    atomic.Pointer[grant]
-	stopBy   atomic.Int64  // by when all that was done under it must have stopped, on the client's clock
-	granted  chan struct{} // closed with the first grant
-	lost     chan struct{} // closed when it was had, and is not any more
+	stopBy   atomic.Int64  // when all actions under the lease must have stopped, on the client's clock
+	granted  chan struct{} // closed when the lease is granted for the first time
+	lost     chan struct{} // closed when the lease has ended, or its request failed
 	cause    lease.Cause
-	wanted   bool
-	released chan struct{} // closed when the coordinators have taken it back
+	wanted   bool          // requested, and neither released nor lost since
+	released chan struct{} // closed when the release is applied, the session ended, or the lease is requested again
 }
 
-// grant is what a process may do now. It is replaced as a whole.
+// grant is what allows the process to act now. It is immutable, and replaced as a whole.
 type grant struct {
 	token      uint64
 	validUntil time.Duration
 }
 
-// Token is what each act under the lease carries; ok is false when nothing may be done under it any more, and left
-// is for how long it may be acted on if no renewal is answered from now on.
+// Token returns the fencing token that each action under the lease carries, and for how much longer the process may
+// act if no further renewal is answered. ok is false once the process may no longer act.
 func (l *Lease) Token() (token uint64, remaining time.Duration, ok bool) {
 	g := l.grant.Load()
 	if g == nil {
@@ -38,18 +38,20 @@
 	return g.token, remaining, remaining > 0
 }
 
-// Left is how long what was begun under the lease may go on, also after it was revoked.
+// Left returns for how much longer an action that began under the lease may continue, also after a revocation.
 func (l *Lease) Left() time.Duration { return time.Duration(l.stopBy.Load()) - l.client.clock() }
 
-// Lost is closed when the lease was lost or given back; Cause then says why.
+// Lost returns a channel that is closed when the lease is lost or released; Cause then returns the reason.
 func (l *Lease) Lost() <-chan struct{} { return l.lost }
 
-// Cause is why the lease ended. Valid once Lost is closed. After a revocation the process says with Release that all
-// it did has stopped; until then, or for a life, nobody else is given the lease.
+// Cause returns why the lease ended. It is valid once Lost is closed. After a revocation the process confirms with
+// Release that all its actions have stopped; until then, or until a TTL has passed, no other session is granted the
+// lease.
 func (l *Lease) Cause() lease.Cause { return l.cause }
 
-// Release gives the lease back. Nothing may be done under it from the call on. It returns when the coordinators have
-// taken it, or ctx ends, and then they take it back with the session's life at the latest.
+// Release gives up the lease. From this call on the process must not act under it. Release returns when the
+// coordinators have applied it, or when ctx ends; in the latter case they free the lease when the session's TTL
+// expires at the latest.
 func (l *Lease) Release(ctx context.Context) error {
 	l.grant.Store(nil)
 	done := make(chan struct{})
--- a/internal/leaseholder/register.go
+++ b/internal/leaseholder/register.go
@@ -10,21 +10,22 @@
 	"junctionring/lease"
 )
 
-// Register keeps a member in the fleet's list: a process beside it, so that a gateway carries neither gRPC nor a
-// session, and serves on whatever becomes of the coordinators.
+// Register keeps a member registered in the fleet's list. It runs in a process beside the member, so that a gateway
+// needs neither gRPC nor a session, and keeps serving whatever happens to the coordinators.
 type Register struct {
 	Client *Client
 	Member lease.Member
-	Ready  string        // a URL that answers 2xx while the member is in order; empty: it is taken to be
-	Every  time.Duration // between two looks
+	Ready  string        // a URL that answers 2xx while the member is ready; empty: it is taken to be ready
+	Every  time.Duration // between two probes of Ready
 }
 
 const (
 	stateReady   = "ready"
-	probeTimeout = time.Second // for the member's answer
+	probeTimeout = time.Second // for the member's answer to a probe
 )
 
-// Run looks and reports each change until ctx ends; then the member leaves.
+// Run probes the member and reports each change of its state until ctx ends; then it closes the session, and the
+// member leaves the list.
 func (r Register) Run(ctx context.Context) error {
 	client := &http.Client{Timeout: probeTimeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	ticker := time.NewTicker(r.Every)
@@ -50,7 +51,8 @@
 	}
 }
 
-// state is how the member says that it is, in words that don't change from one look to the next without a cause.
+// probe returns the member's state. The text stays the same from one probe to the next unless the state changes,
+// because each change is reported.
 func (r Register) probe(ctx context.Context, client *http.Client) string {
 	if r.Ready == "" {
 		return stateReady
--- a/internal/leaseholder/requests.go
+++ b/internal/leaseholder/requests.go
@@ -5,13 +5,15 @@
 	"junctionring/lease"
 )
 
+// handleRequest handles a request that submit sent.
 func (c *Client) handleRequest(m any) {
 	switch m := m.(type) {
 	case acquireRequest:
 		if previous := c.leases[m.lease.Name]; previous != nil && previous.wanted {
-			m.lease.end("this process asked for it already")
+			m.lease.end("already requested by this process")
 			return
-		} else if previous != nil && previous.released != nil { // taken back before what is asked now is looked at
+		} else if previous != nil && previous.released != nil {
+			// Requests are handled in order: the release is applied before the new request.
 			close(previous.released)
 			previous.released = nil
 		}
@@ -39,12 +41,12 @@
 			l.end(lease.CauseReleased)
 		}
 		if c.stream == nil || !c.stream.send(&leasepb.FromHolder{Is: &leasepb.FromHolder_Close{Close: true}}) {
-			c.cancel() // its life ends it
+			c.cancel() // the session ends when its TTL expires
 		}
 	}
 }
 
-// follow carries out what the holder decided.
+// perform carries out the actions that the holder returned.
 func (c *Client) perform(actions []any) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -76,7 +78,7 @@
 				c.cancel()
 				return
 			}
-			c.options.Log.Warn("session over: a new one begins", "session", c.session, "cause", string(a.Cause))
+			c.options.Log.Warn("session ended; opening a new one", "session", c.session, "cause", string(a.Cause))
 			for _, l := range c.leases {
 				if l.released != nil {
 					close(l.released)
@@ -88,7 +90,7 @@
 	}
 }
 
-// publish tells the process's own threads until when they may act.
+// publishValidity updates until when the process's goroutines may act, and forgets leases that are fully released.
 func (c *Client) publishValidity() {
 	until, ok := c.holder.ValidUntil()
 	for name, l := range c.leases {
--- a/internal/leaseholder/session.go
+++ b/internal/leaseholder/session.go
@@ -13,7 +13,7 @@
 	"junctionring/lease"
 )
 
-// begin starts a session of a name that was never used.
+// startSession starts a new session under a name that has never been used, and requests the wanted leases again.
 func (c *Client) startSession() {
 	c.holder = lease.NewHolder(c.timing)
 	c.holder.Tick(c.clock(), c.wallClock(), nil)
@@ -27,10 +27,11 @@
 	c.reconnectAfter(0)
 }
 
-// again tries the next coordinator after a pause that grows, or one that was told.
+// reconnectAfter schedules the next attempt to connect: after the delay that a coordinator asked for, soon if the
+// leader is known, and with exponential backoff otherwise.
 func (c *Client) reconnectAfter(delay time.Duration) {
 	c.disconnect()
-	if c.closing != nil { // its life ends the session; opened again it would live on
+	if c.closing != nil { // the session ends when its TTL expires; a reconnect would extend it
 		c.cancel()
 		return
 	}
@@ -40,12 +41,13 @@
 		} else if delay == 0 {
 			delay = c.backoff.NextBackOff()
 		} else {
-			delay += rand.N(delay) // they all were told the same
+			delay += rand.N(delay) // jitter, since all clients were told the same delay
 		}
 		c.retry = time.After(delay)
 	}
 }
 
+// disconnect closes the stream. An unanswered request is sent again on the next one.
 func (c *Client) disconnect() {
 	if c.stream != nil {
 		c.stream.cancel()
@@ -54,6 +56,7 @@
 	c.sentSeq, c.resend = 0, nil
 }
 
+// connect opens a stream to the leader if that is known, or otherwise to the next coordinator in turn.
 func (c *Client) connect(ctx context.Context) {
 	address := c.leader
 	if c.leader = ""; address == "" {
@@ -73,9 +76,9 @@
 
 func (c *Client) renew() {
 	if c.stream != nil && c.stream.sessionOpen {
-		// A stream that has answered nothing for most of a life is of no use.
+		// A stream that has delivered nothing for this part of the TTL is considered dead.
 		if c.clock()-c.stream.lastReceived > c.timing.TTL*2/5 {
-			c.options.Log.Warn("the coordinator is silent", "address", c.stream.address)
+			c.options.Log.Warn("coordinator does not answer; reconnecting", "address", c.stream.address)
 			c.reconnectAfter(0)
 			return
 		}
@@ -87,6 +90,7 @@
 	}
 }
 
+// sendRequest sends the holder's next request, unless it was sent on this stream already.
 func (c *Client) sendRequest() {
 	a, ok := c.holder.NextRequest()
 	if !ok || c.stream == nil || !c.stream.sessionOpen || c.sentSeq == a.Seq {
@@ -100,7 +104,7 @@
 	}
 }
 
-// failed takes in that a connection ended, after what it said before that.
+// handleFailure handles the end of a connection, after the messages that arrived on it before.
 func (c *Client) handleFailure(conn *connection, err error) {
 	for c.stream == conn {
 		select {
@@ -110,16 +114,17 @@
 		default:
 		}
 		if status.Code(err) == codes.InvalidArgument {
-			c.endErr = fmt.Errorf("%w: the coordinators turn its session down: %s", ErrClosed, status.Convert(err).Message())
+			c.endErr = fmt.Errorf("%w: the coordinators refused the session: %s", ErrClosed, status.Convert(err).Message())
 			c.disconnect()
 			c.cancel()
 			return
 		}
-		c.options.Log.Info("the connection to a coordinator ended", "address", conn.address, "err", err)
+		c.options.Log.Info("connection to coordinator ended", "address", conn.address, "err", err)
 		c.reconnectAfter(0)
 	}
 }
 
+// handleMessage handles a coordinator's message.
 func (c *Client) handleMessage(m *leasepb.ToHolder) {
 	now := c.clock()
 	c.stream.lastReceived = now
@@ -141,12 +146,12 @@
 		c.perform(c.holder.ViewReceived(now, viewFromProto(is.Told), nil))
 	case *leasepb.ToHolder_Gone:
 		if c.closing == nil {
-			c.options.Log.Warn("the coordinators ended the session", "session", c.session)
+			c.options.Log.Warn("coordinators ended the session", "session", c.session)
 		}
 		c.perform(c.holder.SessionGone(nil))
 	case *leasepb.ToHolder_Busy:
 		after := time.Duration(is.Busy.RetryAfterMs) * time.Millisecond
-		c.options.Log.Warn("the coordinators are busy", "why", is.Busy.Why, "after", after)
+		c.options.Log.Warn("coordinators are busy; retrying later", "why", is.Busy.Why, "after", after)
 		if c.stream.sessionOpen {
 			c.resend = time.After(after + rand.N(after+1))
 		} else {
@@ -156,13 +161,13 @@
 		if c.leader = is.NotLeading.Leader; c.leader == c.stream.address {
 			c.leader = ""
 		}
-		if c.leader == "" && c.closing == nil { // an election is on: it is over long before the life is
+		if c.leader == "" && c.closing == nil { // an election is in progress, and ends long before the TTL does
 			c.reconnectAfter(c.options.Life / electionRetries)
 		} else {
 			c.reconnectAfter(0)
 		}
 	}
-	for _, l := range c.leases { // what is given back is known to be so
+	for _, l := range c.leases { // the coordinators have confirmed these releases
 		if l.released != nil && c.holder.Phase(l.Name) == lease.None {
 			close(l.released)
 			l.released = nil
--- a/internal/leaseholder/watch.go
+++ b/internal/leaseholder/watch.go
@@ -12,22 +12,22 @@
 	"junctionring/lease"
 )
 
-// Watch follows the fleet's membership.
+// Watch receives the changes of the fleet's membership.
 type Watch struct {
 	Coordinators []string
 	Log          *slog.Logger
 }
 
-// ChangeWord is a change in a word.
+// ChangeWord returns a kind of change as one word for display.
 func ChangeWord(k lease.ChangeKind) string {
 	return map[lease.ChangeKind]string{lease.Joined: "joined", lease.Changed: "changed", lease.Left: "left", lease.Expired: "silent"}[k]
 }
 
-// Run tells each change in order, none twice, until ctx ends. After a stream was lost, what was missed is told; where
-// that is not known any more, everybody who is there (whole).
+// Run passes each change to the callback, in order and none twice, until ctx ends. After a lost stream it passes the
+// changes that were missed; if the coordinators no longer have those, it passes all current members, with whole set.
 func (w Watch) Run(ctx context.Context, notify func(whole bool, changes []lease.Change)) error {
 	if len(w.Coordinators) == 0 {
-		return errors.New("no coordinator is named")
+		return errors.New("no coordinator address given")
 	}
 	retryDelay := backoff.NewExponentialBackOff()
 	retryDelay.InitialInterval, retryDelay.MaxInterval = minBackoff, maxBackoff
@@ -52,7 +52,7 @@
 			}
 		})
 		if ctx.Err() == nil && leader == "" {
-			w.Log.Warn("the stream of members ended", "address", address, "err", err)
+			w.Log.Warn("membership stream ended", "address", address, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// follow keeps one stream until it ends, and returns where the leader is, where it was told.
+// receive reads one stream until it ends, and returns the leader's address if the coordinator named another one.
 func (w Watch) receive(ctx context.Context, address string, ask *leasepb.WatchAsk, handle func(*leasepb.WatchAnswer)) (leader string, err error) {
 	conn, err := leasepb.Dial(address)
 	if err != nil {
@@ -84,6 +84,7 @@
 	}
 }
 
+// leaderOtherThan returns the leader's address from a trailer, unless it is the address that was asked.
 func leaderOtherThan(leaders []string, address string) string {
 	if len(leaders) == 1 && leaders[0] != address {
 		return leaders[0]
