--- a/internal/leaseholder/connection.go
+++ b/internal/leaseholder/connection.go
@@ -9,7 +9,7 @@
 	"junctionring/lease"
 )
 
-func viewIn(v *leasepb.View) (out lease.View) {
+func viewFromProto(v *leasepb.View) (out lease.View) {
 	out.Rev = v.GetRev()
 	for _, g := range v.GetHeld() {
 		out.Held = append(out.Held, lease.Grant{Name: g.Name, Token: g.Token})
@@ -20,31 +20,33 @@
 	return out
 }
 
-// connection is one stream to a coordinator. Its writer and its reader wait for the network; the client never does.
+// connection is one stream to a coordinator. Only its reader and writer goroutines wait for the network; the client's
+// actor never does.
 type connection struct {
-	address string
-	in      chan *leasepb.ToHolder
-	failed  chan error
-	out     chan *leasepb.FromHolder
-	end     context.CancelFunc
-	opened  bool // it has answered
-	heard   time.Duration
+	address      string
+	in           chan *leasepb.ToHolder
+	failed       chan error
+	out          chan *leasepb.FromHolder
+	cancel       context.CancelFunc
+	sessionOpen  bool          // the coordinator has answered a renewal on this stream
+	lastReceived time.Duration // when the last message was received
 }
 
-func open(ctx context.Context, address string, via map[string]string) (*connection, error) {
+// openConnection starts a stream to a coordinator without waiting for it. A failure arrives on the failed channel.
+func openConnection(ctx context.Context, address string, via map[string]string) (*connection, error) {
 	conn, err := leasepb.Dial(cmp.Or(via[address], address))
 	if err != nil {
 		return nil, err
 	}
-	ctx, end := context.WithCancel(ctx)
-	c := &connection{address: address, in: make(chan *leasepb.ToHolder, 16), failed: make(chan error, 1), out: make(chan *leasepb.FromHolder, 16), end: end}
+	ctx, cancel := context.WithCancel(ctx)
+	c := &connection{address: address, in: make(chan *leasepb.ToHolder, 16), failed: make(chan error, 1), out: make(chan *leasepb.FromHolder, 16), cancel: cancel}
 	go func() {
 		defer conn.Close()
-		defer end()
-		late := time.AfterFunc(openWait, end)
-		g, err := leasepb.NewLeasesClient(conn).Session(ctx)
+		defer cancel()
+		timer := time.AfterFunc(firstAnswerTimeout, cancel)
+		stream, err := leasepb.NewLeasesClient(conn).Session(ctx)
 		if err != nil {
-			late.Stop()
+			timer.Stop()
 			c.failed <- err
 			return
 		}
@@ -52,8 +54,8 @@
 			for {
 				select {
 				case m := <-c.out:
-					if g.Send(m) != nil {
-						return // the reader is told why
+					if stream.Send(m) != nil {
+						return // the reader receives the stream's error
 					}
 				case <-ctx.Done():
 					return
@@ -61,8 +63,8 @@
 			}
 		}()
 		for {
-			m, err := g.Recv()
-			late.Stop()
+			m, err := stream.Recv()
+			timer.Stop()
 			if err != nil {
 				c.failed <- err
 				return
@@ -78,11 +80,12 @@
 	return c, nil
 }
 
+// send queues a message, and reports whether there was room for it.
 func (c *connection) send(m *leasepb.FromHolder) bool {
 	select {
 	case c.out <- m:
 		return true
 	default:
-		return false // it doesn't read
+		return false // the queue is full: the coordinator does not read
 	}
 }
--- a/internal/leaseholder/watch.go
+++ b/internal/leaseholder/watch.go
@@ -12,81 +12,82 @@
 	"junctionring/lease"
 )
 
-// Watch follows the fleet's membership.
+// Watch receives the changes of the fleet's membership.
 type Watch struct {
 	Coordinators []string
 	Log          *slog.Logger
 }
 
-// ChangeWord is a change in a word.
+// ChangeWord returns a kind of change as one word for display.
 func ChangeWord(k lease.ChangeKind) string {
 	return map[lease.ChangeKind]string{lease.Joined: "joined", lease.Changed: "changed", lease.Left: "left", lease.Expired: "silent"}[k]
 }
 
-// Run tells each change in order, none twice, until ctx ends. After a stream was lost, what was missed is told; where
-// that is not known any more, everybody who is there (whole).
-func (w Watch) Run(ctx context.Context, tell func(whole bool, changes []lease.Change)) error {
+// Run passes each change to the callback, in order and none twice, until ctx ends. After a lost stream it passes the
+// changes that were missed; if the coordinators no longer have those, it passes all current members, with whole set.
+func (w Watch) Run(ctx context.Context, notify func(whole bool, changes []lease.Change)) error {
 	if len(w.Coordinators) == 0 {
-		return errors.New("no coordinator is named")
+		return errors.New("no coordinator address given")
 	}
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstPause, longPause
-	var newest uint64
-	begun, turn, leader := false, 0, ""
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.InitialInterval, retryDelay.MaxInterval = minBackoff, maxBackoff
+	var lastSeq uint64
+	started, nextIndex, leader := false, 0, ""
 	for ctx.Err() == nil {
 		address := leader
 		if leader = ""; address == "" {
-			address = w.Coordinators[turn%len(w.Coordinators)]
-			turn++
+			address = w.Coordinators[nextIndex%len(w.Coordinators)]
+			nextIndex++
 		}
 		var err error
-		leader, err = w.follow(ctx, address, &leasepb.WatchAsk{After: newest, Whole: !begun}, func(a *leasepb.WatchAnswer) {
-			begun, newest = true, a.Seq
-			pause.Reset()
+		leader, err = w.receive(ctx, address, &leasepb.WatchAsk{After: lastSeq, Whole: !started}, func(a *leasepb.WatchAnswer) {
+			started, lastSeq = true, a.Seq
+			retryDelay.Reset()
 			var changes []lease.Change
 			for _, c := range a.Changes {
 				changes = append(changes, lease.Change{Seq: c.Seq, Kind: lease.ChangeKind(c.Kind), Session: c.Session, Member: c.Member.Lease()})
 			}
 			if a.Whole || len(changes) > 0 {
-				tell(a.Whole, changes)
+				notify(a.Whole, changes)
 			}
 		})
 		if ctx.Err() == nil && leader == "" {
-			w.Log.Warn("the stream of members ended", "address", address, "err", err)
+			w.Log.Warn("membership stream ended", "address", address, "err", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause.NextBackOff()):
+		case <-time.After(retryDelay.NextBackOff()):
 		}
 	}
 	return nil
 }
 
-// follow keeps one stream until it ends, and returns where the leader is, where it was told.
-func (w Watch) follow(ctx context.Context, address string, ask *leasepb.WatchAsk, take func(*leasepb.WatchAnswer)) (leader string, err error) {
+// receive reads one stream until it ends, and returns the leader's address if the coordinator named another one.
+func (w Watch) receive(ctx context.Context, address string, ask *leasepb.WatchAsk, handle func(*leasepb.WatchAnswer)) (leader string, err error) {
 	conn, err := leasepb.Dial(address)
 	if err != nil {
 		return "", err
 	}
 	defer conn.Close()
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	s, err := leasepb.NewLeasesClient(conn).Watch(ctx, ask)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	stream, err := leasepb.NewLeasesClient(conn).Watch(ctx, ask)
 	if err != nil {
 		return "", err
 	}
 	for {
-		a, err := s.Recv()
+		answer, err := stream.Recv()
 		if err != nil {
-			return first(s.Trailer().Get("leader"), address), err
+			return leaderOtherThan(stream.Trailer().Get("leader"), address), err
 		}
-		take(a)
+		handle(answer)
 	}
 }
 
-func first(words []string, not string) string {
-	if len(words) == 1 && words[0] != not {
-		return words[0]
+// leaderOtherThan returns the leader's address from a trailer, unless it is the address that was asked.
+func leaderOtherThan(leaders []string, address string) string {
+	if len(leaders) == 1 && leaders[0] != address {
+		return leaders[0]
 	}
 	return ""
 }
