--- a/cmd/fleet/coordinator.go
+++ b/cmd/fleet/coordinator.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	switch made, err := coordinator.Made(o.Data); {
+	switch made, err := coordinator.HasIdentity(o.Data); {
 	case err != nil:
 		return err
 	case made:
--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -73,7 +73,7 @@
 			}
 			if atOnce, _ := f.judge(c.version); atOnce > 1 {
 				text, _ := os.ReadFile(f.record)
-				t.Errorf("%d were replaced at once:\n%s%s", atOnce, text, grouptest.Told(v))
+				t.Errorf("%d were replaced at once:\n%s%s", atOnce, text, grouptest.FormatNotes(v))
 			}
 		})
 	}
@@ -204,7 +204,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := &fleet{t: t, ctx: t.Context(), dir: t.TempDir(), Group: &grouptest.Group{At: "127.0.0.1:1"}}
+			f := &fleet{t: t, ctx: t.Context(), dir: t.TempDir(), Group: &grouptest.Group{Address: "127.0.0.1:1"}}
 			f.record = f.dir + "/record"
 			f.write()
 			o := f.config("g0", "g0")
--- a/internal/agent/release_test.go
+++ b/internal/agent/release_test.go
@@ -134,7 +134,7 @@
 [configuration]
 folder = "configs"
 version = "c1"
-`, name, int(name[1])%2, f.At, file, grouptest.Free(f.t), grouptest.Free(f.t), f.record, file)
+`, name, int(name[1])%2, f.Address, file, grouptest.FreeAddress(f.t), grouptest.FreeAddress(f.t), f.record, file)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		f.t.Fatal(err)
 	}
@@ -214,7 +214,7 @@
 func (f *fleet) conduct(stop func(rollout.Move)) (end func()) {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(f.ctx)
-	client, err := leaseholder.Start(ctx, leaseholder.Options{Coordinators: []string{f.At}, Life: 2 * time.Second, Member: lease.Member{Kind: "conductor", Name: "test"}})
+	client, err := leaseholder.Start(ctx, leaseholder.Options{Coordinators: []string{f.Address}, Life: 2 * time.Second, Member: lease.Member{Kind: "conductor", Name: "test"}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -308,7 +308,7 @@
 	}
 	if atOnce, ran := f.judge("2"); atOnce > 1 || ran != gateways {
 		text, _ := os.ReadFile(f.record)
-		t.Errorf("%d were replaced at once, %d ran it:\n%s%s", atOnce, ran, text, grouptest.Told(v))
+		t.Errorf("%d were replaced at once, %d ran it:\n%s%s", atOnce, ran, text, grouptest.FormatNotes(v))
 	}
 }
 
--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -14,17 +14,17 @@
 )
 
 // work writes, sends and applies until there is nothing left to do. What is sent was written before.
-func (n *Node) work() error {
-	if len(n.waiting) > 0 {
+func (n *Node) processReady() error {
+	if len(n.nextReads) > 0 {
 		n.round++
-		n.reads[n.round] = n.waiting
-		n.waiting = nil
+		n.roundReads[n.round] = n.nextReads
+		n.nextReads = nil
 		n.raft.ReadIndex(binary.BigEndian.AppendUint64(nil, n.round))
 	}
 	for n.raft.HasReady() {
 		rd := n.raft.Ready()
-		if n.full != nil {
-			if err := n.full(); err != nil {
+		if n.checkSpace != nil {
+			if err := n.checkSpace(); err != nil {
 				return err
 			}
 		}
@@ -32,10 +32,10 @@
 			return err
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := n.restored(rd.Snapshot); err != nil {
+			if err := n.restore(rd.Snapshot); err != nil {
 				return err
 			}
-			n.peers.set(n.known())
+			n.peers.set(n.knownPeers())
 		}
 		n.peers.send(rd.Messages)
 		for _, e := range rd.CommittedEntries {
@@ -48,22 +48,22 @@
 				continue
 			}
 			round := binary.BigEndian.Uint64(r.RequestCtx)
-			n.confirmed = append(n.confirmed, confirmation{r.Index, n.reads[round]})
-			delete(n.reads, round)
+			n.confirmedRounds = append(n.confirmedRounds, confirmedRound{r.Index, n.roundReads[round]})
+			delete(n.roundReads, round)
 		}
 		n.raft.Advance(rd)
-		n.office()
-		n.answerReads()
+		n.followLeadership()
+		n.answerConfirmedReads()
 	}
-	n.awaited = slices.DeleteFunc(n.awaited, func(a awaited) bool {
-		if a.so() {
-			a.then(nil)
+	n.appliedWaiters = slices.DeleteFunc(n.appliedWaiters, func(a appliedWaiter) bool {
+		if a.condition() {
+			a.callback(nil)
 			return true
 		}
 		return false
 	})
-	if n.applied >= n.disk.taken+n.c.Entries || n.joined > n.disk.taken {
-		return n.disk.compact(n.applied, n.conf, encode(n.g))
+	if n.applied >= n.disk.snapshotIndex+n.c.Entries || n.learnerAddedAt > n.disk.snapshotIndex {
+		return n.disk.compact(n.applied, n.confState, encode(n.g))
 	}
 	return nil
 }
@@ -76,19 +76,19 @@
 		if err := proto.Unmarshal(e.GetData(), &cc); err != nil {
 			return err
 		}
-		if err := n.g.change(&cc); err != nil {
+		if err := n.g.applyConfChange(&cc); err != nil {
 			return err
 		}
-		n.conf = n.raft.ApplyConfChange(&cc)
+		n.confState = n.raft.ApplyConfChange(&cc)
 		if cc.GetType() == raftpb.ConfChangeAddLearnerNode {
-			n.joined = n.applied
+			n.learnerAddedAt = n.applied
 		}
-		n.changing = false
+		n.confChangePending = false
 		if cc.GetNodeId() == n.id.ID {
 			n.id.Joins = false
 		}
-		n.log.Info("coordinators", "change", cc.GetType(), "id", cc.GetNodeId(), "voters", n.conf.GetVoters(), "learners", n.conf.GetLearners())
-		n.peers.set(n.known())
+		n.log.Info("coordinators", "change", cc.GetType(), "id", cc.GetNodeId(), "voters", n.confState.GetVoters(), "learners", n.confState.GetLearners())
+		n.peers.set(n.knownPeers())
 	case raftpb.EntryNormal:
 		if len(e.GetData()) == 0 {
 			return nil
@@ -98,19 +98,19 @@
 			return fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)
 		}
 		if x.Meet != nil {
-			n.g.meet(*x.Meet)
-			n.peers.set(n.known())
+			n.g.recordIncarnation(*x.Meet)
+			n.peers.set(n.knownPeers())
 		}
 		if x.Cmd != nil {
-			n.command(x)
+			n.applyCommand(x)
 		}
-		if x.Roll != nil {
-			r := n.g.Fleet.Apply(*x.Roll)
-			if x.Roll.Op == rollout.Claim {
-				delete(n.lates, x.Roll.Unit) // it has its whole time again
+		if x.FleetCmd != nil {
+			r := n.g.Fleet.Apply(*x.FleetCmd)
+			if x.FleetCmd.Op == rollout.Claim {
+				delete(n.permitDeadlines, x.FleetCmd.Unit) // it has its whole time again
 			}
-			if then := n.rolls[x.ID]; then != nil {
-				delete(n.rolls, x.ID)
+			if then := n.pendingFleet[x.ID]; then != nil {
+				delete(n.pendingFleet, x.ID)
 				then(r, nil)
 			}
 		}
@@ -118,32 +118,32 @@
 	return nil
 }
 
-func (n *Node) command(x entry) {
+func (n *Node) applyCommand(x entry) {
 	e := n.g.State.Apply(*x.Cmd)
 	if s := n.raft.BasicStatus(); x.Cmd.Op == lease.Lead && x.Cmd.Term == s.GetTerm() && s.RaftState == raft.StateLeader {
-		n.watch = lease.NewExpiryTracker(n.clock(), n.g.State, n.c.Life.Duration)
+		n.expiry = lease.NewExpiryTracker(n.clock(), n.g.State, n.c.Life.Duration)
 		n.log.Info("in office", "term", x.Cmd.Term, "sessions", len(n.g.State.Sessions), "sealed", n.g.State.Sealed)
-	} else if n.watch != nil {
-		n.watch.Applied(n.clock(), n.g.State, *x.Cmd, e)
+	} else if n.expiry != nil {
+		n.expiry.Applied(n.clock(), n.g.State, *x.Cmd, e)
 	}
 	then := n.pending[x.ID]
 	delete(n.pending, x.ID)
 	if then != nil {
 		then(e, nil)
 	}
-	if n.watch == nil {
+	if n.expiry == nil {
 		return
 	}
-	n.report(x.Cmd, e)
+	n.logEffect(x.Cmd, e)
 	for _, id := range e.AffectedSessions {
 		st := n.streams[id]
 		if st == nil {
 			continue
 		}
 		if v, ok := n.g.State.View(id); ok {
-			st.told(v)
+			st.sendView(v)
 		} else {
-			st.gone()
+			st.sendGone()
 			delete(n.streams, id)
 		}
 	}
@@ -151,7 +151,7 @@
 		if (c.Kind == lease.Expired || c.Kind == lease.Left) && (c.Member.Kind == AgentKind || c.Member.Kind == WardenKind) {
 			for unit, u := range n.g.Fleet.Budget.Units {
 				if u.By == c.Member.Name {
-					n.roll(rollout.Command{Op: rollout.MarkLost, Unit: unit}, nil)
+					n.proposeFleet(rollout.Command{Op: rollout.MarkLost, Unit: unit}, nil)
 				}
 			}
 		}
@@ -166,7 +166,7 @@
 }
 
 // report logs what a command led to, at the coordinator that leads.
-func (n *Node) report(c *lease.Command, e lease.Effect) {
+func (n *Node) logEffect(c *lease.Command, e lease.Effect) {
 	switch {
 	case e.Status == lease.Stale || e.Status == lease.Unknown || e.Status == lease.Full:
 		n.log.Debug("without effect", "op", c.Op, "session", c.Session, "lease", c.Name, "token", c.Token, "status", e.Status)
--- a/internal/coordinator/call_test.go
+++ b/internal/coordinator/call_test.go
@@ -11,17 +11,17 @@
 // A call that ends before the actor gets to it shares nothing with the actor: under the race detector the late reply
 // must not touch what the caller reads.
 func TestCallThatEndsEarlySharesNothing(t *testing.T) {
-	n := &Node{asks: make(chan any, 1), ended: make(chan struct{}), g: newGroup()}
+	n := &Node{requests: make(chan any, 1), ended: make(chan struct{}), g: newGroup()}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	value, err := do(ctx, service{n: n}, func(_ *Node, done func([]byte, error)) { done([]byte("late"), nil) })
+	value, err := runInActor(ctx, service{n: n}, func(_ *Node, done func([]byte, error)) { done([]byte("late"), nil) })
 	if value != nil || status.Code(err) != codes.Canceled {
 		t.Fatalf("a call that has ended: %q, %v; want no value and Canceled", value, err)
 	}
 	handled := make(chan struct{})
 	go func() { // the actor
 		defer close(handled)
-		(<-n.asks).(call).do()
+		(<-n.requests).(call).do()
 	}()
 	if value != nil {
 		t.Errorf("the late reply reached the caller: %q", value)
--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -71,7 +71,7 @@
 }
 
 // founders are the coordinators that a group begins with, numbered from 1.
-func (c *Config) founders() (all []Peer) {
+func (c *Config) initialPeers() (all []Peer) {
 	if len(c.Peers) == 0 {
 		return []Peer{{ID: 1, Name: c.Name, Address: c.Listen}}
 	}
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -22,22 +22,22 @@
 )
 
 // life is the shortest that sessions may have.
-const life = time.Second
+const sessionTTL = time.Second
 
 // fleet is a group of coordinators in this process.
-type fleet struct {
-	t       *testing.T
-	ctx     context.Context
-	configs []*Config
-	stops   []func() error
-	all     []string
+type testGroup struct {
+	t         *testing.T
+	ctx       context.Context
+	configs   []*Config
+	stops     []func() error
+	addresses []string
 }
 
-func newFleet(t *testing.T, n int, edit func(*Config)) *fleet {
+func newTestGroup(t *testing.T, n int, edit func(*Config)) *testGroup {
 	t.Helper()
 	ctx, done := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(done)
-	f := &fleet{t: t, ctx: ctx, stops: make([]func() error, n)}
+	f := &testGroup{t: t, ctx: ctx, stops: make([]func() error, n)}
 	var held []net.Listener // until all have been given, so that none is given twice
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,14 +45,14 @@
 			t.Fatal(err)
 		}
 		held = append(held, l)
-		f.all = append(f.all, l.Addr().String())
+		f.addresses = append(f.addresses, l.Addr().String())
 	}
 	for _, l := range held {
 		l.Close()
 	}
-	for i, a := range f.all {
-		text := fmt.Sprintf("name = \"c%d\"\nlisten = %q\ndata = \"data-%d\"\nlongest_life = %q\nsnapshot_entries = 100\n", i+1, a, i+1, life)
-		for j, b := range f.all {
+	for i, a := range f.addresses {
+		text := fmt.Sprintf("name = \"c%d\"\nlisten = %q\ndata = \"data-%d\"\nlongest_life = %q\nsnapshot_entries = 100\n", i+1, a, i+1, sessionTTL)
+		for j, b := range f.addresses {
 			text += fmt.Sprintf("[[coordinator]]\nname = \"c%d\"\naddress = %q\n", j+1, b)
 		}
 		path := filepath.Join(t.TempDir(), "c.toml")
@@ -79,7 +79,7 @@
 	return f
 }
 
-func (f *fleet) start(which ...int) {
+func (f *testGroup) start(which ...int) {
 	f.t.Helper()
 	for _, i := range which {
 		ctx, end := context.WithCancel(f.ctx)
@@ -96,7 +96,7 @@
 	}
 }
 
-func (f *fleet) stop(i int) error {
+func (f *testGroup) stop(i int) error {
 	if f.stops[i] == nil {
 		return nil
 	}
@@ -105,8 +105,8 @@
 	return stop()
 }
 
-func (f *fleet) status(i int) *leasepb.StatusAnswer {
-	s, err := ask(f.ctx, f.all[i], time.Second, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.StatusAnswer, error) {
+func (f *testGroup) status(i int) *leasepb.StatusAnswer {
+	s, err := callCoordinator(f.ctx, f.addresses[i], time.Second, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.StatusAnswer, error) {
 		return to.Status(ctx, &leasepb.StatusAsk{})
 	})
 	if err != nil {
@@ -116,9 +116,9 @@
 }
 
 // await asks until it is so. The coordinators tell a status only when asked.
-func (f *fleet) await(what string, so func() bool) {
+func (f *testGroup) await(what string, condition func() bool) {
 	f.t.Helper()
-	for !so() {
+	for !condition() {
 		select {
 		case <-f.ctx.Done():
 			f.t.Fatalf("never: %s", what)
@@ -127,11 +127,11 @@
 	}
 }
 
-func (f *fleet) leader() int {
+func (f *testGroup) leader() int {
 	at := -1
 	f.await("one leads", func() bool {
-		at = slices.IndexFunc(f.all, func(a string) bool {
-			i := slices.Index(f.all, a)
+		at = slices.IndexFunc(f.addresses, func(a string) bool {
+			i := slices.Index(f.addresses, a)
 			s := f.status(i)
 			return f.stops[i] != nil && s.Leader != 0 && s.Leader == s.Id
 		})
@@ -140,16 +140,16 @@
 	return at
 }
 
-func (f *fleet) client(name string) *leaseholder.Client {
+func (f *testGroup) client(name string) *leaseholder.Client {
 	f.t.Helper()
-	c, err := leaseholder.Start(f.ctx, leaseholder.Options{Coordinators: f.all, Life: life, Member: lease.Member{Kind: "test", Name: name}})
+	c, err := leaseholder.Start(f.ctx, leaseholder.Options{Coordinators: f.addresses, Life: sessionTTL, Member: lease.Member{Kind: "test", Name: name}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	return c
 }
 
-func (f *fleet) acquire(c *leaseholder.Client, name string) (*leaseholder.Lease, uint64) {
+func (f *testGroup) acquire(c *leaseholder.Client, name string) (*leaseholder.Lease, uint64) {
 	f.t.Helper()
 	l, err := c.Acquire(f.ctx, name)
 	if err != nil {
@@ -162,15 +162,15 @@
 	return l, token
 }
 
-func asked[T any](f *fleet, do func(context.Context, leasepb.LeasesClient) (T, error)) (T, error) {
+func askLeader[T any](f *testGroup, do func(context.Context, leasepb.LeasesClient) (T, error)) (T, error) {
 	ctx, done := context.WithTimeout(f.ctx, 5*time.Second)
 	defer done()
-	return leaseholder.Ask(ctx, leaseholder.NewGroup(f.all...), do)
+	return leaseholder.Ask(ctx, leaseholder.NewGroup(f.addresses...), do)
 }
 
-func (f *fleet) list() *leasepb.ListAnswer {
+func (f *testGroup) list() *leasepb.ListAnswer {
 	f.t.Helper()
-	a, err := asked(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.ListAnswer, error) {
+	a, err := askLeader(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.ListAnswer, error) {
 		return to.List(ctx, &leasepb.ListAsk{}, leaseholder.Trailer(ctx))
 	})
 	if err != nil {
@@ -180,7 +180,7 @@
 }
 
 func TestALeaseGoesFromHolderToHolder(t *testing.T) {
-	f := newFleet(t, 3, nil)
+	f := newTestGroup(t, 3, nil)
 	f.start(0, 1, 2)
 	a, b := f.client("a"), f.client("b")
 	held, first := f.acquire(a, "sweep")
@@ -205,7 +205,7 @@
 		t.Error(err)
 	}
 	f.leader()
-	if _, err := asked(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Outcome, error) {
+	if _, err := askLeader(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Outcome, error) {
 		return to.Revoke(ctx, &leasepb.RevokeAsk{Name: "sweep", By: "test"}, leaseholder.Trailer(ctx))
 	}); err != nil {
 		t.Fatal(err)
@@ -233,7 +233,7 @@
 }
 
 func TestALostDiskIsNeverItsOldSelf(t *testing.T) {
-	f := newFleet(t, 3, nil)
+	f := newTestGroup(t, 3, nil)
 	f.start(0, 1, 2)
 	f.await("each has met each", func() bool {
 		c := f.status(f.leader()).Coordinators
@@ -255,8 +255,8 @@
 	if err := Serve(f.ctx, Options{Config: c, Log: slog.New(slog.DiscardHandler)}, nil); err == nil || !strings.Contains(err.Error(), "knows another") {
 		t.Errorf("it ran on: %v", err)
 	}
-	_, err := ask(f.ctx, f.all[f.leader()], time.Second, func(ctx context.Context, _ leasepb.LeasesClient) (any, error) {
-		conn, err := leasepb.Dial(f.all[f.leader()])
+	_, err := callCoordinator(f.ctx, f.addresses[f.leader()], time.Second, func(ctx context.Context, _ leasepb.LeasesClient) (any, error) {
+		conn, err := leasepb.Dial(f.addresses[f.leader()])
 		if err != nil {
 			return nil, err
 		}
@@ -280,7 +280,7 @@
 			return to.AddCoordinator(ctx, &leasepb.Coordinator{Name: c.Name, Address: c.Listen}, leaseholder.Trailer(ctx))
 		},
 	} {
-		if _, err := asked(f, do); err != nil {
+		if _, err := askLeader(f, do); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -293,12 +293,12 @@
 		return slices.ContainsFunc(f.status(f.leader()).Coordinators, func(k *leasepb.Coordinator) bool { return k.Id == 4 && k.Votes })
 	})
 	// With one of the two others gone, no third may be removed.
-	f.stop(slices.IndexFunc(f.all, func(a string) bool { i := slices.Index(f.all, a); return i != f.leader() && i != lost }))
+	f.stop(slices.IndexFunc(f.addresses, func(a string) bool { i := slices.Index(f.addresses, a); return i != f.leader() && i != lost }))
 	f.await("its silence is seen", func() bool {
-		return slices.ContainsFunc(f.status(f.leader()).Coordinators, func(k *leasepb.Coordinator) bool { return k.SilentMs > atWork.Milliseconds() })
+		return slices.ContainsFunc(f.status(f.leader()).Coordinators, func(k *leasepb.Coordinator) bool { return k.SilentMs > activeWithin.Milliseconds() })
 	})
 	f.await("the removal of another is refused", func() bool {
-		_, err := asked(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Coordinator, error) {
+		_, err := askLeader(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Coordinator, error) {
 			return to.RemoveCoordinator(ctx, &leasepb.Coordinator{Name: c.Name}, leaseholder.Trailer(ctx))
 		})
 		return err != nil && strings.Contains(err.Error(), "no majority")
@@ -306,11 +306,11 @@
 }
 
 func TestABackupIsPutBackAboveAllThatWasGiven(t *testing.T) {
-	f := newFleet(t, 1, nil)
+	f := newTestGroup(t, 1, nil)
 	f.start(0)
 	a := f.client("a")
 	f.acquire(a, "one")
-	backup, err := leaseholder.Backup(f.ctx, leaseholder.NewGroup(f.all...))
+	backup, err := leaseholder.Backup(f.ctx, leaseholder.NewGroup(f.addresses...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -339,14 +339,14 @@
 	if token <= newest || token>>32 <= newest>>32 {
 		t.Errorf("token %x after %x", token, newest)
 	}
-	if time.Since(begun) < life {
+	if time.Since(begun) < sessionTTL {
 		t.Errorf("given after %v: who held it before the loss may still act", time.Since(begun))
 	}
 }
 
 // Beyond a bound a client is told to come back, and gets its turn when there is room.
 func TestBoundsAreToldAndWaitedFor(t *testing.T) {
-	f := newFleet(t, 1, func(c *Config) { c.Bounds.Sessions, c.Bounds.Leases, c.Bounds.Waiters = 2, 1, 1 })
+	f := newTestGroup(t, 1, func(c *Config) { c.Bounds.Sessions, c.Bounds.Leases, c.Bounds.Waiters = 2, 1, 1 })
 	f.start(0)
 	a, b := f.client("a"), f.client("b")
 	one, _ := f.acquire(a, "one")
@@ -376,15 +376,15 @@
 }
 
 func TestWatchersAreToldEachChangeInOrder(t *testing.T) {
-	f := newFleet(t, 3, nil)
+	f := newTestGroup(t, 3, nil)
 	f.start(0, 1, 2)
 	quiet, end := context.WithCancel(f.ctx)
-	if _, err := leaseholder.Start(quiet, leaseholder.Options{Coordinators: f.all, Life: life, Member: lease.Member{Kind: "test", Name: "falls silent"}}); err != nil {
+	if _, err := leaseholder.Start(quiet, leaseholder.Options{Coordinators: f.addresses, Life: sessionTTL, Member: lease.Member{Kind: "test", Name: "falls silent"}}); err != nil {
 		t.Fatal(err)
 	}
 	f.await("it is there", func() bool { return f.status(f.leader()).Sessions == 1 })
 	told := make(chan string, 100)
-	go leaseholder.Watch{Coordinators: f.all, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}.Run(f.ctx, func(whole bool, changes []lease.Change) {
+	go leaseholder.Watch{Coordinators: f.addresses, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}.Run(f.ctx, func(whole bool, changes []lease.Change) {
 		if whole {
 			told <- fmt.Sprintf("whole %d", len(changes))
 			return
@@ -439,7 +439,7 @@
 
 // A log whose middle does not fit its checksum is a lost disk, and said to be one.
 func TestASpoiltLogIsNotServedFrom(t *testing.T) {
-	f := newFleet(t, 1, nil)
+	f := newTestGroup(t, 1, nil)
 	f.start(0)
 	f.acquire(f.client("a"), "one")
 	f.stop(0)
@@ -460,7 +460,7 @@
 func FuzzDecode(f *testing.F) {
 	g := newGroup()
 	g.State.Apply(lease.Command{Op: lease.Lead, Term: 1, Epoch: 1})
-	g.State.Apply(lease.Command{Op: lease.Open, Session: "s", TTL: life})
+	g.State.Apply(lease.Command{Op: lease.Open, Session: "s", TTL: sessionTTL})
 	f.Add(encode(g))
 	f.Add(encode(entry{Cmd: &lease.Command{Op: lease.Acquire, Session: "s", Name: "l", Seq: 1}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/coordinator/disk.go
+++ b/internal/coordinator/disk.go
@@ -33,9 +33,9 @@
 }
 
 const (
-	segmentSize   = 8 << 20 // bytes of one file of the log
-	keptSnapshots = 3
-	keptEntries   = 2_000 // behind a snapshot, for those a little late
+	segmentSize       = 8 << 20 // bytes of one file of the log
+	retainedSnapshots = 3
+	retainedEntries   = 2_000 // behind a snapshot, for those a little late
 )
 
 // The library's own 64 MB a file, made in advance, is for far longer logs. It has no other way to be told.
@@ -44,12 +44,12 @@
 // disk is the durable part of a coordinator: log, snapshots, identity. After an error nothing may be said to anybody
 // any more: the process ends.
 type disk struct {
-	dir   string
-	wal   *wal.WAL
-	snaps *snap.Snapshotter
-	mem   *raft.MemoryStorage
-	taken uint64 // index of the newest snapshot
-	torn  bool   // an end that was not written whole was cut
+	dir           string
+	wal           *wal.WAL
+	snaps         *snap.Snapshotter
+	mem           *raft.MemoryStorage
+	snapshotIndex uint64 // index of the newest snapshot
+	tornTail      bool   // an end that was not written whole was cut
 }
 
 func identityPath(dir string) string { return filepath.Join(dir, "identity") }
@@ -111,7 +111,7 @@
 		if d.wal != nil {
 			d.wal.Close()
 		}
-		d.torn = true
+		d.tornTail = true
 		if repaired || !errors.Is(err, io.ErrUnexpectedEOF) || !wal.Repair(log, d.walDir()) {
 			return nil, nil, false, fmt.Errorf("data folder %s: the log can't be read: %w; if nothing better is at hand, treat this disk as lost", dir, err)
 		}
@@ -120,7 +120,7 @@
 		if err := d.mem.ApplySnapshot(snapshot); err != nil {
 			return nil, nil, false, err
 		}
-		d.taken = snapshot.GetMetadata().GetIndex()
+		d.snapshotIndex = snapshot.GetMetadata().GetIndex()
 	}
 	if hard != nil {
 		if err := d.mem.SetHardState(hard); err != nil {
@@ -136,7 +136,7 @@
 // save makes a Ready durable.
 func (d *disk) save(rd *raft.Ready) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := d.keep(rd.Snapshot); err != nil {
+		if err := d.saveSnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -147,7 +147,7 @@
 		if err := d.mem.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
-		if err := d.tidy(); err != nil {
+		if err := d.removeOldFiles(); err != nil {
 			return err
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 // keep writes a snapshot's file first and then its mark in the log: a mark without its file could not be read.
-func (d *disk) keep(s *raftpb.Snapshot) error {
+func (d *disk) saveSnapshot(s *raftpb.Snapshot) error {
 	if err := d.snaps.SaveSnap(s); err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 	if err := d.wal.SaveSnapshot(&walpb.Snapshot{Index: new(m.GetIndex()), Term: new(m.GetTerm()), ConfState: m.GetConfState()}); err != nil {
 		return err
 	}
-	d.taken = m.GetIndex()
+	d.snapshotIndex = m.GetIndex()
 	return nil
 }
 
@@ -173,32 +173,32 @@
 	if err != nil {
 		return err
 	}
-	if err := d.keep(s); err != nil {
+	if err := d.saveSnapshot(s); err != nil {
 		return err
 	}
-	if index > keptEntries {
-		if err := d.mem.Compact(index - keptEntries); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	if index > retainedEntries {
+		if err := d.mem.Compact(index - retainedEntries); err != nil && !errors.Is(err, raft.ErrCompacted) {
 			return err
 		}
 	}
-	return d.tidy()
+	return d.removeOldFiles()
 }
 
 // tidy removes the files of the log that only hold what lies before the oldest snapshot kept, and older snapshots.
-func (d *disk) tidy() error {
+func (d *disk) removeOldFiles() error {
 	snaps, err := fileutil.ReadDir(d.snapDir(), fileutil.WithExt(".snap"))
 	if err != nil {
 		return err
 	}
 	slices.Sort(snaps)
-	for len(snaps) > keptSnapshots {
+	for len(snaps) > retainedSnapshots {
 		if err := os.Remove(filepath.Join(d.snapDir(), snaps[0])); err != nil {
 			return err
 		}
 		snaps = snaps[1:]
 	}
 	var term, oldest uint64
-	if len(snaps) < keptSnapshots {
+	if len(snaps) < retainedSnapshots {
 		return nil
 	}
 	if _, err := fmt.Sscanf(strings.TrimSuffix(snaps[0], ".snap"), "%016x-%016x", &term, &oldest); err != nil {
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -26,18 +26,18 @@
 	if c.Op == rollout.MarkOverdue || c.Op == rollout.MarkLost {
 		return nil, status.Errorf(codes.InvalidArgument, "%s is the coordinators' own word", c.Op)
 	}
-	return do(ctx, s, func(n *Node, done func(*leasepb.FleetReply, error)) {
+	return runInActor(ctx, s, func(n *Node, done func(*leasepb.FleetReply, error)) {
 		switch {
-		case n.watch == nil:
-			done(nil, errNotLeading)
+		case n.expiry == nil:
+			done(nil, errNotLeader)
 			return
-		case len(n.rolls) >= n.c.Bounds.Asks:
-			done(nil, status.Errorf(codes.ResourceExhausted, "too many changes are under way: come back in %v", busyPause))
+		case len(n.pendingFleet) >= n.c.Bounds.Asks:
+			done(nil, status.Errorf(codes.ResourceExhausted, "too many changes are under way: come back in %v", busyRetryAfter))
 			return
 		}
-		n.roll(c, func(r rollout.Reply, err error) {
+		n.proposeFleet(c, func(r rollout.Reply, err error) {
 			if errors.Is(err, raft.ErrProposalDropped) {
-				err = status.Errorf(codes.ResourceExhausted, "the log is behind: come back in %v", busyPause)
+				err = status.Errorf(codes.ResourceExhausted, "the log is behind: come back in %v", busyRetryAfter)
 			}
 			done(&leasepb.FleetReply{Error: r.Error, Token: r.Token, Waits: r.Waits}, err)
 		})
@@ -46,7 +46,7 @@
 
 // Fleet implements the service: all that is known of units, permits, releases and drains, as it stands now.
 func (s service) Fleet(ctx context.Context, a *leasepb.FleetAsk) (*leasepb.FleetView, error) {
-	return leading(ctx, s, func(n *Node) (*leasepb.FleetView, error) {
+	return runAsLeader(ctx, s, func(n *Node) (*leasepb.FleetView, error) {
 		if a.Unit != "" {
 			return &leasepb.FleetView{Fleet: encode(n.g.Fleet.Brief(a.Unit))}, nil
 		}
--- a/internal/coordinator/group.go
+++ b/internal/coordinator/group.go
@@ -31,10 +31,10 @@
 
 // entry is one entry of the log: a command, or that a coordinator was met for the first time.
 type entry struct {
-	ID   uint64           `msgpack:"i"` // of the proposal, at its proposer
-	Cmd  *lease.Command   `msgpack:"c,omitempty"`
-	Meet *Peer            `msgpack:"m,omitempty"`
-	Roll *rollout.Command `msgpack:"r,omitempty"`
+	ID       uint64           `msgpack:"i"` // of the proposal, at its proposer
+	Cmd      *lease.Command   `msgpack:"c,omitempty"`
+	Meet     *Peer            `msgpack:"m,omitempty"`
+	FleetCmd *rollout.Command `msgpack:"r,omitempty"`
 }
 
 func newGroup() *group {
@@ -75,7 +75,7 @@
 }
 
 // change takes in a change of who keeps the log.
-func (g *group) change(cc *raftpb.ConfChange) error {
+func (g *group) applyConfChange(cc *raftpb.ConfChange) error {
 	id := cc.GetNodeId()
 	g.Next = max(g.Next, id+1)
 	switch cc.GetType() {
@@ -96,14 +96,14 @@
 
 // meet books the incarnation of a coordinator that was seen for the first time; another one under its number is not
 // listened to from then on.
-func (g *group) meet(p Peer) {
+func (g *group) recordIncarnation(p Peer) {
 	if known, ok := g.Peers[p.ID]; ok && known.Incarnation == 0 {
 		known.Incarnation = p.Incarnation
 		g.Peers[p.ID] = known
 	}
 }
 
-func (g *group) named(name string) (Peer, bool) {
+func (g *group) peerNamed(name string) (Peer, bool) {
 	for _, id := range slices.Sorted(maps.Keys(g.Peers)) {
 		if g.Peers[id].Name == name {
 			return g.Peers[id], true
--- a/internal/coordinator/grouptest/grouptest.go
+++ b/internal/coordinator/grouptest/grouptest.go
@@ -19,19 +19,19 @@
 // Group is the coordinator, and a way to it.
 type Group struct {
 	*leaseholder.Group
-	At   string
-	t    testing.TB
-	ctx  context.Context
-	path string
-	stop func()
+	Address    string
+	t          testing.TB
+	ctx        context.Context
+	configPath string
+	stop       func()
 }
 
 // Start starts a new group whose sessions live for so long at the most. It ends with the test.
 func Start(ctx context.Context, t testing.TB, life time.Duration) *Group {
 	t.Helper()
-	g := &Group{t: t, ctx: ctx, At: Free(t), path: filepath.Join(t.TempDir(), "c.toml")}
-	g.Group = leaseholder.NewGroup(g.At)
-	if err := os.WriteFile(g.path, []byte(fmt.Sprintf("listen = %q\ndata = \"data\"\nlongest_life = %q\n", g.At, life)), 0o644); err != nil {
+	g := &Group{t: t, ctx: ctx, Address: FreeAddress(t), configPath: filepath.Join(t.TempDir(), "c.toml")}
+	g.Group = leaseholder.NewGroup(g.Address)
+	if err := os.WriteFile(g.configPath, []byte(fmt.Sprintf("listen = %q\ndata = \"data\"\nlongest_life = %q\n", g.Address, life)), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	g.Run()
@@ -42,11 +42,11 @@
 // Run runs the coordinator, again after Stop.
 func (g *Group) Run() {
 	g.t.Helper()
-	c, err := coordinator.LoadConfig(g.path)
+	c, err := coordinator.LoadConfig(g.configPath)
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	if made, _ := coordinator.Made(c.Data); !made {
+	if made, _ := coordinator.HasIdentity(c.Data); !made {
 		if _, err := coordinator.Init(g.ctx, c); err != nil {
 			g.t.Fatal(err)
 		}
@@ -81,23 +81,23 @@
 }
 
 // Await waits until the fleet is so.
-func (g *Group) Await(what string, so func(*rollout.Fleet) bool) *rollout.Fleet {
+func (g *Group) Await(what string, condition func(*rollout.Fleet) bool) *rollout.Fleet {
 	g.t.Helper()
 	for {
 		v, err := coordinator.View(g.ctx, g.Group, 0)
-		if err == nil && so(v) {
+		if err == nil && condition(v) {
 			return v
 		}
 		select {
 		case <-g.ctx.Done():
-			g.t.Fatalf("never: %s: %v\n%s", what, err, Told(v))
+			g.t.Fatalf("never: %s: %v\n%s", what, err, FormatNotes(v))
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// Told is what a fleet's log tells, for a failed test.
-func Told(f *rollout.Fleet) (text string) {
+// FormatNotes is what a fleet's log tells, for a failed test.
+func FormatNotes(f *rollout.Fleet) (text string) {
 	if f == nil {
 		return "nothing is known of the fleet"
 	}
@@ -107,8 +107,8 @@
 	return text
 }
 
-// Free is an address for something that a test starts.
-func Free(t testing.TB) string {
+// FreeAddress is an address for something that a test starts.
+func FreeAddress(t testing.TB) string {
 	t.Helper()
 	a, err := standin.Free()
 	if err != nil {
--- a/internal/coordinator/leadership.go
+++ b/internal/coordinator/leadership.go
@@ -10,8 +10,8 @@
 )
 
 // handOver gives the office to another before this process ends, so that nobody waits for an election.
-func (n *Node) handOver() {
-	if n.watch == nil {
+func (n *Node) transferLeadership() {
+	if n.expiry == nil {
 		return
 	}
 	var to, best uint64
@@ -26,19 +26,19 @@
 	n.log.Info("gives the office to another", "to", n.g.Peers[to].Name)
 	n.raft.TransferLeader(to)
 	for begun := time.Now(); time.Since(begun) < 500*time.Millisecond && n.raft.BasicStatus().RaftState == raft.StateLeader; {
-		if n.work() != nil {
+		if n.processReady() != nil {
 			return
 		}
 		select {
 		case m := <-n.urgent:
-			n.take(m)
-		case <-time.After(tickEvery):
+			n.handle(m)
+		case <-time.After(tickInterval):
 		}
 	}
 }
 
 // office follows who leads.
-func (n *Node) office() {
+func (n *Node) followLeadership() {
 	s := n.raft.BasicStatus()
 	if s.Lead != n.leader {
 		n.leader = s.Lead
@@ -47,51 +47,51 @@
 	}
 	leads := s.RaftState == raft.StateLeader
 	if n.wasLeader && (!leads || s.GetTerm() != n.term) { // also where it lost the office and has it again
-		n.leave()
+		n.stepDown()
 		n.wasLeader = false
 	}
 	if leads && !n.wasLeader {
 		n.term = s.GetTerm()
 		n.propose(lease.Command{Op: lease.Lead, Term: s.GetTerm(), Epoch: uint32(time.Now().Unix())}, nil)
 		if n.g.Peers[n.id.ID].Incarnation == 0 {
-			n.take(meetPeer{Peer{ID: n.id.ID, Incarnation: n.id.Incarnation}})
+			n.handle(meetPeer{Peer{ID: n.id.ID, Incarnation: n.id.Incarnation}})
 		}
 	}
 	n.wasLeader = leads
 }
 
 // leave ends this coordinator's office: whoever waits for it is told, and asks the next one.
-func (n *Node) leave() {
-	n.watch, n.changing = nil, false
-	clear(n.meeting)
-	pending, reads := n.pending, n.waiting
+func (n *Node) stepDown() {
+	n.expiry, n.confChangePending = nil, false
+	clear(n.meetProposed)
+	pending, reads := n.pending, n.nextReads
 	n.pending = map[uint64]func(lease.Effect, error){}
-	for _, r := range n.reads {
+	for _, r := range n.roundReads {
 		reads = append(reads, r...)
 	}
-	for _, c := range n.confirmed {
+	for _, c := range n.confirmedRounds {
 		reads = append(reads, c.reads...)
 	}
-	n.waiting, n.confirmed = nil, nil
-	clear(n.reads)
+	n.nextReads, n.confirmedRounds = nil, nil
+	clear(n.roundReads)
 	for _, then := range pending {
-		then(lease.Effect{}, errNotLeading)
+		then(lease.Effect{}, errNotLeader)
 	}
-	rolls := n.rolls
-	n.rolls = map[uint64]func(rollout.Reply, error){}
-	clear(n.lates)
+	rolls := n.pendingFleet
+	n.pendingFleet = map[uint64]func(rollout.Reply, error){}
+	clear(n.permitDeadlines)
 	for _, then := range rolls {
-		then(rollout.Reply{}, errNotLeading)
+		then(rollout.Reply{}, errNotLeader)
 	}
 	for _, r := range reads {
-		r(errNotLeading)
+		r(errNotLeader)
 	}
-	for _, a := range n.awaited {
-		a.then(errNotLeading)
+	for _, a := range n.appliedWaiters {
+		a.callback(errNotLeader)
 	}
-	n.awaited = nil
+	n.appliedWaiters = nil
 	for id, st := range n.streams {
-		st.notLeading(n.leaderAddress())
+		st.sendNotLeader(n.leaderAddress())
 		delete(n.streams, id)
 	}
 	for w := range n.watchers {
--- a/internal/coordinator/leasepb/dial.go
+++ b/internal/coordinator/leasepb/dial.go
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// MessageMost is the most that one message holds, in bytes: a snapshot of a full group has some 5 MB.
-const MessageMost = 16 << 20
+// MaxMessageBytes is the most that one message holds, in bytes: a snapshot of a full group has some 5 MB.
+const MaxMessageBytes = 16 << 20
 
 // Dial makes a connection to a coordinator at host:port; it opens with its first call.
 func Dial(address string) (*grpc.ClientConn, error) {
@@ -19,7 +19,7 @@
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
 			Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.3, MaxDelay: time.Second}}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 3 * time.Second}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MessageMost), grpc.MaxCallSendMsgSize(MessageMost)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageBytes), grpc.MaxCallSendMsgSize(MaxMessageBytes)))
 }
 
 // Status asks one coordinator how it is, whoever leads. Its answer may take so long at the most.
--- a/internal/coordinator/node.go
+++ b/internal/coordinator/node.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	tickEvery    = 10 * time.Millisecond
-	beatEvery    = 5  // ticks
-	electAfter   = 50 // ticks without a leader, up to twice that by chance: in steps this fine two seldom stand at once
-	urgentRoom   = 4096
-	asksRoom     = 1024
-	urgentBatch  = 1024 // taken in before the disk is written once
-	asksBatch    = 256
-	overdueAgain = time.Second // after a Late that may have been lost
-	lagToVote    = 64          // entries by which a joiner may be behind when it is given its vote
+	tickInterval       = 10 * time.Millisecond
+	heartbeatTicks     = 5  // ticks
+	electionTicks      = 50 // ticks without a leader, up to twice that by chance: in steps this fine two seldom stand at once
+	urgentMailboxSize  = 4096
+	requestMailboxSize = 1024
+	urgentBatch        = 1024 // taken in before the disk is written once
+	requestBatch       = 256
+	overdueRetry       = time.Second // after a Late that may have been lost
+	maxPromotionLag    = 64          // entries by which a joiner may be behind when it is given its vote
 )
 
 // AgentKind is the kind of the members that speak for units: an agent's name is its unit's.
@@ -39,57 +39,57 @@
 // WardenKind is the kind of the members that see table servers.
 const WardenKind = "warden"
 
-var errNotLeading = errors.New("this coordinator does not lead")
+var errNotLeader = errors.New("this coordinator does not lead")
 
 // Options start a coordinator.
 type Options struct {
-	Config *Config
-	Clock  func() time.Duration // monotonic; nil: this process's own
-	Via    map[string]string    // where to dial for an address that is listed; others are dialled as they are
-	Full   func() error         // asked before each write to the disk; nil: the disk alone says when it is full
-	Log    *slog.Logger
+	Config     *Config
+	Clock      func() time.Duration // monotonic; nil: this process's own
+	Via        map[string]string    // where to dial for an address that is listed; others are dialled as they are
+	CheckSpace func() error         // asked before each write to the disk; nil: the disk alone says when it is full
+	Log        *slog.Logger
 }
 
 // Node is one coordinator.
 type Node struct {
-	c     *Config
-	id    Identity
-	clock func() time.Duration
-	log   *slog.Logger
-	via   map[string]string
-	full  func() error
+	c          *Config
+	id         Identity
+	clock      func() time.Duration
+	log        *slog.Logger
+	via        map[string]string
+	checkSpace func() error
 
-	urgent chan any // raft's messages, renewals, sessions that come back
-	asks   chan any // new work
-	ended  chan struct{}
+	urgent   chan any // raft's messages, renewals, sessions that come back
+	requests chan any // new work
+	ended    chan struct{}
 
-	disk    *disk
-	raft    *raft.RawNode
-	g       *group
-	conf    *raftpb.ConfState
-	applied uint64
-	peers   *peers
+	disk      *disk
+	raft      *raft.RawNode
+	g         *group
+	confState *raftpb.ConfState
+	applied   uint64
+	peers     *peers
 
-	watch     *lease.ExpiryTracker // nil: not in office
-	leader    uint64
-	wasLeader bool
-	term      uint64 // of its office
-	elections uint64
-	proposals uint64
-	pending   map[uint64]func(lease.Effect, error)
-	reads     map[uint64][]read // renewals and lists, by the number of the round that confirms this leader
-	waiting   []read            // for the next round
-	confirmed []confirmation    // rounds that came back, for states not applied yet
-	round     uint64
-	streams   map[string]*stream // by session
-	watchers  map[*watcher]struct{}
-	meeting   map[uint64]bool
-	lates     map[string]late // when the permits of units are overdue
-	rolls     map[uint64]func(rollout.Reply, error)
-	changing  bool
-	joined    uint64 // index at which a coordinator last joined: raft turns down a snapshot that doesn't name its reader
-	awaited   []awaited
-	stranger  error // the others mean another incarnation: this one must not speak for it
+	expiry            *lease.ExpiryTracker // nil: not in office
+	leader            uint64
+	wasLeader         bool
+	term              uint64 // of its office
+	elections         uint64
+	proposals         uint64
+	pending           map[uint64]func(lease.Effect, error)
+	roundReads        map[uint64][]read // renewals and lists, by the number of the round that confirms this leader
+	nextReads         []read            // for the next round
+	confirmedRounds   []confirmedRound  // rounds that came back, for states not applied yet
+	round             uint64
+	streams           map[string]*stream // by session
+	watchers          map[*watcher]struct{}
+	meetProposed      map[uint64]bool
+	permitDeadlines   map[string]permitDeadline // when the permits of units are overdue
+	pendingFleet      map[uint64]func(rollout.Reply, error)
+	confChangePending bool
+	learnerAddedAt    uint64 // index at which a coordinator last joined: raft turns down a snapshot that doesn't name its reader
+	appliedWaiters    []appliedWaiter
+	identityErr       error // the others mean another incarnation: this one must not speak for it
 }
 
 // events from elsewhere
@@ -117,26 +117,26 @@
 	if err != nil {
 		return nil, err
 	}
-	if d.torn {
+	if d.tornTail {
 		o.Log.Warn("the log's torn end was cut: it was never answered", "data", o.Config.Data)
 	}
 	n := &Node{
-		c: o.Config, id: id, clock: o.Clock, via: o.Via, full: o.Full, log: o.Log.With("coordinator", id.Name), disk: d, g: newGroup(), conf: &raftpb.ConfState{},
-		urgent: make(chan any, urgentRoom), asks: make(chan any, asksRoom), ended: make(chan struct{}),
-		pending: map[uint64]func(lease.Effect, error){}, reads: map[uint64][]read{}, streams: map[string]*stream{},
-		watchers: map[*watcher]struct{}{}, meeting: map[uint64]bool{}, lates: map[string]late{}, rolls: map[uint64]func(rollout.Reply, error){}, proposals: rand.Uint64(), round: rand.Uint64(),
+		c: o.Config, id: id, clock: o.Clock, via: o.Via, checkSpace: o.CheckSpace, log: o.Log.With("coordinator", id.Name), disk: d, g: newGroup(), confState: &raftpb.ConfState{},
+		urgent: make(chan any, urgentMailboxSize), requests: make(chan any, requestMailboxSize), ended: make(chan struct{}),
+		pending: map[uint64]func(lease.Effect, error){}, roundReads: map[uint64][]read{}, streams: map[string]*stream{},
+		watchers: map[*watcher]struct{}{}, meetProposed: map[uint64]bool{}, permitDeadlines: map[string]permitDeadline{}, pendingFleet: map[uint64]func(rollout.Reply, error){}, proposals: rand.Uint64(), round: rand.Uint64(),
 	}
 	if n.clock == nil {
 		begun := time.Now()
 		n.clock = func() time.Duration { return time.Since(begun) }
 	}
 	if !raft.IsEmptySnap(snap) {
-		if err := n.restored(snap); err != nil {
+		if err := n.restore(snap); err != nil {
 			return nil, err
 		}
 	}
 	n.raft, err = raft.NewRawNode(&raft.Config{
-		ID: id.ID, ElectionTick: electAfter, HeartbeatTick: beatEvery, Storage: d.mem, Applied: n.applied,
+		ID: id.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: d.mem, Applied: n.applied,
 		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 8 << 20,
 		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true,
 		Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
@@ -147,19 +147,19 @@
 	n.peers = newPeers(n)
 	if fresh && !id.Joins {
 		var founders []raft.Peer
-		for _, p := range o.Config.founders() {
+		for _, p := range o.Config.initialPeers() {
 			founders = append(founders, raft.Peer{ID: p.ID, Context: encode(p)})
 		}
 		if err := n.raft.Bootstrap(founders); err != nil {
 			return nil, err
 		}
 	}
-	n.peers.set(n.known())
+	n.peers.set(n.knownPeers())
 	return n, nil
 }
 
 // known is who this coordinator speaks to.
-func (n *Node) known() map[uint64]Peer {
+func (n *Node) knownPeers() map[uint64]Peer {
 	if len(n.g.Peers) > 0 && !n.id.Joins {
 		return n.g.Peers
 	}
@@ -170,11 +170,11 @@
 	return all
 }
 
-func (n *Node) restored(s *raftpb.Snapshot) (err error) {
+func (n *Node) restore(s *raftpb.Snapshot) (err error) {
 	if n.g, err = decodeGroup(s.GetData()); err != nil {
 		return err
 	}
-	n.applied, n.conf = s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
+	n.applied, n.confState = s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
 	if _, in := n.g.Peers[n.id.ID]; in {
 		n.id.Joins = false
 	}
@@ -183,48 +183,48 @@
 
 // Run works until ctx ends, this coordinator is removed, or the disk fails: then nothing more is said to anybody.
 func (n *Node) Run(ctx context.Context) (err error) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	defer func() {
 		close(n.ended)
-		n.leave()
+		n.stepDown()
 		n.peers.close()
 		if failed := n.disk.close(); err == nil {
 			err = failed
 		}
 	}()
 	if len(n.g.Peers) <= 1 && !n.id.Joins { // alone, or at its first start: no reason to wait
-		for range electAfter {
+		for range electionTicks {
 			n.raft.Tick()
 		}
 	}
 	for ticks := 0; ; {
-		if err := n.work(); err != nil {
+		if err := n.processReady(); err != nil {
 			n.log.Error("ends: what it knows can't be kept", "err", err)
 			return err
 		}
-		if n.stranger != nil {
-			return n.stranger
+		if n.identityErr != nil {
+			return n.identityErr
 		}
 		if _, in := n.g.Peers[n.id.ID]; !in && n.applied > 0 && !n.id.Joins && n.removed() {
 			return fmt.Errorf("coordinator %s was removed from the group", n.id.Name)
 		}
 		select {
 		case <-ctx.Done():
-			n.handOver()
+			n.transferLeadership()
 			return nil
 		case <-tick.C:
 			n.raft.Tick()
-			if ticks++; ticks%beatEvery == 0 {
-				n.due()
+			if ticks++; ticks%heartbeatTicks == 0 {
+				n.proposeDue()
 			}
 		case m := <-n.urgent:
-			n.take(m)
-		case m := <-n.asks:
-			n.take(m)
+			n.handle(m)
+		case m := <-n.requests:
+			n.handle(m)
 		}
 		n.drain(n.urgent, urgentBatch)
-		n.drain(n.asks, asksBatch)
+		n.drain(n.requests, requestBatch)
 	}
 }
 
@@ -232,7 +232,7 @@
 	for range most {
 		select {
 		case m := <-from:
-			n.take(m)
+			n.handle(m)
 		default:
 			return
 		}
@@ -241,23 +241,23 @@
 
 // removed tells whether the group goes on without this one.
 func (n *Node) removed() bool {
-	for _, id := range append(n.conf.GetVoters(), n.conf.GetLearners()...) {
+	for _, id := range append(n.confState.GetVoters(), n.confState.GetLearners()...) {
 		if id == n.id.ID {
 			return false
 		}
 	}
-	return len(n.conf.GetVoters()) > 0
+	return len(n.confState.GetVoters()) > 0
 }
 
-func (n *Node) take(m any) {
+func (n *Node) handle(m any) {
 	switch m := m.(type) {
 	case peerMessages:
 		for _, r := range m.messages {
 			n.raft.Step(r) // what is out of place raft drops itself
 		}
 	case meetPeer:
-		if n.raft.BasicStatus().RaftState == raft.StateLeader && !n.meeting[m.peer.ID] {
-			n.meeting[m.peer.ID] = true
+		if n.raft.BasicStatus().RaftState == raft.StateLeader && !n.meetProposed[m.peer.ID] {
+			n.meetProposed[m.peer.ID] = true
 			n.proposeEntry(entry{Meet: &m.peer}, nil)
 		}
 	case unreachable:
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	peerRoom  = 1024 // messages on their way to one coordinator; beyond them raft sends again
-	peerBatch = 64
-	peerWait  = time.Second
-	peerPause = 100 * time.Millisecond // after a call that failed
-	snapWait  = 20 * time.Second
+	peerQueueSize       = 1024 // messages on their way to one coordinator; beyond them raft sends again
+	maxBatchMessages    = 64
+	sendTimeout         = time.Second
+	sendRetryDelay      = 100 * time.Millisecond // after a call that failed
+	snapshotSendTimeout = 20 * time.Second
 )
 
 // peers sends raft's messages to the other coordinators: one actor and one call at a time for each.
 type peers struct {
-	n   *Node
-	ctx context.Context
-	end context.CancelFunc
-	to  map[uint64]*peer
+	n    *Node
+	ctx  context.Context
+	end  context.CancelFunc
+	byID map[uint64]*peer
 }
 
 type peer struct {
 	Peer
-	out   chan *raftpb.Message
-	end   context.CancelFunc
-	heard atomic.Int64 // when it last answered, on the node's clock; 0: never
+	out        chan *raftpb.Message
+	end        context.CancelFunc
+	lastAnswer atomic.Int64 // when it last answered, on the node's clock; 0: never
 }
 
 func newPeers(n *Node) *peers {
@@ -45,26 +45,26 @@
 
 // set follows who belongs to the group.
 func (p *peers) set(all map[uint64]Peer) {
-	for id, have := range p.to {
+	for id, have := range p.byID {
 		if now, ok := all[id]; !ok || now != have.Peer {
 			have.end()
-			delete(p.to, id)
+			delete(p.byID, id)
 		}
 	}
 	for id, a := range all {
-		if id == p.n.id.ID || p.to[id] != nil {
+		if id == p.n.id.ID || p.byID[id] != nil {
 			continue
 		}
 		ctx, end := context.WithCancel(p.ctx)
-		x := &peer{Peer: a, out: make(chan *raftpb.Message, peerRoom), end: end}
-		p.to[id] = x
+		x := &peer{Peer: a, out: make(chan *raftpb.Message, peerQueueSize), end: end}
+		p.byID[id] = x
 		go x.run(ctx, p.n)
 	}
 }
 
 func (p *peers) send(messages []*raftpb.Message) {
 	for _, m := range messages {
-		x := p.to[m.GetTo()]
+		x := p.byID[m.GetTo()]
 		if x == nil {
 			continue
 		}
@@ -79,12 +79,12 @@
 }
 
 // silent is for how long a coordinator has not answered; ok is false for one that never did.
-func (p *peers) silent(id uint64) (d time.Duration, ok bool) {
-	x := p.to[id]
-	if x == nil || x.heard.Load() == 0 {
+func (p *peers) sinceLastAnswer(id uint64) (d time.Duration, ok bool) {
+	x := p.byID[id]
+	if x == nil || x.lastAnswer.Load() == 0 {
 		return 0, false
 	}
-	return p.n.clock() - time.Duration(x.heard.Load()), true
+	return p.n.clock() - time.Duration(x.lastAnswer.Load()), true
 }
 
 func (p *peers) close() { p.end() }
@@ -106,17 +106,17 @@
 		case first = <-x.out:
 		}
 		b := &leasepb.Batch{Group: n.id.Group, From: n.id.ID, Incarnation: n.id.Incarnation, ToIncarnation: x.Incarnation}
-		wait, snap := peerWait, false
+		wait, snap := sendTimeout, false
 		for m := first; m != nil; {
 			if m.GetType() == raftpb.MsgSnap {
-				snap, wait = true, snapWait
+				snap, wait = true, snapshotSendTimeout
 			}
 			raw, err := proto.Marshal(m)
 			if err == nil {
 				b.Messages = append(b.Messages, raw)
 			}
 			m = nil
-			if len(b.Messages) < peerBatch && !snap {
+			if len(b.Messages) < maxBatchMessages && !snap {
 				select {
 				case m = <-x.out:
 				default:
@@ -127,7 +127,7 @@
 		_, err := to.Send(call, b)
 		done()
 		if err == nil {
-			x.heard.Store(int64(n.clock()))
+			x.lastAnswer.Store(int64(n.clock()))
 		}
 		if snap {
 			n.post(n.urgent, snapshotSent{x.ID, err == nil})
@@ -140,7 +140,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(peerPause):
+			case <-time.After(sendRetryDelay):
 			}
 		} else if failing && err == nil {
 			n.log.Info("the other coordinator answers again", "name", x.Name)
@@ -177,17 +177,17 @@
 		known, in := n.g.Peers[b.From]
 		switch {
 		case b.ToIncarnation != 0 && b.ToIncarnation != n.id.Incarnation:
-			n.stranger = fmt.Errorf("the group knows another %s: this one's disk was lost; use 'coordinator member remove', 'member add', and 'run --join'", n.id.Name)
-			answer <- n.stranger
+			n.identityErr = fmt.Errorf("the group knows another %s: this one's disk was lost; use 'coordinator member remove', 'member add', and 'run --join'", n.id.Name)
+			answer <- n.identityErr
 		case !in && n.applied > 0 && !n.id.Joins:
 			answer <- fmt.Errorf("coordinator %d is not of this group", b.From)
 		case in && known.Incarnation != 0 && known.Incarnation != b.Incarnation:
 			answer <- fmt.Errorf("this is not the coordinator %s that the group knows: its disk was lost", known.Name)
 		default:
 			if in && known.Incarnation == 0 {
-				n.take(meetPeer{Peer{ID: b.From, Incarnation: b.Incarnation}})
+				n.handle(meetPeer{Peer{ID: b.From, Incarnation: b.Incarnation}})
 			}
-			n.take(peerMessages{messages})
+			n.handle(peerMessages{messages})
 			answer <- nil
 		}
 	}})
--- a/internal/coordinator/proposals.go
+++ b/internal/coordinator/proposals.go
@@ -10,86 +10,86 @@
 )
 
 // awaited is somebody who waits for a change of the group to be applied.
-type awaited struct {
-	so   func() bool
-	then func(error)
+type appliedWaiter struct {
+	condition func() bool
+	callback  func(error)
 }
 
 // late is when a permit's time has passed, as this leader counts from its start or the permit's.
-type late struct {
+type permitDeadline struct {
 	token uint64
 	at    time.Duration
 }
 
 // due proposes what time calls for.
-func (n *Node) due() {
-	if n.watch == nil {
+func (n *Node) proposeDue() {
+	if n.expiry == nil {
 		return
 	}
-	for _, c := range n.watch.Due(n.clock(), n.g.State) {
+	for _, c := range n.expiry.Due(n.clock(), n.g.State) {
 		n.propose(c, nil)
 	}
-	n.overdue()
-	n.promote()
+	n.proposeOverdue()
+	n.promoteLearner()
 }
 
 // overdue proposes what the permits' times call for. A permit that waited has its time from when it was given; after
 // a change of leader every one has its whole time again.
-func (n *Node) overdue() {
+func (n *Node) proposeOverdue() {
 	f := n.g.Fleet
 	for unit, p := range f.Budget.Permits {
-		l, counted := n.lates[unit]
+		l, counted := n.permitDeadlines[unit]
 		if !counted || l.token != p.Token {
-			n.lates[unit] = late{p.Token, n.clock() + f.Lives[unit]}
+			n.permitDeadlines[unit] = permitDeadline{p.Token, n.clock() + f.Lives[unit]}
 		} else if p.Overdue || p.Returned && f.Budget.Units[unit] == nil {
 			continue
 		} else if n.clock() >= l.at {
-			n.lates[unit] = late{p.Token, n.clock() + overdueAgain}
-			n.roll(rollout.Command{Op: rollout.MarkOverdue, Unit: unit, Token: p.Token}, nil)
+			n.permitDeadlines[unit] = permitDeadline{p.Token, n.clock() + overdueRetry}
+			n.proposeFleet(rollout.Command{Op: rollout.MarkOverdue, Unit: unit, Token: p.Token}, nil)
 		}
 	}
-	for unit := range n.lates {
+	for unit := range n.permitDeadlines {
 		if f.Budget.Permits[unit] == nil {
-			delete(n.lates, unit)
+			delete(n.permitDeadlines, unit)
 		}
 	}
 }
 
 // roll puts a command of the fleet on its way to the log; then is called as with propose.
-func (n *Node) roll(c rollout.Command, then func(rollout.Reply, error)) {
+func (n *Node) proposeFleet(c rollout.Command, then func(rollout.Reply, error)) {
 	n.proposals++
 	id := n.proposals
 	c.At = time.Now().UnixMilli()
-	if err := n.raft.Propose(encode(entry{ID: id, Roll: &c})); err != nil {
+	if err := n.raft.Propose(encode(entry{ID: id, FleetCmd: &c})); err != nil {
 		if then != nil {
 			then(rollout.Reply{}, err)
 		}
 		return
 	}
 	if then != nil {
-		n.rolls[id] = then
+		n.pendingFleet[id] = then
 	}
 }
 
 // promote gives a joiner that has caught up its vote.
-func (n *Node) promote() {
-	if n.changing || len(n.conf.GetLearners()) == 0 {
+func (n *Node) promoteLearner() {
+	if n.confChangePending || len(n.confState.GetLearners()) == 0 {
 		return
 	}
 	s := n.raft.Status()
-	for _, id := range n.conf.GetLearners() {
+	for _, id := range n.confState.GetLearners() {
 		p, known := s.Progress[id], n.g.Peers[id]
-		if known.Incarnation != 0 && p.RecentActive && p.Match+lagToVote >= s.GetCommit() {
+		if known.Incarnation != 0 && p.RecentActive && p.Match+maxPromotionLag >= s.GetCommit() {
 			n.log.Info("the joiner has caught up and votes from now on", "name", known.Name)
-			n.changeConf(raftpb.ConfChangeAddNode, known)
+			n.proposeConfChange(raftpb.ConfChangeAddNode, known)
 			return
 		}
 	}
 }
 
-func (n *Node) changeConf(kind raftpb.ConfChangeType, p Peer) error {
+func (n *Node) proposeConfChange(kind raftpb.ConfChangeType, p Peer) error {
 	err := n.raft.ProposeConfChange(&raftpb.ConfChange{Type: kind.Enum(), NodeId: new(p.ID), Context: encode(p)})
-	n.changing = n.changing || err == nil
+	n.confChangePending = n.confChangePending || err == nil
 	return err
 }
 
--- a/internal/coordinator/service.go
+++ b/internal/coordinator/service.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	streamRoom = 64  // answers that wait for one holder; a holder that reads slower than that is let go
-	nameMost   = 200 // bytes of a name
-	pieceSize  = 256 << 10
-	leastLife  = time.Second
-	atWork     = 250 * time.Millisecond // since its last answer: five heartbeats
-	busyPause  = 500 * time.Millisecond
-	fullPause  = 2 * time.Second
+	outboxSize      = 64  // answers that wait for one holder; a holder that reads slower than that is let go
+	maxNameBytes    = 200 // bytes of a name
+	backupChunkSize = 256 << 10
+	minSessionTTL   = time.Second
+	activeWithin    = 250 * time.Millisecond // since its last answer: five heartbeats
+	busyRetryAfter  = 500 * time.Millisecond
+	fullRetryAfter  = 2 * time.Second
 )
 
 // Server is the gRPC server of a node.
 func (n *Node) Server() *grpc.Server {
-	s := grpc.NewServer(grpc.MaxRecvMsgSize(leasepb.MessageMost), grpc.MaxConcurrentStreams(uint32(2*n.c.Bounds.Sessions)),
+	s := grpc.NewServer(grpc.MaxRecvMsgSize(leasepb.MaxMessageBytes), grpc.MaxConcurrentStreams(uint32(2*n.c.Bounds.Sessions)),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second}))
 	leasepb.RegisterPeersServer(s, peerServer{n: n})
@@ -56,7 +56,7 @@
 	ctx, end := context.WithCancel(ctx)
 	done := make(chan struct{})
 	context.AfterFunc(ctx, func() { close(done) })
-	return outbox[T]{make(chan T, streamRoom), done, end}
+	return outbox[T]{make(chan T, outboxSize), done, end}
 }
 
 func (o outbox[T]) put(m T) bool {
@@ -98,21 +98,21 @@
 	session string
 }
 
-func (st *stream) told(v lease.View) {
-	st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_Told{Told: viewOut(v)}})
+func (st *stream) sendView(v lease.View) {
+	st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_Told{Told: toProtoView(v)}})
 }
 
-func (st *stream) gone() {
+func (st *stream) sendGone() {
 	st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_Gone{Gone: true}})
 	st.close()
 }
 
-func (st *stream) notLeading(leader string) {
+func (st *stream) sendNotLeader(leader string) {
 	st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_NotLeading{NotLeading: &leasepb.NotLeading{Leader: leader}}})
 	st.close()
 }
 
-func (st *stream) busy(after time.Duration, why string) {
+func (st *stream) sendBusy(after time.Duration, why string) {
 	st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_Busy{Busy: &leasepb.Busy{RetryAfterMs: after.Milliseconds(), Why: why}}})
 }
 
@@ -130,14 +130,14 @@
 	}
 	st := &stream{newOutbox[*leasepb.ToHolder](g.Context()), o.Session}
 	defer st.close()
-	if !n.post(n.urgent, call{func() { n.open(st, o, at) }}) {
-		st.busy(busyPause, "too much is waiting here")
+	if !n.post(n.urgent, call{func() { n.openSession(st, o, at) }}) {
+		st.sendBusy(busyRetryAfter, "too much is waiting here")
 		st.close()
 	}
 	go func() {
 		defer func() {
 			st.close()
-			n.post(n.asks, call{func() {
+			n.post(n.requests, call{func() {
 				if n.streams[st.session] == st {
 					delete(n.streams, st.session)
 				}
@@ -148,20 +148,20 @@
 			if err != nil {
 				return
 			}
-			at, to, do := n.clock(), n.asks, func() {}
+			at, to, do := n.clock(), n.requests, func() {}
 			switch is := m.Is.(type) {
 			case *leasepb.FromHolder_Renew:
 				to, do = n.urgent, func() { n.renew(st, is.Renew, at) }
 			case *leasepb.FromHolder_Ask:
-				if err := checkAsk(is.Ask); err != nil {
+				if err := checkRequest(is.Ask); err != nil {
 					return // a holder of ours never sends it
 				}
-				do = func() { n.ask(st, is.Ask) }
+				do = func() { n.handleRequest(st, is.Ask) }
 			case *leasepb.FromHolder_Close:
 				do = func() { n.propose(lease.Command{Op: lease.Close, Session: st.session}, nil) }
 			}
 			if !n.post(to, call{do}) {
-				st.busy(busyPause, "too much is waiting here")
+				st.sendBusy(busyRetryAfter, "too much is waiting here")
 			}
 		}
 	}()
@@ -173,27 +173,27 @@
 	switch {
 	case o == nil:
 		return errors.New("a session's first message must open it")
-	case o.Session == "" || len(o.Session) > nameMost:
+	case o.Session == "" || len(o.Session) > maxNameBytes:
 		return errors.New("session: it has no name, or one over 200 bytes")
-	case life < leastLife || life > n.c.Life.Duration:
-		return fmt.Errorf("life: %v is not from %v to the longest_life of %v", life, leastLife, n.c.Life.Duration)
+	case life < minSessionTTL || life > n.c.Life.Duration:
+		return fmt.Errorf("life: %v is not from %v to the longest_life of %v", life, minSessionTTL, n.c.Life.Duration)
 	}
 	return checkMember(o.Member)
 }
 
 func checkMember(m *leasepb.Member) error {
 	for _, word := range []string{m.GetKind(), m.GetName(), m.GetSite(), m.GetAddress(), m.GetVersion(), m.GetState()} {
-		if len(word) > nameMost {
+		if len(word) > maxNameBytes {
 			return fmt.Errorf("member: %.20q... has over 200 bytes", word)
 		}
 	}
 	return nil
 }
 
-func checkAsk(a *leasepb.Ask) error {
+func checkRequest(a *leasepb.Ask) error {
 	switch lease.Op(a.Op) {
 	case lease.Acquire, lease.Release:
-		if a.Name == "" || len(a.Name) > nameMost {
+		if a.Name == "" || len(a.Name) > maxNameBytes {
 			return errors.New("lease: it has no name, or one over 200 bytes")
 		}
 		return nil
@@ -204,9 +204,9 @@
 }
 
 // open begins a session, or goes on with one on a new connection.
-func (n *Node) open(st *stream, o *leasepb.Open, at time.Duration) {
-	if n.watch == nil {
-		st.notLeading(n.leaderAddress())
+func (n *Node) openSession(st *stream, o *leasepb.Open, at time.Duration) {
+	if n.expiry == nil {
+		st.sendNotLeader(n.leaderAddress())
 		return
 	}
 	if old := n.streams[st.session]; old != nil && old != st {
@@ -219,69 +219,69 @@
 		return
 	}
 	if len(n.pending) >= n.c.Bounds.Asks {
-		st.busy(busyPause, "too many asks are under way")
+		st.sendBusy(busyRetryAfter, "too many asks are under way")
 		st.close()
 		return
 	}
 	n.propose(lease.Command{Op: lease.Open, Session: st.session, TTL: time.Duration(o.LifeMs) * time.Millisecond,
-		Member: o.Member.Lease(), Bounds: n.c.bounds()}, func(e lease.Effect, err error) {
+		Member: o.Member.LeaseMember(), Bounds: n.c.bounds()}, func(e lease.Effect, err error) {
 		switch {
 		case err != nil:
-			st.notLeading(n.leaderAddress())
+			st.sendNotLeader(n.leaderAddress())
 		case e.Status == lease.Full:
-			st.busy(fullPause, fmt.Sprintf("%d sessions are open, the most that are kept here", n.c.Bounds.Sessions))
+			st.sendBusy(fullRetryAfter, fmt.Sprintf("%d sessions are open, the most that are kept here", n.c.Bounds.Sessions))
 			st.close()
 		default:
 			n.streams[st.session] = st
-			n.renewed(st, o.Renew, n.clock())
+			n.answerRenewal(st, o.Renew, n.clock())
 		}
 	})
 }
 
 func (n *Node) renew(st *stream, number uint64, at time.Duration) {
-	n.confirm(func(err error) {
+	n.confirmLeadership(func(err error) {
 		if err != nil {
-			st.notLeading(n.leaderAddress())
+			st.sendNotLeader(n.leaderAddress())
 			return
 		}
-		n.renewed(st, number, at)
+		n.answerRenewal(st, number, at)
 	})
 }
 
 // renewed answers a renewal that came in at a time after which this coordinator was sure to lead.
-func (n *Node) renewed(st *stream, number uint64, at time.Duration) {
-	if n.watch == nil || !n.watch.Renewed(at, n.g.State, st.session) {
-		st.gone()
+func (n *Node) answerRenewal(st *stream, number uint64, at time.Duration) {
+	if n.expiry == nil || !n.expiry.Renewed(at, n.g.State, st.session) {
+		st.sendGone()
 		return
 	}
 	v, _ := n.g.State.View(st.session)
-	st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_Renewed{Renewed: &leasepb.Renewed{Renew: number, View: viewOut(v)}}})
+	st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_Renewed{Renewed: &leasepb.Renewed{Renew: number, View: toProtoView(v)}}})
 }
 
-func (n *Node) ask(st *stream, a *leasepb.Ask) {
+func (n *Node) handleRequest(st *stream, a *leasepb.Ask) {
 	switch {
-	case n.watch == nil:
-		st.notLeading(n.leaderAddress())
+	case n.expiry == nil:
+		st.sendNotLeader(n.leaderAddress())
 		return
 	case len(n.pending) >= n.c.Bounds.Asks:
-		st.busy(busyPause, "too many asks are under way")
+		st.sendBusy(busyRetryAfter, "too many asks are under way")
 		return
 	}
 	n.propose(lease.Command{Op: lease.Op(a.Op), Session: st.session, Seq: a.Seq, Name: a.Name, Token: a.Token,
-		Member: a.Member.Lease(), Bounds: n.c.bounds()}, func(e lease.Effect, err error) {
+		Member: a.Member.LeaseMember(), Bounds: n.c.bounds()}, func(e lease.Effect, err error) {
 		v, there := n.g.State.View(st.session)
 		switch {
 		case errors.Is(err, raft.ErrProposalDropped):
-			st.busy(busyPause, "the log is behind")
+			st.sendBusy(busyRetryAfter, "the log is behind")
 		case err != nil:
-			st.notLeading(n.leaderAddress())
+			st.sendNotLeader(n.leaderAddress())
 		case !there:
-			st.gone()
+			st.sendGone()
 		default:
 			if e.Status == lease.Full {
-				st.busy(fullPause, "as many leases, or waiters for this one, as are kept here")
+				st.sendBusy(fullRetryAfter, "as many leases, or waiters for this one, as are kept here")
 			}
-			st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_Answered{Answered: &leasepb.Answered{Seq: a.Seq, Outcome: outcomeOut(e.Outcome), View: viewOut(v)}}})
+			st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_Answered{Answered: &leasepb.Answered{Seq: a.Seq, Outcome: toProtoOutcome(e.Outcome), View: toProtoView(v)}}})
 		}
 	})
 }
@@ -305,9 +305,9 @@
 func (s service) Watch(a *leasepb.WatchAsk, g grpc.ServerStreamingServer[leasepb.WatchAnswer]) error {
 	w := &watcher{newOutbox[*leasepb.WatchAnswer](g.Context())}
 	defer w.close()
-	_, err := leading(g.Context(), s, func(n *Node) (struct{}, error) {
+	_, err := runAsLeader(g.Context(), s, func(n *Node) (struct{}, error) {
 		if len(n.watchers) >= n.c.Bounds.Sessions {
-			return struct{}{}, status.Errorf(codes.ResourceExhausted, "%d watch already, the most that are told here: come back in %v", len(n.watchers), fullPause)
+			return struct{}{}, status.Errorf(codes.ResourceExhausted, "%d watch already, the most that are told here: come back in %v", len(n.watchers), fullRetryAfter)
 		}
 		state := n.g.State
 		missed, ok := state.ChangesSince(a.After)
@@ -326,7 +326,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.n.post(s.n.asks, call{func() { delete(s.n.watchers, w) }})
+	defer s.n.post(s.n.requests, call{func() { delete(s.n.watchers, w) }})
 	if err := w.pump(g.Send); err != nil {
 		return err
 	}
@@ -341,10 +341,10 @@
 
 // do has the actor do something and waits for its reply, which comes through done: a call that ends first shares nothing
 // with the actor.
-func do[T any](ctx context.Context, s service, f func(n *Node, done func(T, error))) (value T, err error) {
+func runInActor[T any](ctx context.Context, s service, f func(n *Node, done func(T, error))) (value T, err error) {
 	replies := make(chan reply[T], 1)
 	leader := ""
-	if !s.n.post(s.n.asks, call{func() {
+	if !s.n.post(s.n.requests, call{func() {
 		f(s.n, func(value T, err error) {
 			leader = s.n.leaderAddress()
 			replies <- reply[T]{value, err}
@@ -354,7 +354,7 @@
 	}
 	select {
 	case r := <-replies:
-		if errors.Is(r.err, errNotLeading) {
+		if errors.Is(r.err, errNotLeader) {
 			grpc.SetTrailer(ctx, metadata.Pairs("leader", leader))
 			return value, status.Error(codes.FailedPrecondition, r.err.Error())
 		}
@@ -370,9 +370,9 @@
 }
 
 // leading has the actor do something once it is sure that it leads.
-func leading[T any](ctx context.Context, s service, f func(n *Node) (T, error)) (T, error) {
-	return do(ctx, s, func(n *Node, done func(T, error)) {
-		n.confirm(func(err error) {
+func runAsLeader[T any](ctx context.Context, s service, f func(n *Node) (T, error)) (T, error) {
+	return runInActor(ctx, s, func(n *Node, done func(T, error)) {
+		n.confirmLeadership(func(err error) {
 			var value T
 			if err == nil {
 				value, err = f(n)
@@ -384,7 +384,7 @@
 
 // List implements the service.
 func (s service) List(ctx context.Context, _ *leasepb.ListAsk) (*leasepb.ListAnswer, error) {
-	return leading(ctx, s, func(n *Node) (*leasepb.ListAnswer, error) {
+	return runAsLeader(ctx, s, func(n *Node) (*leasepb.ListAnswer, error) {
 		a, state := &leasepb.ListAnswer{}, n.g.State
 		a.Sealed = state.Sealed
 		for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
@@ -398,7 +398,7 @@
 		for _, id := range slices.Sorted(maps.Keys(state.Sessions)) {
 			who := state.Sessions[id]
 			a.Sessions = append(a.Sessions, &leasepb.Session{Id: id, Member: leasepb.FromMember(who.Member), LifeMs: who.TTL.Milliseconds(),
-				LeftMs: n.watch.Remaining(n.clock(), id).Milliseconds()})
+				LeftMs: n.expiry.Remaining(n.clock(), id).Milliseconds()})
 		}
 		return a, nil
 	})
@@ -406,34 +406,34 @@
 
 // Revoke implements the service. The lease is given on once its holder has said that it stopped, or can't act any more.
 func (s service) Revoke(ctx context.Context, a *leasepb.RevokeAsk) (*leasepb.Outcome, error) {
-	return do(ctx, s, func(n *Node, done func(*leasepb.Outcome, error)) {
-		if n.watch == nil {
-			done(nil, errNotLeading)
+	return runInActor(ctx, s, func(n *Node, done func(*leasepb.Outcome, error)) {
+		if n.expiry == nil {
+			done(nil, errNotLeader)
 			return
 		}
 		n.propose(lease.Command{Op: lease.Revoke, Name: a.Name, Token: a.Token, By: a.By}, func(e lease.Effect, err error) {
-			done(outcomeOut(e.Outcome), err)
+			done(toProtoOutcome(e.Outcome), err)
 		})
 	})
 }
 
 // Status implements the service; every coordinator answers for itself.
 func (s service) Status(ctx context.Context, _ *leasepb.StatusAsk) (*leasepb.StatusAnswer, error) {
-	return do(ctx, s, func(n *Node, done func(*leasepb.StatusAnswer, error)) {
+	return runInActor(ctx, s, func(n *Node, done func(*leasepb.StatusAnswer, error)) {
 		st := n.raft.Status()
 		last, err := n.disk.mem.LastIndex()
 		a := &leasepb.StatusAnswer{Name: n.id.Name, Id: n.id.ID, Group: n.id.Group, Term: st.GetTerm(), Leader: st.Lead, LeaderAddress: n.leaderAddress(),
-			Applied: n.applied, Last: last, Snapshot: n.disk.taken, Sessions: int32(len(n.g.State.Sessions)), Leases: int32(len(n.g.State.Leases)),
+			Applied: n.applied, Last: last, Snapshot: n.disk.snapshotIndex, Sessions: int32(len(n.g.State.Sessions)), Leases: int32(len(n.g.State.Leases)),
 			Elections: n.elections, Token: n.g.State.Token, Sealed: n.g.State.Sealed}
 		for _, id := range slices.Sorted(maps.Keys(n.g.Peers)) {
 			p := n.g.Peers[id]
-			c := &leasepb.Coordinator{Id: id, Name: p.Name, Address: p.Address, Votes: slices.Contains(n.conf.GetVoters(), id), Met: p.Incarnation != 0}
-			if silent, ok := n.peers.silent(id); ok {
+			c := &leasepb.Coordinator{Id: id, Name: p.Name, Address: p.Address, Votes: slices.Contains(n.confState.GetVoters(), id), Met: p.Incarnation != 0}
+			if silent, ok := n.peers.sinceLastAnswer(id); ok {
 				c.SilentMs = silent.Milliseconds()
 			} else if id != n.id.ID {
 				c.SilentMs = -1
 			}
-			if n.watch != nil {
+			if n.expiry != nil {
 				c.Behind = last - min(last, st.Progress[id].Match)
 			}
 			a.Coordinators = append(a.Coordinators, c)
@@ -444,11 +444,11 @@
 
 // Backup implements the service.
 func (s service) Backup(_ *leasepb.BackupAsk, g grpc.ServerStreamingServer[leasepb.Piece]) error {
-	all, err := leading(g.Context(), s, func(n *Node) ([]byte, error) { return encode(n.g), nil })
+	all, err := runAsLeader(g.Context(), s, func(n *Node) ([]byte, error) { return encode(n.g), nil })
 	if err != nil {
 		return err
 	}
-	for piece := range slices.Chunk(all, pieceSize) {
+	for piece := range slices.Chunk(all, backupChunkSize) {
 		if err := g.Send(&leasepb.Piece{Data: piece}); err != nil {
 			return err
 		}
@@ -456,15 +456,15 @@
 	return nil
 }
 
-var errChanging = status.Error(codes.Unavailable, "another change of the group is under way: come back when 'coordinator status' shows it done")
+var errConfChangePending = status.Error(codes.Unavailable, "another change of the group is under way: come back when 'coordinator status' shows it done")
 
 // AddCoordinator implements the service: the new one reads the log at first, and votes once it has caught up.
 func (s service) AddCoordinator(ctx context.Context, c *leasepb.Coordinator) (*leasepb.Coordinator, error) {
-	return do(ctx, s, func(n *Node, done func(*leasepb.Coordinator, error)) {
-		p, there := n.g.named(c.Name)
+	return runInActor(ctx, s, func(n *Node, done func(*leasepb.Coordinator, error)) {
+		p, there := n.g.peerNamed(c.Name)
 		switch {
-		case n.watch == nil:
-			done(nil, errNotLeading)
+		case n.expiry == nil:
+			done(nil, errNotLeader)
 			return
 		case there && p.Address == c.Address && p.Incarnation == 0: // asked again
 			done(&leasepb.Coordinator{Id: p.ID, Name: p.Name, Address: p.Address}, nil)
@@ -472,19 +472,19 @@
 		case there:
 			done(nil, status.Errorf(codes.AlreadyExists, "%s is coordinator %d already; if its disk was lost, remove it first", c.Name, p.ID))
 			return
-		case n.changing || len(n.conf.GetLearners()) > 0:
-			done(nil, errChanging)
+		case n.confChangePending || len(n.confState.GetLearners()) > 0:
+			done(nil, errConfChangePending)
 			return
-		case c.Name == "" || c.Address == "" || len(c.Name)+len(c.Address) > nameMost:
+		case c.Name == "" || c.Address == "" || len(c.Name)+len(c.Address) > maxNameBytes:
 			done(nil, status.Error(codes.InvalidArgument, "a coordinator needs a name and an address"))
 			return
 		}
 		p = Peer{ID: n.g.Next, Name: c.Name, Address: c.Address}
-		if err := n.changeConf(raftpb.ConfChangeAddLearnerNode, p); err != nil {
+		if err := n.proposeConfChange(raftpb.ConfChangeAddLearnerNode, p); err != nil {
 			done(nil, err)
 			return
 		}
-		n.awaited = append(n.awaited, awaited{func() bool { _, in := n.g.Peers[p.ID]; return in }, func(err error) {
+		n.appliedWaiters = append(n.appliedWaiters, appliedWaiter{func() bool { _, in := n.g.Peers[p.ID]; return in }, func(err error) {
 			done(&leasepb.Coordinator{Id: p.ID, Name: p.Name, Address: p.Address}, err)
 		}})
 	})
@@ -492,47 +492,47 @@
 
 // RemoveCoordinator implements the service.
 func (s service) RemoveCoordinator(ctx context.Context, c *leasepb.Coordinator) (*leasepb.Coordinator, error) {
-	return do(ctx, s, func(n *Node, done func(*leasepb.Coordinator, error)) {
-		p, there := n.g.named(c.Name)
+	return runInActor(ctx, s, func(n *Node, done func(*leasepb.Coordinator, error)) {
+		p, there := n.g.peerNamed(c.Name)
 		switch {
-		case n.watch == nil:
-			done(nil, errNotLeading)
+		case n.expiry == nil:
+			done(nil, errNotLeader)
 			return
 		case !there:
 			done(nil, status.Errorf(codes.NotFound, "no coordinator is called %q", c.Name))
 			return
-		case n.changing:
-			done(nil, errChanging)
+		case n.confChangePending:
+			done(nil, errConfChangePending)
 			return
 		}
-		if err := n.staysAble(p.ID); err != nil {
+		if err := n.checkRemovable(p.ID); err != nil {
 			done(nil, err)
 			return
 		}
 		if p.ID == n.id.ID { // another one leads first, and is asked again
-			n.handOver()
-			done(nil, errNotLeading)
+			n.transferLeadership()
+			done(nil, errNotLeader)
 			return
 		}
-		if err := n.changeConf(raftpb.ConfChangeRemoveNode, p); err != nil {
+		if err := n.proposeConfChange(raftpb.ConfChangeRemoveNode, p); err != nil {
 			done(nil, err)
 			return
 		}
-		n.awaited = append(n.awaited, awaited{func() bool { _, in := n.g.Peers[p.ID]; return !in }, func(err error) {
+		n.appliedWaiters = append(n.appliedWaiters, appliedWaiter{func() bool { _, in := n.g.Peers[p.ID]; return !in }, func(err error) {
 			done(&leasepb.Coordinator{Id: p.ID, Name: p.Name, Address: p.Address}, err)
 		}})
 	})
 }
 
 // staysAble refuses a removal after which no majority would be at work.
-func (n *Node) staysAble(without uint64) error {
+func (n *Node) checkRemovable(without uint64) error {
 	voters, active := 0, 0
 	for id, p := range n.raft.Status().Progress {
 		if id == without || p.IsLearner {
 			continue
 		}
 		voters++
-		if silent, ok := n.peers.silent(id); id == n.id.ID || ok && silent < atWork {
+		if silent, ok := n.peers.sinceLastAnswer(id); id == n.id.ID || ok && silent < activeWithin {
 			active++
 		}
 	}
@@ -548,11 +548,11 @@
 // Join implements the service: a new process, started for a coordinator that was added, is told its number. A number
 // goes to one process only.
 func (s service) Join(ctx context.Context, j *leasepb.JoinAsk) (*leasepb.JoinAnswer, error) {
-	return do(ctx, s, func(n *Node, done func(*leasepb.JoinAnswer, error)) {
-		p, there := n.g.named(j.Name)
+	return runInActor(ctx, s, func(n *Node, done func(*leasepb.JoinAnswer, error)) {
+		p, there := n.g.peerNamed(j.Name)
 		switch {
-		case n.watch == nil:
-			done(nil, errNotLeading)
+		case n.expiry == nil:
+			done(nil, errNotLeader)
 		case !there:
 			done(nil, status.Errorf(codes.NotFound, "no coordinator %q was added to this group", j.Name))
 		case p.Incarnation != 0 && p.Incarnation != j.Incarnation:
@@ -562,8 +562,8 @@
 			for id, p := range n.g.Peers {
 				a.Coordinators = append(a.Coordinators, &leasepb.Coordinator{Id: id, Name: p.Name, Address: p.Address})
 			}
-			n.take(meetPeer{Peer{ID: p.ID, Incarnation: j.Incarnation}})
-			n.awaited = append(n.awaited, awaited{func() bool { return n.g.Peers[p.ID].Incarnation != 0 }, func(err error) {
+			n.handle(meetPeer{Peer{ID: p.ID, Incarnation: j.Incarnation}})
+			n.appliedWaiters = append(n.appliedWaiters, appliedWaiter{func() bool { return n.g.Peers[p.ID].Incarnation != 0 }, func(err error) {
 				if err == nil && n.g.Peers[p.ID].Incarnation != j.Incarnation {
 					err = status.Error(codes.AlreadyExists, "another process joined under this name")
 				}
@@ -573,11 +573,11 @@
 	})
 }
 
-func outcomeOut(o lease.Outcome) *leasepb.Outcome {
+func toProtoOutcome(o lease.Outcome) *leasepb.Outcome {
 	return &leasepb.Outcome{Status: uint32(o.Status), Token: o.Token, Place: int32(o.Place)}
 }
 
-func viewOut(v lease.View) *leasepb.View {
+func toProtoView(v lease.View) *leasepb.View {
 	out := &leasepb.View{Rev: v.Rev}
 	for _, g := range v.Held {
 		out.Held = append(out.Held, &leasepb.Grant{Name: g.Name, Token: g.Token})
--- a/internal/coordinator/start.go
+++ b/internal/coordinator/start.go
@@ -23,15 +23,15 @@
 // groupName is alike at all founders: it comes from their list.
 func (c *Config) groupName() string {
 	d := xxhash.New()
-	for _, p := range c.founders() {
+	for _, p := range c.initialPeers() {
 		fmt.Fprintln(d, p.ID, p.Name, p.Address)
 	}
 	return fmt.Sprintf("%016x", d.Sum64())
 }
 
 // empty refuses a data folder that holds a coordinator already.
-func empty(dir string) error {
-	switch made, err := Made(dir); {
+func checkEmpty(dir string) error {
+	switch made, err := HasIdentity(dir); {
 	case err != nil:
 		return err
 	case made:
@@ -50,16 +50,16 @@
 // Init makes the data folder of a founder. It is refused where a group of this list has met this founder before: an
 // empty folder then means a lost disk, and a coordinator without its memory must not vote under its old number.
 func Init(ctx context.Context, c *Config) (Identity, error) {
-	if err := empty(c.Data); err != nil {
+	if err := checkEmpty(c.Data); err != nil {
 		return Identity{}, err
 	}
 	id := Identity{Group: c.groupName(), Name: c.Name, Incarnation: rand.Uint64() | 1}
-	for _, p := range c.founders() {
+	for _, p := range c.initialPeers() {
 		if p.Name == c.Name {
 			id.ID = p.ID
 			continue
 		}
-		if s, err := ask(ctx, p.Address, time.Second, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.StatusAnswer, error) {
+		if s, err := callCoordinator(ctx, p.Address, time.Second, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.StatusAnswer, error) {
 			return to.Status(ctx, &leasepb.StatusAsk{})
 		}); err == nil && slices.ContainsFunc(s.Coordinators, func(k *leasepb.Coordinator) bool { return k.Name == c.Name && k.Met }) {
 			return Identity{}, fmt.Errorf("%s at %s has met a %s before: this folder's disk was lost; use 'coordinator member remove %s', 'member add', and 'run --join'", p.Name, p.Address, c.Name, c.Name)
@@ -70,16 +70,16 @@
 
 // Join makes the data folder of a coordinator that was added to a running group. via is as in Options.
 func Join(ctx context.Context, c *Config, via map[string]string) (Identity, error) {
-	if err := empty(c.Data); err != nil {
+	if err := checkEmpty(c.Data); err != nil {
 		return Identity{}, err
 	}
 	id := Identity{Name: c.Name, Incarnation: rand.Uint64() | 1, Joins: true}
 	var faults []error
-	for _, p := range c.founders() {
+	for _, p := range c.initialPeers() {
 		if p.Name == c.Name {
 			continue
 		}
-		a, err := ask(ctx, cmp.Or(via[p.Address], p.Address), 5*time.Second, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.JoinAnswer, error) {
+		a, err := callCoordinator(ctx, cmp.Or(via[p.Address], p.Address), 5*time.Second, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.JoinAnswer, error) {
 			return to.Join(ctx, &leasepb.JoinAsk{Name: c.Name, Incarnation: id.Incarnation})
 		})
 		if err == nil {
@@ -99,7 +99,7 @@
 	return Identity{}, fmt.Errorf("no coordinator let %s join: %w", c.Name, errors.Join(faults...))
 }
 
-func ask[T any](ctx context.Context, address string, wait time.Duration, f func(context.Context, leasepb.LeasesClient) (T, error)) (t T, err error) {
+func callCoordinator[T any](ctx context.Context, address string, wait time.Duration, f func(context.Context, leasepb.LeasesClient) (T, error)) (t T, err error) {
 	conn, err := leasepb.Dial(address)
 	if err != nil {
 		return t, err
@@ -114,7 +114,7 @@
 // group are above all that the old one gave, as long as the wall clock of this machine was not set back by more than
 // the group's age; epoch, where it is not 0, is used instead.
 func Restore(c *Config, backup []byte, epoch uint32) (Identity, error) {
-	if err := empty(c.Data); err != nil {
+	if err := checkEmpty(c.Data); err != nil {
 		return Identity{}, err
 	}
 	g, err := decodeGroup(backup)
@@ -140,7 +140,7 @@
 	term := g.State.Term + 1
 	s := &raftpb.Snapshot{Data: encode(g), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(term),
 		ConfState: &raftpb.ConfState{Voters: []uint64{id.ID}}}}
-	if err := d.keep(s); err != nil {
+	if err := d.saveSnapshot(s); err != nil {
 		return Identity{}, err
 	}
 	if err := d.wal.Save(&raftpb.HardState{Term: new(term), Commit: new(uint64(1))}, nil); err != nil {
@@ -192,8 +192,8 @@
 	return errors.Join(err, <-served)
 }
 
-// Made tells whether a data folder holds a coordinator.
-func Made(dir string) (bool, error) {
+// HasIdentity tells whether a data folder holds a coordinator.
+func HasIdentity(dir string) (bool, error) {
 	switch _, err := readIdentity(dir); {
 	case err == nil:
 		return true, nil
--- a/internal/lab/leases/roles.go
+++ b/internal/lab/leases/roles.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	made, err := coordinator.Made(c.Data)
+	made, err := coordinator.HasIdentity(c.Data)
 	switch {
 	case err != nil:
 		return err
@@ -123,7 +123,7 @@
 		return err
 	}
 	full := filepath.Join(filepath.Dir(r.Config), "full-"+c.Name)
-	return coordinator.Serve(ctx, coordinator.Options{Config: c, Clock: r.clock(), Via: r.Via, Log: log, Full: func() error {
+	return coordinator.Serve(ctx, coordinator.Options{Config: c, Clock: r.clock(), Via: r.Via, Log: log, CheckSpace: func() error {
 		if _, err := os.Stat(full); err == nil {
 			return syscall.ENOSPC
 		}
--- a/internal/leaseholder/watch.go
+++ b/internal/leaseholder/watch.go
@@ -45,7 +45,7 @@
 			pause.Reset()
 			var changes []lease.Change
 			for _, c := range a.Changes {
-				changes = append(changes, lease.Change{Seq: c.Seq, Kind: lease.ChangeKind(c.Kind), Session: c.Session, Member: c.Member.Lease()})
+				changes = append(changes, lease.Change{Seq: c.Seq, Kind: lease.ChangeKind(c.Kind), Session: c.Session, Member: c.Member.LeaseMember()})
 			}
 			if a.Whole || len(changes) > 0 {
 				tell(a.Whole, changes)
--- a/internal/warden/warden_test.go
+++ b/internal/warden/warden_test.go
@@ -45,7 +45,7 @@
 		h.table(fmt.Sprintf("t%d", i), []string{"a", "b"}[i%2], 0)
 	}
 	path := filepath.Join(t.TempDir(), "tables.toml")
-	text := fmt.Sprintf("name = \"hall\"\nsite = \"s\"\ncoordinators = [%q]\nlife = \"1s\"\nregistry = %q\ncapacity = 10\nwarm = \"400ms\"\nlook = \"100ms\"\n", h.At, h.registry.Addr())
+	text := fmt.Sprintf("name = \"hall\"\nsite = \"s\"\ncoordinators = [%q]\nlife = \"1s\"\nregistry = %q\ncapacity = 10\nwarm = \"400ms\"\nlook = \"100ms\"\n", h.Address, h.registry.Addr())
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
