--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -38,16 +38,16 @@
 	ctx, done := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(done)
 	f := &testGroup{t: t, ctx: ctx, stops: make([]func() error, n)}
-	var held []net.Listener // until all have been given, so that none is given twice
+	var listeners []net.Listener // until all have been given, so that none is given twice
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, l)
+		listeners = append(listeners, l)
 		f.addresses = append(f.addresses, l.Addr().String())
 	}
-	for _, l := range held {
+	for _, l := range listeners {
 		l.Close()
 	}
 	for i, a := range f.addresses {
@@ -79,9 +79,9 @@
 	return f
 }
 
-func (f *testGroup) start(which ...int) {
+func (f *testGroup) start(indexes ...int) {
 	f.t.Helper()
-	for _, i := range which {
+	for _, i := range indexes {
 		ctx, end := context.WithCancel(f.ctx)
 		ended, ready := make(chan error, 1), make(chan struct{})
 		go func() {
@@ -128,16 +128,16 @@
 }
 
 func (f *testGroup) leader() int {
-	at := -1
+	leader := -1
 	f.await("one leads", func() bool {
-		at = slices.IndexFunc(f.addresses, func(a string) bool {
+		leader = slices.IndexFunc(f.addresses, func(a string) bool {
 			i := slices.Index(f.addresses, a)
 			s := f.status(i)
 			return f.stops[i] != nil && s.Leader != 0 && s.Leader == s.Id
 		})
-		return at >= 0
+		return leader >= 0
 	})
-	return at
+	return leader
 }
 
 func (f *testGroup) client(name string) *leaseholder.Client {
--- a/internal/coordinator/group.go
+++ b/internal/coordinator/group.go
@@ -51,14 +51,14 @@
 
 // decode reads what encode wrote. Of bytes from elsewhere nothing may be left over or unknown.
 func decode(b []byte, v any) error {
-	r := bytes.NewReader(b)
-	d := msgpack.NewDecoder(r)
-	d.DisallowUnknownFields(true)
-	if err := d.Decode(v); err != nil {
+	reader := bytes.NewReader(b)
+	decoder := msgpack.NewDecoder(reader)
+	decoder.DisallowUnknownFields(true)
+	if err := decoder.Decode(v); err != nil {
 		return err
 	}
-	if r.Len() > 0 {
-		return fmt.Errorf("%d bytes too many", r.Len())
+	if reader.Len() > 0 {
+		return fmt.Errorf("%d bytes too many", reader.Len())
 	}
 	return nil
 }
--- a/internal/coordinator/leadership.go
+++ b/internal/coordinator/leadership.go
@@ -14,10 +14,10 @@
 	if n.expiry == nil {
 		return
 	}
-	var to, best uint64
+	var to, bestMatch uint64
 	for id, p := range n.raft.Status().Progress {
-		if id != n.id.ID && !p.IsLearner && p.RecentActive && p.Match >= best {
-			to, best = id, p.Match
+		if id != n.id.ID && !p.IsLearner && p.RecentActive && p.Match >= bestMatch {
+			to, bestMatch = id, p.Match
 		}
 	}
 	if to == 0 {
@@ -25,7 +25,7 @@
 	}
 	n.log.Info("gives the office to another", "to", n.g.Peers[to].Name)
 	n.raft.TransferLeader(to)
-	for begun := time.Now(); time.Since(begun) < 500*time.Millisecond && n.raft.BasicStatus().RaftState == raft.StateLeader; {
+	for start := time.Now(); time.Since(start) < 500*time.Millisecond && n.raft.BasicStatus().RaftState == raft.StateLeader; {
 		if n.processReady() != nil {
 			return
 		}
--- a/internal/coordinator/leasepb/dial.go
+++ b/internal/coordinator/leasepb/dial.go
@@ -23,13 +23,13 @@
 }
 
 // Status asks one coordinator how it is, whoever leads. Its answer may take so long at the most.
-func Status(ctx context.Context, address string, within time.Duration) (*StatusAnswer, error) {
+func Status(ctx context.Context, address string, timeout time.Duration) (*StatusAnswer, error) {
 	conn, err := Dial(address)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	ctx, done := context.WithTimeout(ctx, within)
+	ctx, done := context.WithTimeout(ctx, timeout)
 	defer done()
 	return NewLeasesClient(conn).Status(ctx, &StatusAsk{})
 }
--- a/internal/coordinator/node.go
+++ b/internal/coordinator/node.go
@@ -127,8 +127,8 @@
 		watchers: map[*watcher]struct{}{}, meetProposed: map[uint64]bool{}, permitDeadlines: map[string]permitDeadline{}, pendingFleet: map[uint64]func(rollout.Reply, error){}, proposals: rand.Uint64(), round: rand.Uint64(),
 	}
 	if n.clock == nil {
-		begun := time.Now()
-		n.clock = func() time.Duration { return time.Since(begun) }
+		start := time.Now()
+		n.clock = func() time.Duration { return time.Since(start) }
 	}
 	if !raft.IsEmptySnap(snap) {
 		if err := n.restore(snap); err != nil {
@@ -228,10 +228,10 @@
 	}
 }
 
-func (n *Node) drain(from chan any, most int) {
-	for range most {
+func (n *Node) drain(mailbox chan any, limit int) {
+	for range limit {
 		select {
-		case m := <-from:
+		case m := <-mailbox:
 			n.handle(m)
 		default:
 			return
@@ -274,14 +274,14 @@
 }
 
 // post gives the actor something to do; false: its mailbox is full, or it has ended.
-func (n *Node) post(to chan any, m any) bool {
+func (n *Node) post(mailbox chan any, m any) bool {
 	select {
 	case <-n.ended:
 		return false
 	default:
 	}
 	select {
-	case to <- m:
+	case mailbox <- m:
 		return true
 	default:
 		return false
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -45,9 +45,9 @@
 
 // set follows who belongs to the group.
 func (p *peers) set(all map[uint64]Peer) {
-	for id, have := range p.byID {
-		if now, ok := all[id]; !ok || now != have.Peer {
-			have.end()
+	for id, existing := range p.byID {
+		if current, ok := all[id]; !ok || current != existing.Peer {
+			existing.end()
 			delete(p.byID, id)
 		}
 	}
@@ -106,10 +106,10 @@
 		case first = <-x.out:
 		}
 		b := &leasepb.Batch{Group: n.id.Group, From: n.id.ID, Incarnation: n.id.Incarnation, ToIncarnation: x.Incarnation}
-		wait, snap := sendTimeout, false
+		timeout, snap := sendTimeout, false
 		for m := first; m != nil; {
 			if m.GetType() == raftpb.MsgSnap {
-				snap, wait = true, snapshotSendTimeout
+				snap, timeout = true, snapshotSendTimeout
 			}
 			raw, err := proto.Marshal(m)
 			if err == nil {
@@ -123,7 +123,7 @@
 				}
 			}
 		}
-		call, done := context.WithTimeout(ctx, wait)
+		call, done := context.WithTimeout(ctx, timeout)
 		_, err := to.Send(call, b)
 		done()
 		if err == nil {
--- a/internal/coordinator/service.go
+++ b/internal/coordinator/service.go
@@ -148,10 +148,10 @@
 			if err != nil {
 				return
 			}
-			at, to, do := n.clock(), n.requests, func() {}
+			at, mailbox, do := n.clock(), n.requests, func() {}
 			switch is := m.Is.(type) {
 			case *leasepb.FromHolder_Renew:
-				to, do = n.urgent, func() { n.renew(st, is.Renew, at) }
+				mailbox, do = n.urgent, func() { n.renew(st, is.Renew, at) }
 			case *leasepb.FromHolder_Ask:
 				if err := checkRequest(is.Ask); err != nil {
 					return // a holder of ours never sends it
@@ -160,7 +160,7 @@
 			case *leasepb.FromHolder_Close:
 				do = func() { n.propose(lease.Command{Op: lease.Close, Session: st.session}, nil) }
 			}
-			if !n.post(to, call{do}) {
+			if !n.post(mailbox, call{do}) {
 				st.sendBusy(busyRetryAfter, "too much is waiting here")
 			}
 		}
@@ -182,9 +182,9 @@
 }
 
 func checkMember(m *leasepb.Member) error {
-	for _, word := range []string{m.GetKind(), m.GetName(), m.GetSite(), m.GetAddress(), m.GetVersion(), m.GetState()} {
-		if len(word) > maxNameBytes {
-			return fmt.Errorf("member: %.20q... has over 200 bytes", word)
+	for _, value := range []string{m.GetKind(), m.GetName(), m.GetSite(), m.GetAddress(), m.GetVersion(), m.GetState()} {
+		if len(value) > maxNameBytes {
+			return fmt.Errorf("member: %.20q... has over 200 bytes", value)
 		}
 	}
 	return nil
@@ -209,8 +209,8 @@
 		st.sendNotLeader(n.leaderAddress())
 		return
 	}
-	if old := n.streams[st.session]; old != nil && old != st {
-		old.close()
+	if previous := n.streams[st.session]; previous != nil && previous != st {
+		previous.close()
 		delete(n.streams, st.session)
 	}
 	if n.g.State.Sessions[st.session] != nil {
--- a/internal/coordinator/start.go
+++ b/internal/coordinator/start.go
@@ -31,15 +31,15 @@
 
 // empty refuses a data folder that holds a coordinator already.
 func checkEmpty(dir string) error {
-	switch made, err := HasIdentity(dir); {
+	switch exists, err := HasIdentity(dir); {
 	case err != nil:
 		return err
-	case made:
+	case exists:
 		return fmt.Errorf("data folder %s: it holds a coordinator already", dir)
 	}
-	left, err := os.ReadDir(dir)
-	if err == nil && len(left) > 0 {
-		return fmt.Errorf("data folder %s: it is not empty (%s, ...) and holds no coordinator's identity", dir, left[0].Name())
+	entries, err := os.ReadDir(dir)
+	if err == nil && len(entries) > 0 {
+		return fmt.Errorf("data folder %s: it is not empty (%s, ...) and holds no coordinator's identity", dir, entries[0].Name())
 	}
 	if errors.Is(err, os.ErrNotExist) {
 		err = nil
@@ -74,7 +74,7 @@
 		return Identity{}, err
 	}
 	id := Identity{Name: c.Name, Incarnation: rand.Uint64() | 1, Joins: true}
-	var faults []error
+	var errs []error
 	for _, p := range c.initialPeers() {
 		if p.Name == c.Name {
 			continue
@@ -90,22 +90,22 @@
 			return id, writeIdentity(c.Data, id)
 		}
 		if status.Code(err) != codes.FailedPrecondition {
-			faults = append(faults, fmt.Errorf("%s at %s: %s", p.Name, p.Address, status.Convert(err).Message()))
+			errs = append(errs, fmt.Errorf("%s at %s: %s", p.Name, p.Address, status.Convert(err).Message()))
 		}
 	}
-	if len(faults) == 0 {
-		faults = append(faults, errors.New("nobody leads just now: try again"))
+	if len(errs) == 0 {
+		errs = append(errs, errors.New("nobody leads just now: try again"))
 	}
-	return Identity{}, fmt.Errorf("no coordinator let %s join: %w", c.Name, errors.Join(faults...))
+	return Identity{}, fmt.Errorf("no coordinator let %s join: %w", c.Name, errors.Join(errs...))
 }
 
-func callCoordinator[T any](ctx context.Context, address string, wait time.Duration, f func(context.Context, leasepb.LeasesClient) (T, error)) (t T, err error) {
+func callCoordinator[T any](ctx context.Context, address string, timeout time.Duration, f func(context.Context, leasepb.LeasesClient) (T, error)) (t T, err error) {
 	conn, err := leasepb.Dial(address)
 	if err != nil {
 		return t, err
 	}
 	defer conn.Close()
-	ctx, done := context.WithTimeout(ctx, wait)
+	ctx, done := context.WithTimeout(ctx, timeout)
 	defer done()
 	return f(ctx, leasepb.NewLeasesClient(conn))
 }
