--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -13,7 +13,8 @@
 	"junctionring/rollout"
 )
 
-// work writes, sends and applies until there is nothing left to do. What is sent was written before.
+// processReady stores, sends and applies what raft has ready until nothing is left. Messages are sent only after the
+// state that they depend on is on the disk.
 func (n *Node) processReady() error {
 	if len(n.nextReads) > 0 {
 		n.round++
@@ -87,7 +88,7 @@
 		if cc.GetNodeId() == n.id.ID {
 			n.id.Joins = false
 		}
-		n.log.Info("coordinators", "change", cc.GetType(), "id", cc.GetNodeId(), "voters", n.confState.GetVoters(), "learners", n.confState.GetLearners())
+		n.log.Info("group configuration changed", "change", cc.GetType(), "id", cc.GetNodeId(), "voters", n.confState.GetVoters(), "learners", n.confState.GetLearners())
 		n.peers.set(n.knownPeers())
 	case raftpb.EntryNormal:
 		if len(e.GetData()) == 0 {
@@ -95,7 +96,7 @@
 		}
 		var x entry
 		if err := decode(e.GetData(), &x); err != nil {
-			return fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)
+			return fmt.Errorf("log entry %d can't be decoded: %w", e.GetIndex(), err)
 		}
 		if x.Meet != nil {
 			n.g.recordIncarnation(*x.Meet)
@@ -107,7 +108,7 @@
 		if x.FleetCmd != nil {
 			r := n.g.Fleet.Apply(*x.FleetCmd)
 			if x.FleetCmd.Op == rollout.Claim {
-				delete(n.permitDeadlines, x.FleetCmd.Unit) // it has its whole time again
+				delete(n.permitDeadlines, x.FleetCmd.Unit) // a claimed permit has its full lifetime again
 			}
 			if then := n.pendingFleet[x.ID]; then != nil {
 				delete(n.pendingFleet, x.ID)
@@ -122,7 +123,7 @@
 	e := n.g.State.Apply(*x.Cmd)
 	if s := n.raft.BasicStatus(); x.Cmd.Op == lease.Lead && x.Cmd.Term == s.GetTerm() && s.RaftState == raft.StateLeader {
 		n.expiry = lease.NewExpiryTracker(n.clock(), n.g.State, n.c.Life.Duration)
-		n.log.Info("in office", "term", x.Cmd.Term, "sessions", len(n.g.State.Sessions), "sealed", n.g.State.Sealed)
+		n.log.Info("leadership established", "term", x.Cmd.Term, "sessions", len(n.g.State.Sessions), "sealed", n.g.State.Sealed)
 	} else if n.expiry != nil {
 		n.expiry.Applied(n.clock(), n.g.State, *x.Cmd, e)
 	}
@@ -147,7 +148,7 @@
 			delete(n.streams, id)
 		}
 	}
-	for _, c := range e.Changes { // without who sees it a unit is out of sight
+	for _, c := range e.Changes { // a unit is lost once its observer has left or expired
 		if (c.Kind == lease.Expired || c.Kind == lease.Left) && (c.Member.Kind == AgentKind || c.Member.Kind == WardenKind) {
 			for unit, u := range n.g.Fleet.Budget.Units {
 				if u.By == c.Member.Name {
@@ -165,23 +166,23 @@
 	}
 }
 
-// report logs what a command led to, at the coordinator that leads.
+// logEffect logs the effect of a command. Only the leader calls it.
 func (n *Node) logEffect(c *lease.Command, e lease.Effect) {
 	switch {
 	case e.Status == lease.Stale || e.Status == lease.Unknown || e.Status == lease.Full:
-		n.log.Debug("without effect", "op", c.Op, "session", c.Session, "lease", c.Name, "token", c.Token, "status", e.Status)
+		n.log.Debug("command had no effect", "op", c.Op, "session", c.Session, "lease", c.Name, "token", c.Token, "status", e.Status)
 	case c.Op == lease.Expire:
-		n.log.Warn("session over", "session", c.Session, "cause", "its life passed without a renewal")
+		n.log.Warn("session ended", "session", c.Session, "cause", "its life passed without a renewal")
 	case c.Op == lease.Close:
-		n.log.Info("session over", "session", c.Session, "cause", "closed")
+		n.log.Info("session ended", "session", c.Session, "cause", "closed")
 	case c.Op == lease.Revoke:
 		n.log.Warn("lease revoked", "lease", c.Name, "token", e.Token, "by", c.By)
 	case c.Op == lease.Release || c.Op == lease.Free:
-		n.log.Info("lease free", "lease", c.Name, "token", c.Token, "session", c.Session, "cause", c.Op)
+		n.log.Info("lease freed", "lease", c.Name, "token", c.Token, "session", c.Session, "cause", c.Op)
 	case c.Op == lease.Unseal:
-		n.log.Info("leases are given from now on")
+		n.log.Info("new leader grants leases from now on")
 	}
 	for _, g := range e.Granted {
-		n.log.Info("lease given", "lease", g.Name, "token", g.Token, "session", g.Session)
+		n.log.Info("lease granted", "lease", g.Name, "token", g.Token, "session", g.Session)
 	}
 }
--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -10,19 +10,19 @@
 	"junctionring/lease"
 )
 
-// Config is a coordinator's file.
+// Config is the configuration file of a coordinator.
 type Config struct {
 	Name    string          `toml:"name"`
 	Listen  string          `toml:"listen"`
 	Data    string          `toml:"data"`
-	Life    config.Duration `toml:"longest_life"` // that a session may ask for
-	Drift   float64         `toml:"drift"`        // of any clock's rate, at the most
+	Life    config.Duration `toml:"longest_life"` // longest life that a session may request
+	Drift   float64         `toml:"drift"`        // largest relative deviation of a clock's rate
 	Entries uint64          `toml:"snapshot_entries"`
 	Bounds  struct {
 		Sessions int `toml:"sessions"`
 		Leases   int `toml:"leases"`
 		Waiters  int `toml:"waiters"`
-		Asks     int `toml:"asks"` // taken in and not answered
+		Asks     int `toml:"asks"` // requests accepted and not answered yet
 	} `toml:"bounds"`
 	Peers []struct {
 		Name    string `toml:"name"`
@@ -30,7 +30,7 @@
 	} `toml:"coordinator"`
 }
 
-// LoadConfig reads and checks a coordinator's file. The error names each key that is wrong.
+// LoadConfig reads and checks a configuration file. The error names each invalid key.
 func LoadConfig(path string) (*Config, error) {
 	c := &Config{Name: "coordinator-1", Drift: 0.01, Entries: 10_000}
 	c.Life.Duration = 10 * time.Second
@@ -48,8 +48,8 @@
 	var faults config.Faults
 	require, address := faults.Require, faults.RequireAddress
 	address("listen", c.Listen)
-	require(c.Data != "", "data: the folder of the log must be named")
-	require(c.Name != "" && !strings.ContainsAny(c.Name, " /"), "name: %q is no name", c.Name)
+	require(c.Data != "", "data: the folder of the log must be set")
+	require(c.Name != "" && !strings.ContainsAny(c.Name, " /"), "name: %q is empty or contains a space or a slash", c.Name)
 	require(c.Life.Duration >= time.Second && c.Life.Duration <= 10*time.Minute, "longest_life: %v is not from 1s to 10m", c.Life.Duration)
 	require(c.Drift >= 0 && c.Drift <= 0.2, "drift: %g is not from 0 to 0.2", c.Drift)
 	require(c.Entries >= 100, "snapshot_entries: %d is below 100", c.Entries)
@@ -70,7 +70,7 @@
 	return faults
 }
 
-// founders are the coordinators that a group begins with, numbered from 1.
+// initialPeers returns the coordinators that a new group starts with. Their IDs start at 1.
 func (c *Config) initialPeers() (all []Peer) {
 	if len(c.Peers) == 0 {
 		return []Peer{{ID: 1, Name: c.Name, Address: c.Listen}}
--- a/internal/coordinator/disk.go
+++ b/internal/coordinator/disk.go
@@ -21,35 +21,36 @@
 	"junctionring/internal/snapshot"
 )
 
-// Identity says which coordinator a data folder belongs to. A folder that was lost is lost with its identity, so that
-// an empty one can never speak for the coordinator that voted before.
+// Identity identifies the coordinator that a data folder belongs to. It is stored in the folder: if the folder is lost,
+// so is the identity, and an empty folder can't act as the coordinator that voted before. The Go names of the fields are
+// keys in the stored JSON.
 type Identity struct {
 	Group       string
 	ID          uint64
 	Name        string
-	Incarnation uint64 // drawn when the folder was made
-	Joins       bool   // added to a group that ran already
-	First       []Peer // whom a joiner answers to until its log names them
+	Incarnation uint64 // random, drawn when the folder is created
+	Joins       bool   // added to a running group
+	First       []Peer // the peers of a joining coordinator until its log lists them
 }
 
 const (
-	segmentSize       = 8 << 20 // bytes of one file of the log
+	segmentSize       = 8 << 20 // bytes of one log file
 	retainedSnapshots = 3
-	retainedEntries   = 2_000 // behind a snapshot, for those a little late
+	retainedEntries   = 2_000 // log entries before a snapshot, for followers that lag slightly
 )
 
-// The library's own 64 MB a file, made in advance, is for far longer logs. It has no other way to be told.
+// The library preallocates 64 MB for each file, which suits far longer logs. This variable is the only way to set it.
 func init() { wal.SegmentSizeBytes = segmentSize }
 
-// disk is the durable part of a coordinator: log, snapshots, identity. After an error nothing may be said to anybody
-// any more: the process ends.
+// disk is the durable state of a coordinator: log, snapshots and identity. After an error the coordinator must not send
+// anything more, and its process ends.
 type disk struct {
 	dir           string
 	wal           *wal.WAL
 	snaps         *snap.Snapshotter
 	mem           *raft.MemoryStorage
 	snapshotIndex uint64 // index of the newest snapshot
-	tornTail      bool   // an end that was not written whole was cut
+	tornTail      bool   // an incompletely written end of the log was cut off
 }
 
 func identityPath(dir string) string { return filepath.Join(dir, "identity") }
@@ -73,8 +74,9 @@
 	return snapshot.Save(identityPath(dir), snapshot.Version{Number: 1, Content: text})
 }
 
-// openDisk reads what a data folder holds. fresh: there is no log yet. A torn end is cut: what was not written whole
-// was never answered. Anything else that does not fit its checksum is an error: that disk is lost.
+// openDisk reads the log and the newest snapshot of a data folder, and creates them if there are none. fresh is true if
+// the log has no entries yet. A torn end of the log is cut off: what was not completely written was never acknowledged.
+// Any other checksum mismatch is an error, and the disk counts as lost.
 func openDisk(dir string) (d *disk, snapshot *raftpb.Snapshot, fresh bool, err error) {
 	d = &disk{dir: dir, mem: raft.NewMemoryStorage()}
 	if err := os.MkdirAll(d.snapDir(), 0o700); err != nil {
@@ -113,7 +115,7 @@
 		}
 		d.tornTail = true
 		if repaired || !errors.Is(err, io.ErrUnexpectedEOF) || !wal.Repair(log, d.walDir()) {
-			return nil, nil, false, fmt.Errorf("data folder %s: the log can't be read: %w; if nothing better is at hand, treat this disk as lost", dir, err)
+			return nil, nil, false, fmt.Errorf("data folder %s: the log can't be read: %w; unless it can be repaired, treat this disk as lost", dir, err)
 		}
 	}
 	if snapshot != nil {
@@ -133,7 +135,7 @@
 func (d *disk) walDir() string  { return filepath.Join(d.dir, "log") }
 func (d *disk) snapDir() string { return filepath.Join(d.dir, "snapshots") }
 
-// save makes a Ready durable.
+// save writes the snapshot, entries and hard state of a Ready to the disk.
 func (d *disk) save(rd *raft.Ready) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := d.saveSnapshot(rd.Snapshot); err != nil {
@@ -154,7 +156,8 @@
 	return d.mem.Append(rd.Entries)
 }
 
-// keep writes a snapshot's file first and then its mark in the log: a mark without its file could not be read.
+// saveSnapshot writes the snapshot file first and then its record in the log, since a record without its file would make
+// the log unreadable.
 func (d *disk) saveSnapshot(s *raftpb.Snapshot) error {
 	if err := d.snaps.SaveSnap(s); err != nil {
 		return err
@@ -167,7 +170,7 @@
 	return nil
 }
 
-// compact takes a snapshot and lets go of what it stands for.
+// compact saves a snapshot and drops the entries that it covers, except the newest retainedEntries.
 func (d *disk) compact(index uint64, conf *raftpb.ConfState, data []byte) error {
 	s, err := d.mem.CreateSnapshot(index, conf, data)
 	if err != nil {
@@ -184,7 +187,8 @@
 	return d.removeOldFiles()
 }
 
-// tidy removes the files of the log that only hold what lies before the oldest snapshot kept, and older snapshots.
+// removeOldFiles removes all but the newest retainedSnapshots snapshots, and the log files that end before the oldest of
+// them.
 func (d *disk) removeOldFiles() error {
 	snaps, err := fileutil.ReadDir(d.snapDir(), fileutil.WithExt(".snap"))
 	if err != nil {
@@ -202,7 +206,7 @@
 		return nil
 	}
 	if _, err := fmt.Sscanf(strings.TrimSuffix(snaps[0], ".snap"), "%016x-%016x", &term, &oldest); err != nil {
-		return fmt.Errorf("snapshot %s: %w", snaps[0], err)
+		return fmt.Errorf("snapshot file %s: name without term and index: %w", snaps[0], err)
 	}
 	if err := d.wal.ReleaseLockTo(oldest); err != nil {
 		return err
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -14,7 +14,7 @@
 	"junctionring/rollout"
 )
 
-// Change implements the service: one command of the fleet, answered once it is in the log.
+// Change implements the Leases service: it proposes a command of the fleet and answers once the command is applied.
 func (s service) Change(ctx context.Context, in *leasepb.FleetCommand) (*leasepb.FleetReply, error) {
 	var c rollout.Command
 	if err := decode(in.Command, &c); err != nil {
@@ -44,7 +44,8 @@
 	})
 }
 
-// Fleet implements the service: all that is known of units, permits, releases and drains, as it stands now.
+// Fleet implements the Leases service: it returns the current state of units, permits, releases and drains, or the part
+// that one unit's agent needs.
 func (s service) Fleet(ctx context.Context, a *leasepb.FleetAsk) (*leasepb.FleetView, error) {
 	return runAsLeader(ctx, s, func(n *Node) (*leasepb.FleetView, error) {
 		if a.Unit != "" {
@@ -59,8 +60,8 @@
 	})
 }
 
-// Change makes one change of the fleet wherever the group is led. A lost answer is asked for again: every command may
-// be said twice.
+// Change sends a command of the fleet to the leader of the group. It repeats the request if the answer is lost, since
+// every command may be applied twice without harm.
 func Change(ctx context.Context, g *leaseholder.Group, c rollout.Command) (rollout.Reply, error) {
 	if err := c.Check(); err != nil {
 		return rollout.Reply{}, err
@@ -75,13 +76,13 @@
 	return rollout.Reply{Error: out.Error, Token: out.Token, Waits: out.Waits}, nil
 }
 
-// Brief fetches what one unit's agent has to know.
+// Brief fetches the state that one unit's agent needs.
 func Brief(ctx context.Context, g *leaseholder.Group, unit string) (b rollout.Brief, err error) {
 	err = fetch(ctx, g, &leasepb.FleetAsk{Unit: unit}, &b)
 	return b, err
 }
 
-// View fetches what is known of the fleet's changes, with the notes after one.
+// View fetches the state of the fleet, with the notes after the one numbered after.
 func View(ctx context.Context, g *leaseholder.Group, after uint64) (*rollout.Fleet, error) {
 	f := rollout.NewFleet()
 	if err := fetch(ctx, g, &leasepb.FleetAsk{Seq: after}, f); err != nil {
--- a/internal/coordinator/group.go
+++ b/internal/coordinator/group.go
@@ -13,25 +13,25 @@
 	"junctionring/rollout"
 )
 
-// Peer is one coordinator of the group, as the log knows it.
+// Peer is a coordinator of the group as recorded in the log.
 type Peer struct {
 	ID          uint64 `msgpack:"i"`
 	Name        string `msgpack:"n"`
 	Address     string `msgpack:"a"`
-	Incarnation uint64 `msgpack:"c"` // 0: it has not been met yet
+	Incarnation uint64 `msgpack:"c"` // 0: no process has contacted the group for it yet
 }
 
-// group is all that the log builds: the leases, and who keeps them.
+// group is the replicated state: leases, fleet, and the coordinators themselves.
 type group struct {
 	State *lease.State    `msgpack:"s"`
 	Peers map[uint64]Peer `msgpack:"p"`
-	Next  uint64          `msgpack:"n"` // number of the next coordinator; none is ever given twice
-	Fleet *rollout.Fleet  `msgpack:"f"` // releases, drains, and the budget that holds them
+	Next  uint64          `msgpack:"n"` // ID of the next coordinator; IDs are never reused
+	Fleet *rollout.Fleet  `msgpack:"f"` // releases, drains, and the budget that limits them
 }
 
-// entry is one entry of the log: a command, or that a coordinator was met for the first time.
+// entry is a log entry: a lease command, the first contact of a coordinator, or a fleet command.
 type entry struct {
-	ID       uint64           `msgpack:"i"` // of the proposal, at its proposer
+	ID       uint64           `msgpack:"i"` // of the proposal; meaningful only to its proposer
 	Cmd      *lease.Command   `msgpack:"c,omitempty"`
 	Meet     *Peer            `msgpack:"m,omitempty"`
 	FleetCmd *rollout.Command `msgpack:"r,omitempty"`
@@ -44,12 +44,13 @@
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("coordinator: %T can't be encoded: %v", v, err)) // plain structs: never
+		panic(fmt.Sprintf("coordinator: %T can't be encoded: %v", v, err)) // plain structs always encode
 	}
 	return b
 }
 
-// decode reads what encode wrote. Of bytes from elsewhere nothing may be left over or unknown.
+// decode decodes the output of encode. Trailing bytes and unknown fields are errors, since the bytes may come from
+// another process.
 func decode(b []byte, v any) error {
 	reader := bytes.NewReader(b)
 	decoder := msgpack.NewDecoder(reader)
@@ -69,12 +70,12 @@
 		return nil, fmt.Errorf("the snapshot can't be read: %w", err)
 	}
 	if g.State == nil || g.State.Sessions == nil || g.State.Leases == nil || g.Peers == nil || g.Fleet == nil || g.Fleet.Budget == nil {
-		return nil, fmt.Errorf("the snapshot is not whole")
+		return nil, fmt.Errorf("the snapshot is incomplete: it lacks the state of leases, coordinators or the fleet")
 	}
 	return g, nil
 }
 
-// change takes in a change of who keeps the log.
+// applyConfChange applies a change of the group's coordinators.
 func (g *group) applyConfChange(cc *raftpb.ConfChange) error {
 	id := cc.GetNodeId()
 	g.Next = max(g.Next, id+1)
@@ -83,19 +84,19 @@
 		delete(g.Peers, id)
 	default:
 		if _, known := g.Peers[id]; known {
-			return nil // a learner that votes from now on
+			return nil // a learner becomes a voter
 		}
 		var p Peer
 		if err := decode(cc.GetContext(), &p); err != nil {
-			return fmt.Errorf("coordinator %d: %w", id, err)
+			return fmt.Errorf("configuration change for coordinator %d can't be decoded: %w", id, err)
 		}
 		g.Peers[id] = p
 	}
 	return nil
 }
 
-// meet books the incarnation of a coordinator that was seen for the first time; another one under its number is not
-// listened to from then on.
+// recordIncarnation records the incarnation of a coordinator at its first contact. Messages of another incarnation under
+// the same ID are rejected from then on.
 func (g *group) recordIncarnation(p Peer) {
 	if known, ok := g.Peers[p.ID]; ok && known.Incarnation == 0 {
 		known.Incarnation = p.Incarnation
--- a/internal/coordinator/grouptest/grouptest.go
+++ b/internal/coordinator/grouptest/grouptest.go
@@ -1,4 +1,5 @@
-// Package grouptest runs a group of one coordinator in a test's own process.
+// Package grouptest runs a group of one coordinator inside a test's process. It does not run groups of several
+// coordinators.
 package grouptest
 
 import (
@@ -16,7 +17,7 @@
 	"junctionring/rollout"
 )
 
-// Group is the coordinator, and a way to it.
+// Group is a running coordinator and a client group for it.
 type Group struct {
 	*leaseholder.Group
 	Address    string
@@ -26,7 +27,7 @@
 	stop       func()
 }
 
-// Start starts a new group whose sessions live for so long at the most. It ends with the test.
+// Start starts a new group with life as the longest life of a session. The group stops at the end of the test.
 func Start(ctx context.Context, t testing.TB, life time.Duration) *Group {
 	t.Helper()
 	g := &Group{t: t, ctx: ctx, Address: FreeAddress(t), configPath: filepath.Join(t.TempDir(), "c.toml")}
@@ -39,7 +40,7 @@
 	return g
 }
 
-// Run runs the coordinator, again after Stop.
+// Run starts the coordinator, also again after Stop.
 func (g *Group) Run() {
 	g.t.Helper()
 	c, err := coordinator.LoadConfig(g.configPath)
@@ -64,7 +65,7 @@
 	g.stop = func() { end(); <-ended }
 }
 
-// Stop ends the coordinator; what is in its log stays.
+// Stop stops the coordinator. Its log stays on the disk.
 func (g *Group) Stop() {
 	if g.stop != nil {
 		g.stop()
@@ -72,7 +73,7 @@
 	}
 }
 
-// Change makes a change that must be taken.
+// Change sends a command of the fleet and fails the test if it is refused.
 func (g *Group) Change(c rollout.Command) {
 	g.t.Helper()
 	if r, err := coordinator.Change(g.ctx, g.Group, c); err != nil || r.Error != "" && !r.Waits {
@@ -80,7 +81,7 @@
 	}
 }
 
-// Await waits until the fleet is so.
+// Await waits until condition holds for the state of the fleet, and fails the test when its context ends first.
 func (g *Group) Await(what string, condition func(*rollout.Fleet) bool) *rollout.Fleet {
 	g.t.Helper()
 	for {
@@ -90,16 +91,16 @@
 		}
 		select {
 		case <-g.ctx.Done():
-			g.t.Fatalf("never: %s: %v\n%s", what, err, FormatNotes(v))
+			g.t.Fatalf("the context ended before the condition %q held: %v\n%s", what, err, FormatNotes(v))
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// FormatNotes is what a fleet's log tells, for a failed test.
+// FormatNotes formats the event history of a fleet for the message of a failed test.
 func FormatNotes(f *rollout.Fleet) (text string) {
 	if f == nil {
-		return "nothing is known of the fleet"
+		return "no state of the fleet was received"
 	}
 	for _, n := range f.Notes {
 		text += fmt.Sprintf("%d %s %s\n", n.Seq, n.By, n.What)
@@ -107,7 +108,7 @@
 	return text
 }
 
-// FreeAddress is an address for something that a test starts.
+// FreeAddress returns a free local address for a server that a test starts.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	a, err := standin.Free()
--- a/internal/coordinator/leadership.go
+++ b/internal/coordinator/leadership.go
@@ -9,7 +9,8 @@
 	"junctionring/rollout"
 )
 
-// handOver gives the office to another before this process ends, so that nobody waits for an election.
+// transferLeadership hands the leadership to the most up-to-date active voter before this coordinator stops or is
+// removed, so that clients need not wait for an election.
 func (n *Node) transferLeadership() {
 	if n.expiry == nil {
 		return
@@ -23,7 +24,7 @@
 	if to == 0 {
 		return
 	}
-	n.log.Info("gives the office to another", "to", n.g.Peers[to].Name)
+	n.log.Info("transferring leadership", "to", n.g.Peers[to].Name)
 	n.raft.TransferLeader(to)
 	for start := time.Now(); time.Since(start) < 500*time.Millisecond && n.raft.BasicStatus().RaftState == raft.StateLeader; {
 		if n.processReady() != nil {
@@ -37,16 +38,16 @@
 	}
 }
 
-// office follows who leads.
+// followLeadership reacts to changes of the leader and of this coordinator's own role.
 func (n *Node) followLeadership() {
 	s := n.raft.BasicStatus()
 	if s.Lead != n.leader {
 		n.leader = s.Lead
 		n.elections++
-		n.log.Info("leader", "is", n.g.Peers[s.Lead].Name, "term", s.GetTerm())
+		n.log.Info("leader changed", "is", n.g.Peers[s.Lead].Name, "term", s.GetTerm())
 	}
 	leads := s.RaftState == raft.StateLeader
-	if n.wasLeader && (!leads || s.GetTerm() != n.term) { // also where it lost the office and has it again
+	if n.wasLeader && (!leads || s.GetTerm() != n.term) { // also if it lost the leadership and won it again in between
 		n.stepDown()
 		n.wasLeader = false
 	}
@@ -60,7 +61,8 @@
 	n.wasLeader = leads
 }
 
-// leave ends this coordinator's office: whoever waits for it is told, and asks the next one.
+// stepDown drops the state of this coordinator's leadership. Pending calls fail with errNotLeader and streams end, so
+// that clients turn to the next leader.
 func (n *Node) stepDown() {
 	n.expiry, n.confChangePending = nil, false
 	clear(n.meetProposed)
--- a/internal/coordinator/leasepb/dial.go
+++ b/internal/coordinator/leasepb/dial.go
@@ -10,10 +10,10 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// MaxMessageBytes is the most that one message holds, in bytes: a snapshot of a full group has some 5 MB.
+// MaxMessageBytes is the limit of a gRPC message. The snapshot of a group at its bounds has some 5 MB.
 const MaxMessageBytes = 16 << 20
 
-// Dial makes a connection to a coordinator at host:port; it opens with its first call.
+// Dial returns a connection to the coordinator at host:port. The connection is opened by the first call.
 func Dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second,
@@ -22,7 +22,7 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageBytes), grpc.MaxCallSendMsgSize(MaxMessageBytes)))
 }
 
-// Status asks one coordinator how it is, whoever leads. Its answer may take so long at the most.
+// Status fetches the status of one coordinator, whether it leads or not, with a timeout.
 func Status(ctx context.Context, address string, timeout time.Duration) (*StatusAnswer, error) {
 	conn, err := Dial(address)
 	if err != nil {
--- a/internal/coordinator/node.go
+++ b/internal/coordinator/node.go
@@ -1,6 +1,8 @@
-// Package coordinator is one of the processes that keep a fleet's leases and membership: an actor round package
-// lease and a replicated log (etcd's raft, its log and snapshot files), served over gRPC. The actor owns the raft
-// node, the disk, the state and the streams of holders; it decides nothing about leases itself.
+// Package coordinator runs one coordinator: a replica that applies a replicated log (etcd's raft) to the state of
+// leases, membership and rollouts, and serves that state over gRPC. It does not itself decide who gets a lease or a
+// permit: packages lease and rollout do.
+//
+// One actor owns the raft node, the disk, the state and the streams of holders.
 package coordinator
 
 import (
@@ -23,30 +25,30 @@
 
 const (
 	tickInterval       = 10 * time.Millisecond
-	heartbeatTicks     = 5  // ticks
-	electionTicks      = 50 // ticks without a leader, up to twice that by chance: in steps this fine two seldom stand at once
+	heartbeatTicks     = 5  // ticks; the leader also proposes timed commands this often
+	electionTicks      = 50 // ticks without a leader, randomized up to twice that; ticks this short make split votes rare
 	urgentMailboxSize  = 4096
 	requestMailboxSize = 1024
-	urgentBatch        = 1024 // taken in before the disk is written once
+	urgentBatch        = 1024 // most events handled between two writes to the disk
 	requestBatch       = 256
-	overdueRetry       = time.Second // after a Late that may have been lost
-	maxPromotionLag    = 64          // entries by which a joiner may be behind when it is given its vote
+	overdueRetry       = time.Second // until a MarkOverdue is proposed again, since a proposal may be lost
+	maxPromotionLag    = 64          // entries that a learner may lag behind the commit index when it becomes a voter
 )
 
-// AgentKind is the kind of the members that speak for units: an agent's name is its unit's.
+// AgentKind is the kind of the members that report on units. An agent has the name of its unit.
 const AgentKind = "agent"
 
-// WardenKind is the kind of the members that see table servers.
+// WardenKind is the kind of the members that observe table servers.
 const WardenKind = "warden"
 
 var errNotLeader = errors.New("this coordinator does not lead")
 
-// Options start a coordinator.
+// Options are the parameters of a coordinator.
 type Options struct {
 	Config     *Config
-	Clock      func() time.Duration // monotonic; nil: this process's own
-	Via        map[string]string    // where to dial for an address that is listed; others are dialled as they are
-	CheckSpace func() error         // asked before each write to the disk; nil: the disk alone says when it is full
+	Clock      func() time.Duration // monotonic; nil: the process's clock
+	Via        map[string]string    // replacement for each coordinator address that is dialled; addresses not listed are dialled unchanged
+	CheckSpace func() error         // called before each write to the disk, an error stops the coordinator; nil: no check
 	Log        *slog.Logger
 }
 
@@ -59,8 +61,8 @@
 	via        map[string]string
 	checkSpace func() error
 
-	urgent   chan any // raft's messages, renewals, sessions that come back
-	requests chan any // new work
+	urgent   chan any // raft messages, renewals, and opened or resumed sessions
+	requests chan any // all other calls
 	ended    chan struct{}
 
 	disk      *disk
@@ -70,29 +72,29 @@
 	applied   uint64
 	peers     *peers
 
-	expiry            *lease.ExpiryTracker // nil: not in office
+	expiry            *lease.ExpiryTracker // nil: not the leader, or its Lead command is not applied yet
 	leader            uint64
 	wasLeader         bool
-	term              uint64 // of its office
+	term              uint64 // of its latest leadership
 	elections         uint64
 	proposals         uint64
 	pending           map[uint64]func(lease.Effect, error)
-	roundReads        map[uint64][]read // renewals and lists, by the number of the round that confirms this leader
-	nextReads         []read            // for the next round
-	confirmedRounds   []confirmedRound  // rounds that came back, for states not applied yet
+	roundReads        map[uint64][]read // by the number of the read-index round that confirms the leadership for them
+	nextReads         []read            // reads for the next round
+	confirmedRounds   []confirmedRound  // confirmed rounds whose read index is not applied yet
 	round             uint64
 	streams           map[string]*stream // by session
 	watchers          map[*watcher]struct{}
 	meetProposed      map[uint64]bool
-	permitDeadlines   map[string]permitDeadline // when the permits of units are overdue
+	permitDeadlines   map[string]permitDeadline // by unit
 	pendingFleet      map[uint64]func(rollout.Reply, error)
 	confChangePending bool
-	learnerAddedAt    uint64 // index at which a coordinator last joined: raft turns down a snapshot that doesn't name its reader
+	learnerAddedAt    uint64 // index at which a learner was last added; a snapshot must be newer, as raft rejects one that doesn't list its recipient
 	appliedWaiters    []appliedWaiter
-	identityErr       error // the others mean another incarnation: this one must not speak for it
+	identityErr       error // set if the group knows another incarnation of this coordinator; this one must then stop
 }
 
-// events from elsewhere
+// Events in the actor's mailboxes.
 type (
 	peerMessages struct{ messages []*raftpb.Message }
 	meetPeer     struct{ peer Peer }
@@ -104,21 +106,21 @@
 	call struct{ do func() }
 )
 
-// New opens a coordinator's data folder. Run starts it.
+// New opens the data folder of a coordinator and prepares its raft node. Run starts it.
 func New(o Options) (*Node, error) {
 	id, err := readIdentity(o.Config.Data)
 	if err != nil {
-		return nil, fmt.Errorf("data folder %s: %w: a group's first start wants 'coordinator init', a lost disk 'member remove', 'member add' and 'run --join'", o.Config.Data, err)
+		return nil, fmt.Errorf("data folder %s: %w: run 'coordinator init' for the first start of a group, or 'member remove', 'member add' and 'run --join' after the loss of a disk", o.Config.Data, err)
 	}
 	if id.Name != o.Config.Name {
-		return nil, fmt.Errorf("data folder %s: it is %s's, and the file says name = %q", o.Config.Data, id.Name, o.Config.Name)
+		return nil, fmt.Errorf("data folder %s: it belongs to coordinator %q, but the configuration file has name = %q", o.Config.Data, id.Name, o.Config.Name)
 	}
 	d, snap, fresh, err := openDisk(o.Config.Data)
 	if err != nil {
 		return nil, err
 	}
 	if d.tornTail {
-		o.Log.Warn("the log's torn end was cut: it was never answered", "data", o.Config.Data)
+		o.Log.Warn("the log's torn end was cut: it was never acknowledged", "data", o.Config.Data)
 	}
 	n := &Node{
 		c: o.Config, id: id, clock: o.Clock, via: o.Via, checkSpace: o.CheckSpace, log: o.Log.With("coordinator", id.Name), disk: d, g: newGroup(), confState: &raftpb.ConfState{},
@@ -158,7 +160,8 @@
 	return n, nil
 }
 
-// known is who this coordinator speaks to.
+// knownPeers returns the coordinators that this one sends to: the group's, and while it joins those that its identity
+// lists too.
 func (n *Node) knownPeers() map[uint64]Peer {
 	if len(n.g.Peers) > 0 && !n.id.Joins {
 		return n.g.Peers
@@ -181,7 +184,8 @@
 	return nil
 }
 
-// Run works until ctx ends, this coordinator is removed, or the disk fails: then nothing more is said to anybody.
+// Run runs the coordinator until ctx ends, the coordinator is removed from the group, or the disk fails. After a disk
+// failure nothing more is sent: peers must not rely on what may not be stored.
 func (n *Node) Run(ctx context.Context) (err error) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -193,14 +197,14 @@
 			err = failed
 		}
 	}()
-	if len(n.g.Peers) <= 1 && !n.id.Joins { // alone, or at its first start: no reason to wait
+	if len(n.g.Peers) <= 1 && !n.id.Joins { // the only coordinator, or its first start: campaign without waiting
 		for range electionTicks {
 			n.raft.Tick()
 		}
 	}
 	for ticks := 0; ; {
 		if err := n.processReady(); err != nil {
-			n.log.Error("ends: what it knows can't be kept", "err", err)
+			n.log.Error("coordinator stops: raft state could not be stored or applied", "err", err)
 			return err
 		}
 		if n.identityErr != nil {
@@ -239,7 +243,7 @@
 	}
 }
 
-// removed tells whether the group goes on without this one.
+// removed reports whether the group's configuration has voters and no longer includes this coordinator.
 func (n *Node) removed() bool {
 	for _, id := range append(n.confState.GetVoters(), n.confState.GetLearners()...) {
 		if id == n.id.ID {
@@ -253,7 +257,7 @@
 	switch m := m.(type) {
 	case peerMessages:
 		for _, r := range m.messages {
-			n.raft.Step(r) // what is out of place raft drops itself
+			n.raft.Step(r) // raft itself drops messages that do not apply; the error only says so
 		}
 	case meetPeer:
 		if n.raft.BasicStatus().RaftState == raft.StateLeader && !n.meetProposed[m.peer.ID] {
@@ -273,7 +277,8 @@
 	}
 }
 
-// post gives the actor something to do; false: its mailbox is full, or it has ended.
+// post puts an event into a mailbox of the actor without waiting. It returns false if the mailbox is full or the actor
+// has ended.
 func (n *Node) post(mailbox chan any, m any) bool {
 	select {
 	case <-n.ended:
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	peerQueueSize       = 1024 // messages on their way to one coordinator; beyond them raft sends again
+	peerQueueSize       = 1024 // messages queued for one coordinator; raft resends those that do not fit
 	maxBatchMessages    = 64
 	sendTimeout         = time.Second
-	sendRetryDelay      = 100 * time.Millisecond // after a call that failed
+	sendRetryDelay      = 100 * time.Millisecond // after a failed call
 	snapshotSendTimeout = 20 * time.Second
 )
 
-// peers sends raft's messages to the other coordinators: one actor and one call at a time for each.
+// peers sends raft messages to the other coordinators, with one goroutine and one call at a time for each of them.
 type peers struct {
 	n    *Node
 	ctx  context.Context
@@ -35,7 +35,7 @@
 	Peer
 	out        chan *raftpb.Message
 	end        context.CancelFunc
-	lastAnswer atomic.Int64 // when it last answered, on the node's clock; 0: never
+	lastAnswer atomic.Int64 // time of its last answer, on the node's clock; 0: never
 }
 
 func newPeers(n *Node) *peers {
@@ -43,7 +43,7 @@
 	return &peers{n, ctx, end, map[uint64]*peer{}}
 }
 
-// set follows who belongs to the group.
+// set starts and stops senders so that there is one for each coordinator of the group other than this one.
 func (p *peers) set(all map[uint64]Peer) {
 	for id, existing := range p.byID {
 		if current, ok := all[id]; !ok || current != existing.Peer {
@@ -78,7 +78,7 @@
 	}
 }
 
-// silent is for how long a coordinator has not answered; ok is false for one that never did.
+// sinceLastAnswer returns the time since a coordinator last answered. ok is false if it never has.
 func (p *peers) sinceLastAnswer(id uint64) (d time.Duration, ok bool) {
 	x := p.byID[id]
 	if x == nil || x.lastAnswer.Load() == 0 {
@@ -92,7 +92,7 @@
 func (x *peer) run(ctx context.Context, n *Node) {
 	conn, err := leasepb.Dial(cmp.Or(n.via[x.Address], x.Address))
 	if err != nil {
-		n.log.Error("peer", "name", x.Name, "err", err)
+		n.log.Error("can't create a connection to another coordinator", "name", x.Name, "err", err)
 		return
 	}
 	defer conn.Close()
@@ -143,19 +143,20 @@
 			case <-time.After(sendRetryDelay):
 			}
 		} else if failing && err == nil {
-			n.log.Info("the other coordinator answers again", "name", x.Name)
+			n.log.Info("another coordinator can be reached again", "name", x.Name)
 		}
 		failing = err != nil
 	}
 }
 
-// peerServer takes in what the others send.
+// peerServer receives the raft messages of the other coordinators.
 type peerServer struct {
 	leasepb.UnimplementedPeersServer
 	n *Node
 }
 
-// Send implements the Peers service. Who is not in the group, or speaks for one whose disk was lost, is not heard.
+// Send implements the Peers service. It rejects messages from outside the group and from a coordinator whose incarnation
+// differs from the recorded one, that is, whose disk was lost.
 func (s peerServer) Send(ctx context.Context, b *leasepb.Batch) (*leasepb.BatchAnswer, error) {
 	n := s.n
 	if b.Group != n.id.Group {
--- a/internal/coordinator/proposals.go
+++ b/internal/coordinator/proposals.go
@@ -9,19 +9,20 @@
 	"junctionring/rollout"
 )
 
-// awaited is somebody who waits for a change of the group to be applied.
+// appliedWaiter is a call that waits until a change of the group is applied.
 type appliedWaiter struct {
 	condition func() bool
 	callback  func(error)
 }
 
-// late is when a permit's time has passed, as this leader counts from its start or the permit's.
+// permitDeadline is the time at which a permit is overdue. The leader counts the permit's lifetime from the start of its
+// leadership or from when the permit was granted, whichever is later.
 type permitDeadline struct {
 	token uint64
 	at    time.Duration
 }
 
-// due proposes what time calls for.
+// proposeDue proposes what is due by the clock, and the promotion of a learner that has caught up.
 func (n *Node) proposeDue() {
 	if n.expiry == nil {
 		return
@@ -33,8 +34,8 @@
 	n.promoteLearner()
 }
 
-// overdue proposes what the permits' times call for. A permit that waited has its time from when it was given; after
-// a change of leader every one has its whole time again.
+// proposeOverdue marks permits whose lifetime has passed as overdue. A lifetime starts when the permit is granted, not
+// when it is requested; after a change of leader every permit has its full lifetime again.
 func (n *Node) proposeOverdue() {
 	f := n.g.Fleet
 	for unit, p := range f.Budget.Permits {
@@ -55,7 +56,7 @@
 	}
 }
 
-// roll puts a command of the fleet on its way to the log; then is called as with propose.
+// proposeFleet proposes a command of the fleet. then is called as for propose.
 func (n *Node) proposeFleet(c rollout.Command, then func(rollout.Reply, error)) {
 	n.proposals++
 	id := n.proposals
@@ -71,7 +72,7 @@
 	}
 }
 
-// promote gives a joiner that has caught up its vote.
+// promoteLearner proposes to make a learner that has caught up a voter.
 func (n *Node) promoteLearner() {
 	if n.confChangePending || len(n.confState.GetLearners()) == 0 {
 		return
@@ -80,7 +81,7 @@
 	for _, id := range n.confState.GetLearners() {
 		p, known := s.Progress[id], n.g.Peers[id]
 		if known.Incarnation != 0 && p.RecentActive && p.Match+maxPromotionLag >= s.GetCommit() {
-			n.log.Info("the joiner has caught up and votes from now on", "name", known.Name)
+			n.log.Info("learner has caught up: promoting it to voter", "name", known.Name)
 			n.proposeConfChange(raftpb.ConfChangeAddNode, known)
 			return
 		}
@@ -93,8 +94,8 @@
 	return err
 }
 
-// propose puts a command on its way to the log. then is called once: when it was applied here, or when this
-// coordinator left its office and can't tell any more what becomes of it.
+// propose proposes a lease command. then, unless nil, is called once: when the command is applied here, when raft
+// rejects the proposal, or when this coordinator loses the leadership and can no longer tell the outcome.
 func (n *Node) propose(c lease.Command, then func(lease.Effect, error)) {
 	n.proposeEntry(entry{Cmd: &c}, then)
 }
--- a/internal/coordinator/reads.go
+++ b/internal/coordinator/reads.go
@@ -1,15 +1,16 @@
 package coordinator
 
-// read waits until this coordinator has made sure that it leads.
+// read is called with nil once this coordinator has confirmed its leadership, or with the reason why it can't.
 type read func(err error)
 
+// confirmedRound holds the reads of a read-index round that a quorum has confirmed, and their read index.
 type confirmedRound struct {
 	index uint64
 	reads []read
 }
 
-// confirm calls r once this coordinator has made sure, after now, that it leads, and has applied all that was
-// committed before.
+// confirmLeadership calls r once a quorum has confirmed, after the time of this call, that this coordinator leads, and
+// all entries committed until then are applied.
 func (n *Node) confirmLeadership(r read) {
 	if n.expiry == nil {
 		r(errNotLeader)
--- a/internal/coordinator/service.go
+++ b/internal/coordinator/service.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	outboxSize      = 64  // answers that wait for one holder; a holder that reads slower than that is let go
-	maxNameBytes    = 200 // bytes of a name
+	outboxSize      = 64  // answers queued for one client; the stream of a client that reads too slowly ends
+	maxNameBytes    = 200 // bound of each name and member field
 	backupChunkSize = 256 << 10
 	minSessionTTL   = time.Second
-	activeWithin    = 250 * time.Millisecond // since its last answer: five heartbeats
+	activeWithin    = 250 * time.Millisecond // since its last answer: five heartbeat intervals
 	busyRetryAfter  = 500 * time.Millisecond
 	fullRetryAfter  = 2 * time.Second
 )
 
-// Server is the gRPC server of a node.
+// Server returns the gRPC server of a coordinator, with its services registered.
 func (n *Node) Server() *grpc.Server {
 	s := grpc.NewServer(grpc.MaxRecvMsgSize(leasepb.MaxMessageBytes), grpc.MaxConcurrentStreams(uint32(2*n.c.Bounds.Sessions)),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second}),
@@ -45,10 +45,10 @@
 	n *Node
 }
 
-// outbox carries answers of the actor to one client. The actor never waits for it: one that is full ends.
+// outbox carries answers from the actor to one client. The actor never waits for a client: a full outbox closes.
 type outbox[T any] struct {
 	out   chan T
-	done  chan struct{} // closed by the actor, or by the client's going
+	done  chan struct{} // closed when the actor closes the outbox or the client disconnects
 	close func()
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// pump sends until the outbox ends, and then what is left in it.
+// pump sends queued answers until the outbox is closed and empty.
 func (o outbox[T]) pump(send func(T) error) error {
 	for {
 		select {
@@ -92,7 +92,7 @@
 	}
 }
 
-// stream is one holder's connection.
+// stream is the stream of one holder's session.
 type stream struct {
 	outbox[*leasepb.ToHolder]
 	session string
@@ -116,7 +116,7 @@
 	st.put(&leasepb.ToHolder{Is: &leasepb.ToHolder_Busy{Busy: &leasepb.Busy{RetryAfterMs: after.Milliseconds(), Why: why}}})
 }
 
-// Session implements the service.
+// Session implements the Leases service: the stream over which a holder opens, renews and uses its session.
 func (s service) Session(g grpc.BidiStreamingServer[leasepb.FromHolder, leasepb.ToHolder]) error {
 	n := s.n
 	first, err := g.Recv()
@@ -154,7 +154,7 @@
 				mailbox, do = n.urgent, func() { n.renew(st, is.Renew, at) }
 			case *leasepb.FromHolder_Ask:
 				if err := checkRequest(is.Ask); err != nil {
-					return // a holder of ours never sends it
+					return // no holder of this project sends it: the stream ends
 				}
 				do = func() { n.handleRequest(st, is.Ask) }
 			case *leasepb.FromHolder_Close:
@@ -203,7 +203,7 @@
 	return fmt.Errorf("a holder can't ask for %d", a.Op)
 }
 
-// open begins a session, or goes on with one on a new connection.
+// openSession opens a session, or resumes an open one on a new stream.
 func (n *Node) openSession(st *stream, o *leasepb.Open, at time.Duration) {
 	if n.expiry == nil {
 		st.sendNotLeader(n.leaderAddress())
@@ -248,7 +248,7 @@
 	})
 }
 
-// renewed answers a renewal that came in at a time after which this coordinator was sure to lead.
+// answerRenewal answers a renewal received at a time after which this coordinator has confirmed its leadership.
 func (n *Node) answerRenewal(st *stream, number uint64, at time.Duration) {
 	if n.expiry == nil || !n.expiry.Renewed(at, n.g.State, st.session) {
 		st.sendGone()
@@ -286,7 +286,7 @@
 	})
 }
 
-// watcher is one stream of membership changes.
+// watcher is a client's stream of membership changes.
 type watcher struct {
 	outbox[*leasepb.WatchAnswer]
 }
@@ -301,7 +301,8 @@
 	return w.put(a)
 }
 
-// Watch implements the service: what the watcher missed, or a whole list, and then each change in order.
+// Watch implements the Leases service: it sends the changes that the client missed, or a whole list, and then each change
+// in order.
 func (s service) Watch(a *leasepb.WatchAsk, g grpc.ServerStreamingServer[leasepb.WatchAnswer]) error {
 	w := &watcher{newOutbox[*leasepb.WatchAnswer](g.Context())}
 	defer w.close()
@@ -333,13 +334,13 @@
 	return status.Error(codes.Unavailable, "the stream ended here: come again with the newest change known")
 }
 
-// reply is what the actor says to a call: a value, or why there is none.
+// reply is the actor's reply to a call: a value or an error.
 type reply[T any] struct {
 	value T
 	err   error
 }
 
-// do has the actor do something and waits for its reply, which comes through done: a call that ends first shares nothing
+// runInActor runs f in the actor and waits for the reply that f passes to done. If the call ends first, it shares no memory
 // with the actor.
 func runInActor[T any](ctx context.Context, s service, f func(n *Node, done func(T, error))) (value T, err error) {
 	replies := make(chan reply[T], 1)
@@ -369,7 +370,7 @@
 	}
 }
 
-// leading has the actor do something once it is sure that it leads.
+// runAsLeader runs f in the actor once this coordinator has confirmed its leadership.
 func runAsLeader[T any](ctx context.Context, s service, f func(n *Node) (T, error)) (T, error) {
 	return runInActor(ctx, s, func(n *Node, done func(T, error)) {
 		n.confirmLeadership(func(err error) {
@@ -382,7 +383,7 @@
 	})
 }
 
-// List implements the service.
+// List implements the Leases service: it returns all leases and sessions.
 func (s service) List(ctx context.Context, _ *leasepb.ListAsk) (*leasepb.ListAnswer, error) {
 	return runAsLeader(ctx, s, func(n *Node) (*leasepb.ListAnswer, error) {
 		a, state := &leasepb.ListAnswer{}, n.g.State
@@ -404,7 +405,8 @@
 	})
 }
 
-// Revoke implements the service. The lease is given on once its holder has said that it stopped, or can't act any more.
+// Revoke implements the Leases service. The lease is granted to the next waiter once its holder has confirmed that it
+// stopped, or can't act any more.
 func (s service) Revoke(ctx context.Context, a *leasepb.RevokeAsk) (*leasepb.Outcome, error) {
 	return runInActor(ctx, s, func(n *Node, done func(*leasepb.Outcome, error)) {
 		if n.expiry == nil {
@@ -417,7 +419,7 @@
 	})
 }
 
-// Status implements the service; every coordinator answers for itself.
+// Status implements the Leases service. Every coordinator answers for itself, whether it leads or not.
 func (s service) Status(ctx context.Context, _ *leasepb.StatusAsk) (*leasepb.StatusAnswer, error) {
 	return runInActor(ctx, s, func(n *Node, done func(*leasepb.StatusAnswer, error)) {
 		st := n.raft.Status()
@@ -442,7 +444,7 @@
 	})
 }
 
-// Backup implements the service.
+// Backup implements the Leases service: it sends the replicated state in chunks.
 func (s service) Backup(_ *leasepb.BackupAsk, g grpc.ServerStreamingServer[leasepb.Piece]) error {
 	all, err := runAsLeader(g.Context(), s, func(n *Node) ([]byte, error) { return encode(n.g), nil })
 	if err != nil {
@@ -458,7 +460,7 @@
 
 var errConfChangePending = status.Error(codes.Unavailable, "another change of the group is under way: come back when 'coordinator status' shows it done")
 
-// AddCoordinator implements the service: the new one reads the log at first, and votes once it has caught up.
+// AddCoordinator implements the Leases service. The new coordinator is a learner at first and votes once it has caught up.
 func (s service) AddCoordinator(ctx context.Context, c *leasepb.Coordinator) (*leasepb.Coordinator, error) {
 	return runInActor(ctx, s, func(n *Node, done func(*leasepb.Coordinator, error)) {
 		p, there := n.g.peerNamed(c.Name)
@@ -466,7 +468,7 @@
 		case n.expiry == nil:
 			done(nil, errNotLeader)
 			return
-		case there && p.Address == c.Address && p.Incarnation == 0: // asked again
+		case there && p.Address == c.Address && p.Incarnation == 0: // a repeated request
 			done(&leasepb.Coordinator{Id: p.ID, Name: p.Name, Address: p.Address}, nil)
 			return
 		case there:
@@ -490,7 +492,7 @@
 	})
 }
 
-// RemoveCoordinator implements the service.
+// RemoveCoordinator implements the Leases service.
 func (s service) RemoveCoordinator(ctx context.Context, c *leasepb.Coordinator) (*leasepb.Coordinator, error) {
 	return runInActor(ctx, s, func(n *Node, done func(*leasepb.Coordinator, error)) {
 		p, there := n.g.peerNamed(c.Name)
@@ -509,7 +511,7 @@
 			done(nil, err)
 			return
 		}
-		if p.ID == n.id.ID { // another one leads first, and is asked again
+		if p.ID == n.id.ID { // the next leader has to remove it, and the client asks there again
 			n.transferLeadership()
 			done(nil, errNotLeader)
 			return
@@ -524,7 +526,7 @@
 	})
 }
 
-// staysAble refuses a removal after which no majority would be at work.
+// checkRemovable returns an error if the remaining voters would have no active majority.
 func (n *Node) checkRemovable(without uint64) error {
 	voters, active := 0, 0
 	for id, p := range n.raft.Status().Progress {
@@ -545,8 +547,8 @@
 	return nil
 }
 
-// Join implements the service: a new process, started for a coordinator that was added, is told its number. A number
-// goes to one process only.
+// Join implements the Leases service: it returns the ID of an added coordinator to the process that runs it. An ID goes to
+// one process only.
 func (s service) Join(ctx context.Context, j *leasepb.JoinAsk) (*leasepb.JoinAnswer, error) {
 	return runInActor(ctx, s, func(n *Node, done func(*leasepb.JoinAnswer, error)) {
 		p, there := n.g.peerNamed(j.Name)
--- a/internal/coordinator/start.go
+++ b/internal/coordinator/start.go
@@ -20,7 +20,7 @@
 	"junctionring/internal/snapshot"
 )
 
-// groupName is alike at all founders: it comes from their list.
+// groupName returns the name of the group, a hash of the initial coordinators. It is the same at all of them.
 func (c *Config) groupName() string {
 	d := xxhash.New()
 	for _, p := range c.initialPeers() {
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%016x", d.Sum64())
 }
 
-// empty refuses a data folder that holds a coordinator already.
+// checkEmpty returns an error if a data folder exists and is not empty.
 func checkEmpty(dir string) error {
 	switch exists, err := HasIdentity(dir); {
 	case err != nil:
@@ -39,7 +39,7 @@
 	}
 	entries, err := os.ReadDir(dir)
 	if err == nil && len(entries) > 0 {
-		return fmt.Errorf("data folder %s: it is not empty (%s, ...) and holds no coordinator's identity", dir, entries[0].Name())
+		return fmt.Errorf("data folder %s: it is not empty (%s, ...) and has no coordinator's identity file", dir, entries[0].Name())
 	}
 	if errors.Is(err, os.ErrNotExist) {
 		err = nil
@@ -47,8 +47,9 @@
 	return err
 }
 
-// Init makes the data folder of a founder. It is refused where a group of this list has met this founder before: an
-// empty folder then means a lost disk, and a coordinator without its memory must not vote under its old number.
+// Init creates the data folder of an initial coordinator. It fails if a coordinator of the group has recorded an
+// incarnation of this one: an empty folder then means a lost disk, and a coordinator without its log must not vote
+// under its old ID.
 func Init(ctx context.Context, c *Config) (Identity, error) {
 	if err := checkEmpty(c.Data); err != nil {
 		return Identity{}, err
@@ -62,13 +63,13 @@
 		if s, err := callCoordinator(ctx, p.Address, time.Second, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.StatusAnswer, error) {
 			return to.Status(ctx, &leasepb.StatusAsk{})
 		}); err == nil && slices.ContainsFunc(s.Coordinators, func(k *leasepb.Coordinator) bool { return k.Name == c.Name && k.Met }) {
-			return Identity{}, fmt.Errorf("%s at %s has met a %s before: this folder's disk was lost; use 'coordinator member remove %s', 'member add', and 'run --join'", p.Name, p.Address, c.Name, c.Name)
+			return Identity{}, fmt.Errorf("%s at %s already knows a coordinator %s: this folder's disk was lost; use 'coordinator member remove %s', 'member add', and 'run --join'", p.Name, p.Address, c.Name, c.Name)
 		}
 	}
 	return id, writeIdentity(c.Data, id)
 }
 
-// Join makes the data folder of a coordinator that was added to a running group. via is as in Options.
+// Join creates the data folder of a coordinator that was added to a running group. via is as in Options.
 func Join(ctx context.Context, c *Config, via map[string]string) (Identity, error) {
 	if err := checkEmpty(c.Data); err != nil {
 		return Identity{}, err
@@ -94,11 +95,12 @@
 		}
 	}
 	if len(errs) == 0 {
-		errs = append(errs, errors.New("nobody leads just now: try again"))
+		errs = append(errs, errors.New("the group has no leader at the moment: try again"))
 	}
-	return Identity{}, fmt.Errorf("no coordinator let %s join: %w", c.Name, errors.Join(errs...))
+	return Identity{}, fmt.Errorf("coordinator %s could not join through any listed coordinator: %w", c.Name, errors.Join(errs...))
 }
 
+// callCoordinator makes one call to the coordinator at address, whether it leads or not.
 func callCoordinator[T any](ctx context.Context, address string, timeout time.Duration, f func(context.Context, leasepb.LeasesClient) (T, error)) (t T, err error) {
 	conn, err := leasepb.Dial(address)
 	if err != nil {
@@ -110,9 +112,10 @@
 	return f(ctx, leasepb.NewLeasesClient(conn))
 }
 
-// Restore makes the data folder of a new group of one out of a backup; others are added to it. Tokens of the new
-// group are above all that the old one gave, as long as the wall clock of this machine was not set back by more than
-// the group's age; epoch, where it is not 0, is used instead.
+// Restore creates the data folder of a new group from a backup. The group has one coordinator; others are added to it
+// later. Fencing tokens of the new group are above all those of the old one, unless the wall clock of this machine was
+// set back by more than the group's age. An epoch other than 0 is the lowest that the new
+// group uses, so that the check against the wall clock is skipped.
 func Restore(c *Config, backup []byte, epoch uint32) (Identity, error) {
 	if err := checkEmpty(c.Data); err != nil {
 		return Identity{}, err
@@ -123,11 +126,11 @@
 	}
 	switch {
 	case epoch != 0 && epoch <= g.State.Epoch:
-		return Identity{}, fmt.Errorf("epoch: %d is not above the backup's %d", epoch, g.State.Epoch)
+		return Identity{}, fmt.Errorf("epoch: %d is not above the backup's epoch of %d", epoch, g.State.Epoch)
 	case epoch == 0 && uint32(time.Now().Unix()) <= g.State.Epoch:
-		return Identity{}, fmt.Errorf("this machine's clock stands before the backup's epoch of %d: set it, or name an --epoch above all that guarded things have seen", g.State.Epoch)
+		return Identity{}, fmt.Errorf("this machine's clock is not past the backup's epoch of %d: set the clock, or give an --epoch above that of every token that protected resources have seen", g.State.Epoch)
 	case epoch != 0:
-		g.State.Epoch = epoch - 1 // the first leader takes the next one, or its clock's
+		g.State.Epoch = epoch - 1 // the first leader's epoch is the next one, or its clock's if that is higher
 	}
 	g.State.Restored = true
 	id := Identity{Group: fmt.Sprintf("%s-%08x", c.groupName(), rand.Uint32()), ID: g.Next, Name: c.Name, Incarnation: rand.Uint64() | 1}
@@ -149,10 +152,11 @@
 	if err := d.close(); err != nil {
 		return Identity{}, err
 	}
-	return id, writeIdentity(c.Data, id) // last: without it the folder is nobody's
+	return id, writeIdentity(c.Data, id) // last: a folder without an identity belongs to no coordinator
 }
 
-// CheckBackup says whether bytes are a whole backup, and what it holds.
+// CheckBackup returns an error unless raw is a complete backup. It returns the numbers of sessions and leases in it, and
+// the newest token.
 func CheckBackup(raw []byte) (sessions, leases int, token uint64, err error) {
 	g, err := decodeGroup(raw)
 	if err != nil {
@@ -161,7 +165,7 @@
 	return len(g.State.Sessions), len(g.State.Leases), g.State.Token, nil
 }
 
-// Serve runs a coordinator on its configured address until ctx ends. ready is called once it listens.
+// Serve runs a coordinator on its configured address until ctx ends. ready, unless nil, is called once it listens.
 func Serve(ctx context.Context, o Options, ready func(address string)) error {
 	n, err := New(o)
 	if err != nil {
@@ -171,7 +175,7 @@
 	if err != nil {
 		n.disk.close()
 		n.peers.close()
-		return fmt.Errorf("listen: %w", err)
+		return fmt.Errorf("coordinator %s can't listen: %w", n.id.Name, err)
 	}
 	s := n.Server()
 	served := make(chan error, 1)
@@ -179,7 +183,7 @@
 	if ready != nil {
 		ready(l.Addr().String())
 	}
-	o.Log.Info("coordinator", "name", n.id.Name, "id", n.id.ID, "group", n.id.Group, "listen", l.Addr().String(), "applied", n.applied,
+	o.Log.Info("coordinator started", "name", n.id.Name, "id", n.id.ID, "group", n.id.Group, "listen", l.Addr().String(), "applied", n.applied,
 		"coordinators", slices.Sorted(func(yield func(string) bool) {
 			for _, p := range n.g.Peers {
 				if !yield(p.Name) {
@@ -192,7 +196,7 @@
 	return errors.Join(err, <-served)
 }
 
-// HasIdentity tells whether a data folder holds a coordinator.
+// HasIdentity reports whether a data folder has the identity of a coordinator.
 func HasIdentity(dir string) (bool, error) {
 	switch _, err := readIdentity(dir); {
 	case err == nil:
