--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -21,10 +21,10 @@
 	"junctionring/lease"
 )
 
-// life is the shortest that sessions may have.
+// sessionTTL is the shortest life that a session may request.
 const sessionTTL = time.Second
 
-// fleet is a group of coordinators in this process.
+// testGroup is a group of coordinators that run in the test process.
 type testGroup struct {
 	t         *testing.T
 	ctx       context.Context
@@ -38,7 +38,7 @@
 	ctx, done := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(done)
 	f := &testGroup{t: t, ctx: ctx, stops: make([]func() error, n)}
-	var listeners []net.Listener // until all have been given, so that none is given twice
+	var listeners []net.Listener // kept open until every address is allocated, so that none is allocated twice
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -115,13 +115,13 @@
 	return s
 }
 
-// await asks until it is so. The coordinators tell a status only when asked.
+// await polls until condition holds, and fails the test at its time-out. Coordinators report their status only on request.
 func (f *testGroup) await(what string, condition func() bool) {
 	f.t.Helper()
 	for !condition() {
 		select {
 		case <-f.ctx.Done():
-			f.t.Fatalf("never: %s", what)
+			f.t.Fatalf("timed out waiting until %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -129,7 +129,7 @@
 
 func (f *testGroup) leader() int {
 	leader := -1
-	f.await("one leads", func() bool {
+	f.await("there is a leader", func() bool {
 		leader = slices.IndexFunc(f.addresses, func(a string) bool {
 			i := slices.Index(f.addresses, a)
 			s := f.status(i)
@@ -157,7 +157,7 @@
 	}
 	token, _, ok := l.Token()
 	if !ok {
-		f.t.Fatalf("lease %s was lost at once: %s", name, l.Cause())
+		f.t.Fatalf("lease %s was lost right after it was acquired: %s", name, l.Cause())
 	}
 	return l, token
 }
@@ -196,11 +196,11 @@
 		token, _, _ := l.Token()
 		got <- token
 	}()
-	f.await("b waits", func() bool {
+	f.await("b waits for the lease", func() bool {
 		l := f.list().Leases
 		return len(l) == 2 && len(l[1].Waiters) == 1
 	})
-	// A leader that is told to end gives its office to another: nobody loses a lease for it.
+	// A leader that is stopped transfers its leadership, and no lease is lost.
 	if err := f.stop(f.leader()); err != nil {
 		t.Error(err)
 	}
@@ -212,30 +212,32 @@
 	}
 	<-held.Lost()
 	if _, _, ok := held.Token(); ok || held.Cause() != lease.CauseRevoked {
-		t.Errorf("a revoked holder may act: %v, %q", ok, held.Cause())
+		t.Errorf("the holder of a revoked lease may still act: %v, cause %q", ok, held.Cause())
 	}
 	select {
 	case <-got:
-		t.Error("given on before the holder said that it had stopped, and before a life had passed")
+		t.Error("the lease was granted again before its holder released it and before a session life had passed")
 	case <-time.After(50 * time.Millisecond):
 	}
 	if err := held.Release(f.ctx); err != nil {
 		t.Error(err)
 	}
 	if second := <-got; second <= first {
-		t.Errorf("token %d after %d", second, first)
+		t.Errorf("token %d is not above the earlier token %d", second, first)
 	}
 	if _, _, ok := kept.Token(); !ok {
-		t.Errorf("a lease of the same session was lost: %s", kept.Cause())
+		t.Errorf("another lease of the same session was lost: %s", kept.Cause())
 	}
 	a.Close(f.ctx)
-	f.await("what a closed session held is free", func() bool { return len(f.list().Leases) == 1 })
+	f.await("the leases of the closed session are free", func() bool { return len(f.list().Leases) == 1 })
 }
 
-func TestALostDiskIsNeverItsOldSelf(t *testing.T) {
+// A coordinator whose disk was lost must not act under its old identity, since it has forgotten its votes. It comes back
+// under a new ID after it is removed and added again.
+func TestCoordinatorWithLostDiskIsRejected(t *testing.T) {
 	f := newTestGroup(t, 3, nil)
 	f.start(0, 1, 2)
-	f.await("each has met each", func() bool {
+	f.await("every coordinator has been contacted", func() bool {
 		c := f.status(f.leader()).Coordinators
 		return len(c) == 3 && !slices.ContainsFunc(c, func(c *leasepb.Coordinator) bool { return !c.Met })
 	})
@@ -246,14 +248,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Init(f.ctx, c); err == nil || !strings.Contains(err.Error(), "disk was lost") {
-		t.Errorf("its folder was made anew: %v", err)
+		t.Errorf("Init over a lost disk: %v; want an error about the lost disk", err)
 	}
-	// Even one that was made by force is not heard.
+	// An identity that was written by hand is rejected too.
 	if err := writeIdentity(c.Data, Identity{Group: c.groupName(), ID: uint64(lost + 1), Name: c.Name, Incarnation: 99}); err != nil {
 		t.Fatal(err)
 	}
 	if err := Serve(f.ctx, Options{Config: c, Log: slog.New(slog.DiscardHandler)}, nil); err == nil || !strings.Contains(err.Error(), "knows another") {
-		t.Errorf("it ran on: %v", err)
+		t.Errorf("Serve with a forged incarnation: %v; want an error that the group knows another", err)
 	}
 	_, err := callCoordinator(f.ctx, f.addresses[f.leader()], time.Second, func(ctx context.Context, _ leasepb.LeasesClient) (any, error) {
 		conn, err := leasepb.Dial(f.addresses[f.leader()])
@@ -264,13 +266,13 @@
 		return leasepb.NewPeersClient(conn).Send(ctx, &leasepb.Batch{Group: c.groupName(), From: uint64(lost + 1), Incarnation: 99})
 	})
 	if status.Code(err) != codes.FailedPrecondition {
-		t.Errorf("the others listen to it: %v", err)
+		t.Errorf("Send with a forged incarnation: %v; want FailedPrecondition", err)
 	}
 	if err := os.RemoveAll(c.Data); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Join(f.ctx, c, nil); err == nil {
-		t.Error("it joined under its old number")
+		t.Error("Join succeeded under the old ID")
 	}
 	for _, do := range []func(context.Context, leasepb.LeasesClient) (*leasepb.Coordinator, error){
 		func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Coordinator, error) {
@@ -286,18 +288,18 @@
 	}
 	id, err := Join(f.ctx, c, nil)
 	if err != nil || id.ID != 4 {
-		t.Fatalf("joins as %d: %v", id.ID, err)
+		t.Fatalf("Join returned ID %d, error %v; want ID 4", id.ID, err)
 	}
 	f.start(lost)
-	f.await("it votes again", func() bool {
+	f.await("the joined coordinator votes", func() bool {
 		return slices.ContainsFunc(f.status(f.leader()).Coordinators, func(k *leasepb.Coordinator) bool { return k.Id == 4 && k.Votes })
 	})
-	// With one of the two others gone, no third may be removed.
+	// With one of the two other coordinators stopped, a removal would leave no majority.
 	f.stop(slices.IndexFunc(f.addresses, func(a string) bool { i := slices.Index(f.addresses, a); return i != f.leader() && i != lost }))
-	f.await("its silence is seen", func() bool {
+	f.await("the leader sees that the coordinator is silent", func() bool {
 		return slices.ContainsFunc(f.status(f.leader()).Coordinators, func(k *leasepb.Coordinator) bool { return k.SilentMs > activeWithin.Milliseconds() })
 	})
-	f.await("the removal of another is refused", func() bool {
+	f.await("the removal of another coordinator is refused", func() bool {
 		_, err := askLeader(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Coordinator, error) {
 			return to.RemoveCoordinator(ctx, &leasepb.Coordinator{Name: c.Name}, leaseholder.Trailer(ctx))
 		})
@@ -305,7 +307,9 @@
 	})
 }
 
-func TestABackupIsPutBackAboveAllThatWasGiven(t *testing.T) {
+// A restored group grants tokens above all that the old one granted, also those granted after the backup, and only once
+// the former holders can't act any more.
+func TestRestoredBackupGrantsHigherTokens(t *testing.T) {
 	f := newTestGroup(t, 1, nil)
 	f.start(0)
 	a := f.client("a")
@@ -314,20 +318,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, newest := f.acquire(a, "two") // the backup doesn't know of it
+	_, newest := f.acquire(a, "two") // acquired after the backup
 	f.stop(0)
 	c := f.configs[0]
 	if _, err := Restore(c, backup, 0); err == nil {
-		t.Error("put back over a coordinator's folder")
+		t.Error("restored into a folder that holds a coordinator")
 	}
 	if err := os.RemoveAll(c.Data); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Restore(c, backup, 1); err == nil {
-		t.Error("put back with an epoch below the backup's")
+		t.Error("restored with an epoch not above the backup's")
 	}
 	if _, err := Restore(c, backup[:len(backup)-1], 0); err == nil {
-		t.Error("put back out of a cut backup")
+		t.Error("restored from a truncated backup")
 	}
 	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // epochs are whole seconds
 	if _, err := Restore(c, backup, 0); err != nil {
@@ -337,14 +341,14 @@
 	f.start(0)
 	_, token := f.acquire(f.client("b"), "two")
 	if token <= newest || token>>32 <= newest>>32 {
-		t.Errorf("token %x after %x", token, newest)
+		t.Errorf("token %x: its epoch is not above that of the token %x given after the backup", token, newest)
 	}
 	if time.Since(begun) < sessionTTL {
-		t.Errorf("given after %v: who held it before the loss may still act", time.Since(begun))
+		t.Errorf("granted %v after the restore, within a session life: the former holder may still act", time.Since(begun))
 	}
 }
 
-// Beyond a bound a client is told to come back, and gets its turn when there is room.
+// A client above a bound is told to retry, and is served once there is room.
 func TestBoundsAreToldAndWaitedFor(t *testing.T) {
 	f := newTestGroup(t, 1, func(c *Config) { c.Bounds.Sessions, c.Bounds.Leases, c.Bounds.Waiters = 2, 1, 1 })
 	f.start(0)
@@ -352,10 +356,10 @@
 	one, _ := f.acquire(a, "one")
 	second := make(chan *leaseholder.Lease, 1)
 	go func() {
-		l, _ := b.Acquire(f.ctx, "two") // one lease is the most
+		l, _ := b.Acquire(f.ctx, "two") // waits: the bound is one lease
 		second <- l
 	}()
-	c := f.client("c") // and two sessions
+	c := f.client("c") // waits: the bound is two sessions
 	third := make(chan *leaseholder.Lease, 1)
 	go func() {
 		l, _ := c.Acquire(f.ctx, "two")
@@ -366,12 +370,12 @@
 		t.Fatal(err)
 	}
 	if <-second == nil {
-		t.Error("the second lease was never given")
+		t.Error("the second lease was never granted")
 	}
 	a.Close(f.ctx)
 	b.Close(f.ctx)
 	if <-third == nil {
-		t.Error("the third session never came in")
+		t.Error("the third session was never opened")
 	}
 }
 
@@ -382,7 +386,7 @@
 	if _, err := leaseholder.Start(quiet, leaseholder.Options{Coordinators: f.addresses, Life: sessionTTL, Member: lease.Member{Kind: "test", Name: "falls silent"}}); err != nil {
 		t.Fatal(err)
 	}
-	f.await("it is there", func() bool { return f.status(f.leader()).Sessions == 1 })
+	f.await("the session is open", func() bool { return f.status(f.leader()).Sessions == 1 })
 	told := make(chan string, 100)
 	go leaseholder.Watch{Coordinators: f.addresses, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}.Run(f.ctx, func(whole bool, changes []lease.Change) {
 		if whole {
@@ -398,16 +402,16 @@
 		select {
 		case got := <-told:
 			if got != want {
-				t.Errorf("told %q, want %q", got, want)
+				t.Errorf("received %q, want %q", got, want)
 			}
 		case <-f.ctx.Done():
-			t.Fatalf("never told %q", want)
+			t.Fatalf("timed out waiting for %q", want)
 		}
 	}
 	expect("whole 1")
 	a := f.client("a")
 	expect("joined a ")
-	f.stop(f.leader()) // the stream goes with it; what is missed is told by the next leader
+	f.stop(f.leader()) // the watch ends with it; the next leader sends the missed changes
 	a.Report(f.ctx, lease.Member{Kind: "test", Name: "a", State: "draining"})
 	expect("changed a draining")
 	a.Close(f.ctx)
@@ -437,7 +441,7 @@
 	}
 }
 
-// A log whose middle does not fit its checksum is a lost disk, and said to be one.
+// A checksum mismatch inside the log, not at its end, makes New fail with an error that the disk is lost.
 func TestASpoiltLogIsNotServedFrom(t *testing.T) {
 	f := newTestGroup(t, 1, nil)
 	f.start(0)
@@ -453,7 +457,7 @@
 		t.Fatal(err)
 	}
 	if _, err := New(Options{Config: f.configs[0], Log: slog.New(slog.DiscardHandler)}); err == nil || !strings.Contains(err.Error(), "lost") {
-		t.Errorf("a spoilt log was read: %v", err)
+		t.Errorf("New with a corrupt log: %v; want an error that the disk is lost", err)
 	}
 }
 
@@ -465,7 +469,7 @@
 	f.Add(encode(entry{Cmd: &lease.Command{Op: lease.Acquire, Session: "s", Name: "l", Seq: 1}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if g, err := decodeGroup(raw); err == nil && (g.State == nil || g.Peers == nil) {
-			t.Error("a group without its parts was read")
+			t.Error("a group without leases or peers was decoded")
 		}
 		var e entry
 		decode(raw, &e)
