--- a/internal/coordinator/call_test.go
+++ b/internal/coordinator/call_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/grpc/status"
 )
 
-// A call that ends before the actor handles it must share no memory with the actor. The race detector reports a late reply
-// that writes what the caller reads.
+// A call that ends before the actor handles it must share no memory with the actor. The race detector reports a late
+// reply that writes what the caller reads.
 func TestCallThatEndsEarlySharesNothing(t *testing.T) {
 	n := &Node{requests: make(chan any, 1), ended: make(chan struct{}), g: newGroup()}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -115,7 +115,8 @@
 	return s
 }
 
-// await polls until condition holds, and fails the test at its time-out. Coordinators report their status only on request.
+// await polls until condition holds, and fails the test when its context ends. Coordinators report their status only
+// on request.
 func (f *testGroup) await(what string, condition func() bool) {
 	f.t.Helper()
 	for !condition() {
--- a/internal/coordinator/node.go
+++ b/internal/coordinator/node.go
@@ -47,8 +47,8 @@
 type Options struct {
 	Config     *Config
 	Clock      func() time.Duration // monotonic; nil: the process's clock
-	Via        map[string]string    // replacement for each coordinator address that is dialled; addresses not listed are dialled unchanged
-	CheckSpace func() error         // called before each write to the disk, an error stops the coordinator; nil: no check
+	Via        map[string]string    // addresses to dial instead of listed ones; others are dialled unchanged
+	CheckSpace func() error         // called before each disk write, an error stops the coordinator; nil: only a failed write tells that the disk is full
 	Log        *slog.Logger
 }
 
@@ -89,9 +89,11 @@
 	permitDeadlines   map[string]permitDeadline // by unit
 	pendingFleet      map[uint64]func(rollout.Reply, error)
 	confChangePending bool
-	learnerAddedAt    uint64 // index at which a learner was last added; a snapshot must be newer, as raft rejects one that doesn't list its recipient
-	appliedWaiters    []appliedWaiter
-	identityErr       error // set if the group knows another incarnation of this coordinator; this one must then stop
+	// Index at which a learner was last added. A snapshot from before it is replaced, since raft rejects a snapshot that
+	// doesn't list its recipient.
+	learnerAddedAt uint64
+	appliedWaiters []appliedWaiter
+	identityErr    error // set if the group knows another incarnation of this coordinator; this one must then stop
 }
 
 // Events in the actor's mailboxes.
--- a/internal/coordinator/service.go
+++ b/internal/coordinator/service.go
@@ -340,8 +340,8 @@
 	err   error
 }
 
-// runInActor runs f in the actor and waits for the reply that f passes to done. If the call ends first, it shares no memory
-// with the actor.
+// runInActor runs f in the actor and waits for the reply that f passes to done. If the call ends first, it shares no
+// memory with the actor.
 func runInActor[T any](ctx context.Context, s service, f func(n *Node, done func(T, error))) (value T, err error) {
 	replies := make(chan reply[T], 1)
 	leader := ""
@@ -460,7 +460,8 @@
 
 var errConfChangePending = status.Error(codes.Unavailable, "another change of the group is under way: come back when 'coordinator status' shows it done")
 
-// AddCoordinator implements the Leases service. The new coordinator is a learner at first and votes once it has caught up.
+// AddCoordinator implements the Leases service. The new coordinator is a learner at first and votes once it has caught
+// up.
 func (s service) AddCoordinator(ctx context.Context, c *leasepb.Coordinator) (*leasepb.Coordinator, error) {
 	return runInActor(ctx, s, func(n *Node, done func(*leasepb.Coordinator, error)) {
 		p, there := n.g.peerNamed(c.Name)
@@ -547,8 +548,8 @@
 	return nil
 }
 
-// Join implements the Leases service: it returns the ID of an added coordinator to the process that runs it. An ID goes to
-// one process only.
+// Join implements the Leases service: it returns the ID of an added coordinator to the process that runs it. An ID goes
+// to one process only.
 func (s service) Join(ctx context.Context, j *leasepb.JoinAsk) (*leasepb.JoinAnswer, error) {
 	return runInActor(ctx, s, func(n *Node, done func(*leasepb.JoinAnswer, error)) {
 		p, there := n.g.peerNamed(j.Name)
