--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -74,7 +74,7 @@
 			}
 			if atOnce, _ := f.replacements(c.version); atOnce > 1 {
 				text, _ := os.ReadFile(f.recordPath)
-				t.Errorf("%d gateways were replaced at once:\n%s%s", atOnce, text, grouptest.Told(v))
+				t.Errorf("%d gateways were replaced at once:\n%s%s", atOnce, text, grouptest.FormatNotes(v))
 			}
 		})
 	}
@@ -207,7 +207,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := &fleet{t: t, ctx: t.Context(), dir: t.TempDir(), Group: &grouptest.Group{At: "127.0.0.1:1"}}
+			f := &fleet{t: t, ctx: t.Context(), dir: t.TempDir(), Group: &grouptest.Group{Address: "127.0.0.1:1"}}
 			f.recordPath = f.dir + "/record"
 			f.writeVersions()
 			o := f.config("g0", "g0")
--- a/internal/agent/release_test.go
+++ b/internal/agent/release_test.go
@@ -135,7 +135,7 @@
 [configuration]
 folder = "configs"
 version = "c1"
-`, name, int(name[1])%2, f.At, file, grouptest.Free(f.t), grouptest.Free(f.t), f.recordPath, file)
+`, name, int(name[1])%2, f.Address, file, grouptest.FreeAddress(f.t), grouptest.FreeAddress(f.t), f.recordPath, file)
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		f.t.Fatal(err)
 	}
@@ -215,7 +215,7 @@
 func (f *fleet) startConductor(beforeMove func(rollout.Move)) (stop func()) {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(f.ctx)
-	client, err := leaseholder.Start(ctx, leaseholder.Options{Coordinators: []string{f.At}, Life: 2 * time.Second, Member: lease.Member{Kind: "conductor", Name: "test"}})
+	client, err := leaseholder.Start(ctx, leaseholder.Options{Coordinators: []string{f.Address}, Life: 2 * time.Second, Member: lease.Member{Kind: "conductor", Name: "test"}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -310,7 +310,7 @@
 	}
 	if atOnce, ran := f.replacements("2"); atOnce > 1 || ran != gatewayCount {
 		text, _ := os.ReadFile(f.recordPath)
-		t.Errorf("%d gateways were replaced at once, %d ran the new version:\n%s%s", atOnce, ran, text, grouptest.Told(v))
+		t.Errorf("%d gateways were replaced at once, %d ran the new version:\n%s%s", atOnce, ran, text, grouptest.FormatNotes(v))
 	}
 }
 
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -21,38 +21,38 @@
 	"junctionring/lease"
 )
 
-// life is the shortest that sessions may have.
-const life = time.Second
+// sessionTTL is the shortest life that a session may request.
+const sessionTTL = time.Second
 
-// fleet is a group of coordinators in this process.
-type fleet struct {
-	t       *testing.T
-	ctx     context.Context
-	configs []*Config
-	stops   []func() error
-	all     []string
+// testGroup is a group of coordinators that run in the test process.
+type testGroup struct {
+	t         *testing.T
+	ctx       context.Context
+	configs   []*Config
+	stops     []func() error
+	addresses []string
 }
 
-func newFleet(t *testing.T, n int, edit func(*Config)) *fleet {
+func newTestGroup(t *testing.T, n int, edit func(*Config)) *testGroup {
 	t.Helper()
 	ctx, done := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(done)
-	f := &fleet{t: t, ctx: ctx, stops: make([]func() error, n)}
-	var held []net.Listener // until all have been given, so that none is given twice
+	f := &testGroup{t: t, ctx: ctx, stops: make([]func() error, n)}
+	var listeners []net.Listener // kept open until every address is allocated, so that none is allocated twice
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, l)
-		f.all = append(f.all, l.Addr().String())
+		listeners = append(listeners, l)
+		f.addresses = append(f.addresses, l.Addr().String())
 	}
-	for _, l := range held {
+	for _, l := range listeners {
 		l.Close()
 	}
-	for i, a := range f.all {
-		text := fmt.Sprintf("name = \"c%d\"\nlisten = %q\ndata = \"data-%d\"\nlongest_life = %q\nsnapshot_entries = 100\n", i+1, a, i+1, life)
-		for j, b := range f.all {
+	for i, a := range f.addresses {
+		text := fmt.Sprintf("name = \"c%d\"\nlisten = %q\ndata = \"data-%d\"\nlongest_life = %q\nsnapshot_entries = 100\n", i+1, a, i+1, sessionTTL)
+		for j, b := range f.addresses {
 			text += fmt.Sprintf("[[coordinator]]\nname = \"c%d\"\naddress = %q\n", j+1, b)
 		}
 		path := filepath.Join(t.TempDir(), "c.toml")
@@ -79,9 +79,9 @@
 	return f
 }
 
-func (f *fleet) start(which ...int) {
+func (f *testGroup) start(indexes ...int) {
 	f.t.Helper()
-	for _, i := range which {
+	for _, i := range indexes {
 		ctx, end := context.WithCancel(f.ctx)
 		ended, ready := make(chan error, 1), make(chan struct{})
 		go func() {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (f *fleet) stop(i int) error {
+func (f *testGroup) stop(i int) error {
 	if f.stops[i] == nil {
 		return nil
 	}
@@ -105,8 +105,8 @@
 	return stop()
 }
 
-func (f *fleet) status(i int) *leasepb.StatusAnswer {
-	s, err := ask(f.ctx, f.all[i], time.Second, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.StatusAnswer, error) {
+func (f *testGroup) status(i int) *leasepb.StatusAnswer {
+	s, err := callCoordinator(f.ctx, f.addresses[i], time.Second, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.StatusAnswer, error) {
 		return to.Status(ctx, &leasepb.StatusAsk{})
 	})
 	if err != nil {
@@ -115,41 +115,42 @@
 	return s
 }
 
-// await asks until it is so. The coordinators tell a status only when asked.
-func (f *fleet) await(what string, so func() bool) {
+// await polls until condition holds, and fails the test when its context ends. Coordinators report their status only
+// on request.
+func (f *testGroup) await(what string, condition func() bool) {
 	f.t.Helper()
-	for !so() {
+	for !condition() {
 		select {
 		case <-f.ctx.Done():
-			f.t.Fatalf("never: %s", what)
+			f.t.Fatalf("timed out waiting until %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-func (f *fleet) leader() int {
-	at := -1
-	f.await("one leads", func() bool {
-		at = slices.IndexFunc(f.all, func(a string) bool {
-			i := slices.Index(f.all, a)
+func (f *testGroup) leader() int {
+	leader := -1
+	f.await("there is a leader", func() bool {
+		leader = slices.IndexFunc(f.addresses, func(a string) bool {
+			i := slices.Index(f.addresses, a)
 			s := f.status(i)
 			return f.stops[i] != nil && s.Leader != 0 && s.Leader == s.Id
 		})
-		return at >= 0
+		return leader >= 0
 	})
-	return at
+	return leader
 }
 
-func (f *fleet) client(name string) *leaseholder.Client {
+func (f *testGroup) client(name string) *leaseholder.Client {
 	f.t.Helper()
-	c, err := leaseholder.Start(f.ctx, leaseholder.Options{Coordinators: f.all, Life: life, Member: lease.Member{Kind: "test", Name: name}})
+	c, err := leaseholder.Start(f.ctx, leaseholder.Options{Coordinators: f.addresses, Life: sessionTTL, Member: lease.Member{Kind: "test", Name: name}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	return c
 }
 
-func (f *fleet) acquire(c *leaseholder.Client, name string) (*leaseholder.Lease, uint64) {
+func (f *testGroup) acquire(c *leaseholder.Client, name string) (*leaseholder.Lease, uint64) {
 	f.t.Helper()
 	l, err := c.Acquire(f.ctx, name)
 	if err != nil {
@@ -157,20 +158,20 @@
 	}
 	token, _, ok := l.Token()
 	if !ok {
-		f.t.Fatalf("lease %s was lost at once: %s", name, l.Cause())
+		f.t.Fatalf("lease %s was lost right after it was acquired: %s", name, l.Cause())
 	}
 	return l, token
 }
 
-func asked[T any](f *fleet, do func(context.Context, leasepb.LeasesClient) (T, error)) (T, error) {
+func askLeader[T any](f *testGroup, do func(context.Context, leasepb.LeasesClient) (T, error)) (T, error) {
 	ctx, done := context.WithTimeout(f.ctx, 5*time.Second)
 	defer done()
-	return leaseholder.Ask(ctx, leaseholder.NewGroup(f.all...), do)
+	return leaseholder.Ask(ctx, leaseholder.NewGroup(f.addresses...), do)
 }
 
-func (f *fleet) list() *leasepb.ListAnswer {
+func (f *testGroup) list() *leasepb.ListAnswer {
 	f.t.Helper()
-	a, err := asked(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.ListAnswer, error) {
+	a, err := askLeader(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.ListAnswer, error) {
 		return to.List(ctx, &leasepb.ListAsk{}, leaseholder.Trailer(ctx))
 	})
 	if err != nil {
@@ -180,7 +181,7 @@
 }
 
 func TestALeaseGoesFromHolderToHolder(t *testing.T) {
-	f := newFleet(t, 3, nil)
+	f := newTestGroup(t, 3, nil)
 	f.start(0, 1, 2)
 	a, b := f.client("a"), f.client("b")
 	held, first := f.acquire(a, "sweep")
@@ -196,46 +197,48 @@
 		token, _, _ := l.Token()
 		got <- token
 	}()
-	f.await("b waits", func() bool {
+	f.await("b waits for the lease", func() bool {
 		l := f.list().Leases
 		return len(l) == 2 && len(l[1].Waiters) == 1
 	})
-	// A leader that is told to end gives its office to another: nobody loses a lease for it.
+	// A leader that is stopped transfers its leadership, and no lease is lost.
 	if err := f.stop(f.leader()); err != nil {
 		t.Error(err)
 	}
 	f.leader()
-	if _, err := asked(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Outcome, error) {
+	if _, err := askLeader(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Outcome, error) {
 		return to.Revoke(ctx, &leasepb.RevokeAsk{Name: "sweep", By: "test"}, leaseholder.Trailer(ctx))
 	}); err != nil {
 		t.Fatal(err)
 	}
 	<-held.Lost()
 	if _, _, ok := held.Token(); ok || held.Cause() != lease.CauseRevoked {
-		t.Errorf("a revoked holder may act: %v, %q", ok, held.Cause())
+		t.Errorf("the holder of a revoked lease may still act: %v, cause %q", ok, held.Cause())
 	}
 	select {
 	case <-got:
-		t.Error("given on before the holder said that it had stopped, and before a life had passed")
+		t.Error("the lease was granted again before its holder released it and before a session life had passed")
 	case <-time.After(50 * time.Millisecond):
 	}
 	if err := held.Release(f.ctx); err != nil {
 		t.Error(err)
 	}
 	if second := <-got; second <= first {
-		t.Errorf("token %d after %d", second, first)
+		t.Errorf("token %d is not above the earlier token %d", second, first)
 	}
 	if _, _, ok := kept.Token(); !ok {
-		t.Errorf("a lease of the same session was lost: %s", kept.Cause())
+		t.Errorf("another lease of the same session was lost: %s", kept.Cause())
 	}
 	a.Close(f.ctx)
-	f.await("what a closed session held is free", func() bool { return len(f.list().Leases) == 1 })
+	f.await("the leases of the closed session are free", func() bool { return len(f.list().Leases) == 1 })
 }
 
-func TestALostDiskIsNeverItsOldSelf(t *testing.T) {
-	f := newFleet(t, 3, nil)
+// A coordinator whose disk was lost must not act under its old identity, since it has forgotten its votes. It comes back
+// under a new ID after it is removed and added again.
+func TestCoordinatorWithLostDiskIsRejected(t *testing.T) {
+	f := newTestGroup(t, 3, nil)
 	f.start(0, 1, 2)
-	f.await("each has met each", func() bool {
+	f.await("every coordinator has been contacted", func() bool {
 		c := f.status(f.leader()).Coordinators
 		return len(c) == 3 && !slices.ContainsFunc(c, func(c *leasepb.Coordinator) bool { return !c.Met })
 	})
@@ -246,17 +249,17 @@
 		t.Fatal(err)
 	}
 	if _, err := Init(f.ctx, c); err == nil || !strings.Contains(err.Error(), "disk was lost") {
-		t.Errorf("its folder was made anew: %v", err)
+		t.Errorf("Init over a lost disk: %v; want an error about the lost disk", err)
 	}
-	// Even one that was made by force is not heard.
+	// An identity that was written by hand is rejected too.
 	if err := writeIdentity(c.Data, Identity{Group: c.groupName(), ID: uint64(lost + 1), Name: c.Name, Incarnation: 99}); err != nil {
 		t.Fatal(err)
 	}
 	if err := Serve(f.ctx, Options{Config: c, Log: slog.New(slog.DiscardHandler)}, nil); err == nil || !strings.Contains(err.Error(), "knows another") {
-		t.Errorf("it ran on: %v", err)
+		t.Errorf("Serve with a forged incarnation: %v; want an error that the group knows another", err)
 	}
-	_, err := ask(f.ctx, f.all[f.leader()], time.Second, func(ctx context.Context, _ leasepb.LeasesClient) (any, error) {
-		conn, err := leasepb.Dial(f.all[f.leader()])
+	_, err := callCoordinator(f.ctx, f.addresses[f.leader()], time.Second, func(ctx context.Context, _ leasepb.LeasesClient) (any, error) {
+		conn, err := leasepb.Dial(f.addresses[f.leader()])
 		if err != nil {
 			return nil, err
 		}
@@ -264,13 +267,13 @@
 		return leasepb.NewPeersClient(conn).Send(ctx, &leasepb.Batch{Group: c.groupName(), From: uint64(lost + 1), Incarnation: 99})
 	})
 	if status.Code(err) != codes.FailedPrecondition {
-		t.Errorf("the others listen to it: %v", err)
+		t.Errorf("Send with a forged incarnation: %v; want FailedPrecondition", err)
 	}
 	if err := os.RemoveAll(c.Data); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Join(f.ctx, c, nil); err == nil {
-		t.Error("it joined under its old number")
+		t.Error("Join succeeded under the old ID")
 	}
 	for _, do := range []func(context.Context, leasepb.LeasesClient) (*leasepb.Coordinator, error){
 		func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Coordinator, error) {
@@ -280,54 +283,56 @@
 			return to.AddCoordinator(ctx, &leasepb.Coordinator{Name: c.Name, Address: c.Listen}, leaseholder.Trailer(ctx))
 		},
 	} {
-		if _, err := asked(f, do); err != nil {
+		if _, err := askLeader(f, do); err != nil {
 			t.Fatal(err)
 		}
 	}
 	id, err := Join(f.ctx, c, nil)
 	if err != nil || id.ID != 4 {
-		t.Fatalf("joins as %d: %v", id.ID, err)
+		t.Fatalf("Join returned ID %d, error %v; want ID 4", id.ID, err)
 	}
 	f.start(lost)
-	f.await("it votes again", func() bool {
+	f.await("the joined coordinator votes", func() bool {
 		return slices.ContainsFunc(f.status(f.leader()).Coordinators, func(k *leasepb.Coordinator) bool { return k.Id == 4 && k.Votes })
 	})
-	// With one of the two others gone, no third may be removed.
-	f.stop(slices.IndexFunc(f.all, func(a string) bool { i := slices.Index(f.all, a); return i != f.leader() && i != lost }))
-	f.await("its silence is seen", func() bool {
-		return slices.ContainsFunc(f.status(f.leader()).Coordinators, func(k *leasepb.Coordinator) bool { return k.SilentMs > atWork.Milliseconds() })
+	// With one of the two other coordinators stopped, a removal would leave no majority.
+	f.stop(slices.IndexFunc(f.addresses, func(a string) bool { i := slices.Index(f.addresses, a); return i != f.leader() && i != lost }))
+	f.await("the leader sees that the coordinator is silent", func() bool {
+		return slices.ContainsFunc(f.status(f.leader()).Coordinators, func(k *leasepb.Coordinator) bool { return k.SilentMs > activeWithin.Milliseconds() })
 	})
-	f.await("the removal of another is refused", func() bool {
-		_, err := asked(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Coordinator, error) {
+	f.await("the removal of another coordinator is refused", func() bool {
+		_, err := askLeader(f, func(ctx context.Context, to leasepb.LeasesClient) (*leasepb.Coordinator, error) {
 			return to.RemoveCoordinator(ctx, &leasepb.Coordinator{Name: c.Name}, leaseholder.Trailer(ctx))
 		})
 		return err != nil && strings.Contains(err.Error(), "no majority")
 	})
 }
 
-func TestABackupIsPutBackAboveAllThatWasGiven(t *testing.T) {
-	f := newFleet(t, 1, nil)
+// A restored group grants tokens above all that the old one granted, also those granted after the backup, and only once
+// the former holders can't act any more.
+func TestRestoredBackupGrantsHigherTokens(t *testing.T) {
+	f := newTestGroup(t, 1, nil)
 	f.start(0)
 	a := f.client("a")
 	f.acquire(a, "one")
-	backup, err := leaseholder.Backup(f.ctx, leaseholder.NewGroup(f.all...))
+	backup, err := leaseholder.Backup(f.ctx, leaseholder.NewGroup(f.addresses...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, newest := f.acquire(a, "two") // the backup doesn't know of it
+	_, newest := f.acquire(a, "two") // acquired after the backup
 	f.stop(0)
 	c := f.configs[0]
 	if _, err := Restore(c, backup, 0); err == nil {
-		t.Error("put back over a coordinator's folder")
+		t.Error("restored into a folder that holds a coordinator")
 	}
 	if err := os.RemoveAll(c.Data); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Restore(c, backup, 1); err == nil {
-		t.Error("put back with an epoch below the backup's")
+		t.Error("restored with an epoch not above the backup's")
 	}
 	if _, err := Restore(c, backup[:len(backup)-1], 0); err == nil {
-		t.Error("put back out of a cut backup")
+		t.Error("restored from a truncated backup")
 	}
 	time.Sleep(time.Until(time.Now().Truncate(time.Second).Add(time.Second))) // epochs are whole seconds
 	if _, err := Restore(c, backup, 0); err != nil {
@@ -337,25 +342,25 @@
 	f.start(0)
 	_, token := f.acquire(f.client("b"), "two")
 	if token <= newest || token>>32 <= newest>>32 {
-		t.Errorf("token %x after %x", token, newest)
+		t.Errorf("token %x: its epoch is not above that of the token %x given after the backup", token, newest)
 	}
-	if time.Since(begun) < life {
-		t.Errorf("given after %v: who held it before the loss may still act", time.Since(begun))
+	if time.Since(begun) < sessionTTL {
+		t.Errorf("granted %v after the restore, within a session life: the former holder may still act", time.Since(begun))
 	}
 }
 
-// Beyond a bound a client is told to come back, and gets its turn when there is room.
+// A client above a bound is told to retry, and is served once there is room.
 func TestBoundsAreToldAndWaitedFor(t *testing.T) {
-	f := newFleet(t, 1, func(c *Config) { c.Bounds.Sessions, c.Bounds.Leases, c.Bounds.Waiters = 2, 1, 1 })
+	f := newTestGroup(t, 1, func(c *Config) { c.Bounds.Sessions, c.Bounds.Leases, c.Bounds.Waiters = 2, 1, 1 })
 	f.start(0)
 	a, b := f.client("a"), f.client("b")
 	one, _ := f.acquire(a, "one")
 	second := make(chan *leaseholder.Lease, 1)
 	go func() {
-		l, _ := b.Acquire(f.ctx, "two") // one lease is the most
+		l, _ := b.Acquire(f.ctx, "two") // waits: the bound is one lease
 		second <- l
 	}()
-	c := f.client("c") // and two sessions
+	c := f.client("c") // waits: the bound is two sessions
 	third := make(chan *leaseholder.Lease, 1)
 	go func() {
 		l, _ := c.Acquire(f.ctx, "two")
@@ -366,25 +371,25 @@
 		t.Fatal(err)
 	}
 	if <-second == nil {
-		t.Error("the second lease was never given")
+		t.Error("the second lease was never granted")
 	}
 	a.Close(f.ctx)
 	b.Close(f.ctx)
 	if <-third == nil {
-		t.Error("the third session never came in")
+		t.Error("the third session was never opened")
 	}
 }
 
 func TestWatchersAreToldEachChangeInOrder(t *testing.T) {
-	f := newFleet(t, 3, nil)
+	f := newTestGroup(t, 3, nil)
 	f.start(0, 1, 2)
 	quiet, end := context.WithCancel(f.ctx)
-	if _, err := leaseholder.Start(quiet, leaseholder.Options{Coordinators: f.all, Life: life, Member: lease.Member{Kind: "test", Name: "falls silent"}}); err != nil {
+	if _, err := leaseholder.Start(quiet, leaseholder.Options{Coordinators: f.addresses, Life: sessionTTL, Member: lease.Member{Kind: "test", Name: "falls silent"}}); err != nil {
 		t.Fatal(err)
 	}
-	f.await("it is there", func() bool { return f.status(f.leader()).Sessions == 1 })
+	f.await("the session is open", func() bool { return f.status(f.leader()).Sessions == 1 })
 	told := make(chan string, 100)
-	go leaseholder.Watch{Coordinators: f.all, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}.Run(f.ctx, func(whole bool, changes []lease.Change) {
+	go leaseholder.Watch{Coordinators: f.addresses, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}.Run(f.ctx, func(whole bool, changes []lease.Change) {
 		if whole {
 			told <- fmt.Sprintf("whole %d", len(changes))
 			return
@@ -398,16 +403,16 @@
 		select {
 		case got := <-told:
 			if got != want {
-				t.Errorf("told %q, want %q", got, want)
+				t.Errorf("received %q, want %q", got, want)
 			}
 		case <-f.ctx.Done():
-			t.Fatalf("never told %q", want)
+			t.Fatalf("timed out waiting for %q", want)
 		}
 	}
 	expect("whole 1")
 	a := f.client("a")
 	expect("joined a ")
-	f.stop(f.leader()) // the stream goes with it; what is missed is told by the next leader
+	f.stop(f.leader()) // the watch ends with it; the next leader sends the missed changes
 	a.Report(f.ctx, lease.Member{Kind: "test", Name: "a", State: "draining"})
 	expect("changed a draining")
 	a.Close(f.ctx)
@@ -437,9 +442,9 @@
 	}
 }
 
-// A log whose middle does not fit its checksum is a lost disk, and said to be one.
+// A checksum mismatch inside the log, not at its end, makes New fail with an error that the disk is lost.
 func TestASpoiltLogIsNotServedFrom(t *testing.T) {
-	f := newFleet(t, 1, nil)
+	f := newTestGroup(t, 1, nil)
 	f.start(0)
 	f.acquire(f.client("a"), "one")
 	f.stop(0)
@@ -453,19 +458,19 @@
 		t.Fatal(err)
 	}
 	if _, err := New(Options{Config: f.configs[0], Log: slog.New(slog.DiscardHandler)}); err == nil || !strings.Contains(err.Error(), "lost") {
-		t.Errorf("a spoilt log was read: %v", err)
+		t.Errorf("New with a corrupt log: %v; want an error that the disk is lost", err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
 	g := newGroup()
 	g.State.Apply(lease.Command{Op: lease.Lead, Term: 1, Epoch: 1})
-	g.State.Apply(lease.Command{Op: lease.Open, Session: "s", TTL: life})
+	g.State.Apply(lease.Command{Op: lease.Open, Session: "s", TTL: sessionTTL})
 	f.Add(encode(g))
 	f.Add(encode(entry{Cmd: &lease.Command{Op: lease.Acquire, Session: "s", Name: "l", Seq: 1}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if g, err := decodeGroup(raw); err == nil && (g.State == nil || g.Peers == nil) {
-			t.Error("a group without its parts was read")
+			t.Error("a group without leases or peers was decoded")
 		}
 		var e entry
 		decode(raw, &e)
--- a/internal/coordinator/disk.go
+++ b/internal/coordinator/disk.go
@@ -21,35 +21,36 @@
 	"junctionring/internal/snapshot"
 )
 
-// Identity says which coordinator a data folder belongs to. A folder that was lost is lost with its identity, so that
-// an empty one can never speak for the coordinator that voted before.
+// Identity identifies the coordinator that a data folder belongs to. It is stored in the folder: if the folder is lost,
+// so is the identity, and an empty folder can't act as the coordinator that voted before. The Go names of the fields are
+// keys in the stored JSON.
 type Identity struct {
 	Group       string
 	ID          uint64
 	Name        string
-	Incarnation uint64 // drawn when the folder was made
-	Joins       bool   // added to a group that ran already
-	First       []Peer // whom a joiner answers to until its log names them
+	Incarnation uint64 // random, drawn when the folder is created
+	Joins       bool   // added to a running group
+	First       []Peer // the peers of a joining coordinator until its log lists them
 }
 
 const (
-	segmentSize   = 8 << 20 // bytes of one file of the log
-	keptSnapshots = 3
-	keptEntries   = 2_000 // behind a snapshot, for those a little late
+	segmentSize       = 8 << 20 // bytes of one log file
+	retainedSnapshots = 3
+	retainedEntries   = 2_000 // log entries before a snapshot, for followers that lag slightly
 )
 
-// The library's own 64 MB a file, made in advance, is for far longer logs. It has no other way to be told.
+// The library preallocates 64 MB for each file, which suits far longer logs. This variable is the only way to set it.
 func init() { wal.SegmentSizeBytes = segmentSize }
 
-// disk is the durable part of a coordinator: log, snapshots, identity. After an error nothing may be said to anybody
-// any more: the process ends.
+// disk is the durable state of a coordinator: log, snapshots and identity. After an error the coordinator must not send
+// anything more, and its process ends.
 type disk struct {
-	dir   string
-	wal   *wal.WAL
-	snaps *snap.Snapshotter
-	mem   *raft.MemoryStorage
-	taken uint64 // index of the newest snapshot
-	torn  bool   // an end that was not written whole was cut
+	dir           string
+	wal           *wal.WAL
+	snaps         *snap.Snapshotter
+	mem           *raft.MemoryStorage
+	snapshotIndex uint64 // index of the newest snapshot
+	tornTail      bool   // an incompletely written end of the log was cut off
 }
 
 func identityPath(dir string) string { return filepath.Join(dir, "identity") }
@@ -73,8 +74,9 @@
 	return snapshot.Save(identityPath(dir), snapshot.Version{Number: 1, Content: text})
 }
 
-// openDisk reads what a data folder holds. fresh: there is no log yet. A torn end is cut: what was not written whole
-// was never answered. Anything else that does not fit its checksum is an error: that disk is lost.
+// openDisk reads the log and the newest snapshot of a data folder, and creates them if there are none. fresh is true if
+// the log has no entries yet. A torn end of the log is cut off: what was not completely written was never acknowledged.
+// Any other checksum mismatch is an error, and the disk counts as lost.
 func openDisk(dir string) (d *disk, snapshot *raftpb.Snapshot, fresh bool, err error) {
 	d = &disk{dir: dir, mem: raft.NewMemoryStorage()}
 	if err := os.MkdirAll(d.snapDir(), 0o700); err != nil {
@@ -111,16 +113,16 @@
 		if d.wal != nil {
 			d.wal.Close()
 		}
-		d.torn = true
+		d.tornTail = true
 		if repaired || !errors.Is(err, io.ErrUnexpectedEOF) || !wal.Repair(log, d.walDir()) {
-			return nil, nil, false, fmt.Errorf("data folder %s: the log can't be read: %w; if nothing better is at hand, treat this disk as lost", dir, err)
+			return nil, nil, false, fmt.Errorf("data folder %s: the log can't be read: %w; unless it can be repaired, treat this disk as lost", dir, err)
 		}
 	}
 	if snapshot != nil {
 		if err := d.mem.ApplySnapshot(snapshot); err != nil {
 			return nil, nil, false, err
 		}
-		d.taken = snapshot.GetMetadata().GetIndex()
+		d.snapshotIndex = snapshot.GetMetadata().GetIndex()
 	}
 	if hard != nil {
 		if err := d.mem.SetHardState(hard); err != nil {
@@ -133,10 +135,10 @@
 func (d *disk) walDir() string  { return filepath.Join(d.dir, "log") }
 func (d *disk) snapDir() string { return filepath.Join(d.dir, "snapshots") }
 
-// save makes a Ready durable.
+// save writes the snapshot, entries and hard state of a Ready to the disk.
 func (d *disk) save(rd *raft.Ready) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := d.keep(rd.Snapshot); err != nil {
+		if err := d.saveSnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -147,15 +149,16 @@
 		if err := d.mem.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
-		if err := d.tidy(); err != nil {
+		if err := d.removeOldFiles(); err != nil {
 			return err
 		}
 	}
 	return d.mem.Append(rd.Entries)
 }
 
-// keep writes a snapshot's file first and then its mark in the log: a mark without its file could not be read.
-func (d *disk) keep(s *raftpb.Snapshot) error {
+// saveSnapshot writes the snapshot file first and then its record in the log, since a record without its file would make
+// the log unreadable.
+func (d *disk) saveSnapshot(s *raftpb.Snapshot) error {
 	if err := d.snaps.SaveSnap(s); err != nil {
 		return err
 	}
@@ -163,46 +166,47 @@
 	if err := d.wal.SaveSnapshot(&walpb.Snapshot{Index: new(m.GetIndex()), Term: new(m.GetTerm()), ConfState: m.GetConfState()}); err != nil {
 		return err
 	}
-	d.taken = m.GetIndex()
+	d.snapshotIndex = m.GetIndex()
 	return nil
 }
 
-// compact takes a snapshot and lets go of what it stands for.
+// compact saves a snapshot and drops the entries that it covers, except the newest retainedEntries.
 func (d *disk) compact(index uint64, conf *raftpb.ConfState, data []byte) error {
 	s, err := d.mem.CreateSnapshot(index, conf, data)
 	if err != nil {
 		return err
 	}
-	if err := d.keep(s); err != nil {
+	if err := d.saveSnapshot(s); err != nil {
 		return err
 	}
-	if index > keptEntries {
-		if err := d.mem.Compact(index - keptEntries); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	if index > retainedEntries {
+		if err := d.mem.Compact(index - retainedEntries); err != nil && !errors.Is(err, raft.ErrCompacted) {
 			return err
 		}
 	}
-	return d.tidy()
+	return d.removeOldFiles()
 }
 
-// tidy removes the files of the log that only hold what lies before the oldest snapshot kept, and older snapshots.
-func (d *disk) tidy() error {
+// removeOldFiles removes all but the newest retainedSnapshots snapshots, and the log files that end before the oldest of
+// them.
+func (d *disk) removeOldFiles() error {
 	snaps, err := fileutil.ReadDir(d.snapDir(), fileutil.WithExt(".snap"))
 	if err != nil {
 		return err
 	}
 	slices.Sort(snaps)
-	for len(snaps) > keptSnapshots {
+	for len(snaps) > retainedSnapshots {
 		if err := os.Remove(filepath.Join(d.snapDir(), snaps[0])); err != nil {
 			return err
 		}
 		snaps = snaps[1:]
 	}
 	var term, oldest uint64
-	if len(snaps) < keptSnapshots {
+	if len(snaps) < retainedSnapshots {
 		return nil
 	}
 	if _, err := fmt.Sscanf(strings.TrimSuffix(snaps[0], ".snap"), "%016x-%016x", &term, &oldest); err != nil {
-		return fmt.Errorf("snapshot %s: %w", snaps[0], err)
+		return fmt.Errorf("snapshot file %s: name without term and index: %w", snaps[0], err)
 	}
 	if err := d.wal.ReleaseLockTo(oldest); err != nil {
 		return err
--- a/internal/coordinator/grouptest/grouptest.go
+++ b/internal/coordinator/grouptest/grouptest.go
@@ -1,4 +1,5 @@
-// Package grouptest runs a group of one coordinator in a test's own process.
+// Package grouptest runs a group of one coordinator inside a test's process. It does not run groups of several
+// coordinators.
 package grouptest
 
 import (
@@ -16,22 +17,22 @@
 	"junctionring/rollout"
 )
 
-// Group is the coordinator, and a way to it.
+// Group is a running coordinator and a client group for it.
 type Group struct {
 	*leaseholder.Group
-	At   string
-	t    testing.TB
-	ctx  context.Context
-	path string
-	stop func()
+	Address    string
+	t          testing.TB
+	ctx        context.Context
+	configPath string
+	stop       func()
 }
 
-// Start starts a new group whose sessions live for so long at the most. It ends with the test.
+// Start starts a new group with life as the longest life of a session. The group stops at the end of the test.
 func Start(ctx context.Context, t testing.TB, life time.Duration) *Group {
 	t.Helper()
-	g := &Group{t: t, ctx: ctx, At: Free(t), path: filepath.Join(t.TempDir(), "c.toml")}
-	g.Group = leaseholder.NewGroup(g.At)
-	if err := os.WriteFile(g.path, []byte(fmt.Sprintf("listen = %q\ndata = \"data\"\nlongest_life = %q\n", g.At, life)), 0o644); err != nil {
+	g := &Group{t: t, ctx: ctx, Address: FreeAddress(t), configPath: filepath.Join(t.TempDir(), "c.toml")}
+	g.Group = leaseholder.NewGroup(g.Address)
+	if err := os.WriteFile(g.configPath, []byte(fmt.Sprintf("listen = %q\ndata = \"data\"\nlongest_life = %q\n", g.Address, life)), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	g.Run()
@@ -39,14 +40,14 @@
 	return g
 }
 
-// Run runs the coordinator, again after Stop.
+// Run starts the coordinator, also again after Stop.
 func (g *Group) Run() {
 	g.t.Helper()
-	c, err := coordinator.LoadConfig(g.path)
+	c, err := coordinator.LoadConfig(g.configPath)
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	if made, _ := coordinator.Made(c.Data); !made {
+	if made, _ := coordinator.HasIdentity(c.Data); !made {
 		if _, err := coordinator.Init(g.ctx, c); err != nil {
 			g.t.Fatal(err)
 		}
@@ -64,7 +65,7 @@
 	g.stop = func() { end(); <-ended }
 }
 
-// Stop ends the coordinator; what is in its log stays.
+// Stop stops the coordinator. Its log stays on the disk.
 func (g *Group) Stop() {
 	if g.stop != nil {
 		g.stop()
@@ -72,7 +73,7 @@
 	}
 }
 
-// Change makes a change that must be taken.
+// Change sends a command of the fleet and fails the test if it is refused.
 func (g *Group) Change(c rollout.Command) {
 	g.t.Helper()
 	if r, err := coordinator.Change(g.ctx, g.Group, c); err != nil || r.Error != "" && !r.Waits {
@@ -80,26 +81,26 @@
 	}
 }
 
-// Await waits until the fleet is so.
-func (g *Group) Await(what string, so func(*rollout.Fleet) bool) *rollout.Fleet {
+// Await waits until condition holds for the state of the fleet, and fails the test when its context ends first.
+func (g *Group) Await(what string, condition func(*rollout.Fleet) bool) *rollout.Fleet {
 	g.t.Helper()
 	for {
 		v, err := coordinator.View(g.ctx, g.Group, 0)
-		if err == nil && so(v) {
+		if err == nil && condition(v) {
 			return v
 		}
 		select {
 		case <-g.ctx.Done():
-			g.t.Fatalf("never: %s: %v\n%s", what, err, Told(v))
+			g.t.Fatalf("the context ended before the condition %q held: %v\n%s", what, err, FormatNotes(v))
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// Told is what a fleet's log tells, for a failed test.
-func Told(f *rollout.Fleet) (text string) {
+// FormatNotes formats the event history of a fleet for the message of a failed test.
+func FormatNotes(f *rollout.Fleet) (text string) {
 	if f == nil {
-		return "nothing is known of the fleet"
+		return "no state of the fleet was received"
 	}
 	for _, n := range f.Notes {
 		text += fmt.Sprintf("%d %s %s\n", n.Seq, n.By, n.What)
@@ -107,8 +108,8 @@
 	return text
 }
 
-// Free is an address for something that a test starts.
-func Free(t testing.TB) string {
+// FreeAddress returns a free local address for a server that a test starts.
+func FreeAddress(t testing.TB) string {
 	t.Helper()
 	a, err := standin.Free()
 	if err != nil {
--- a/internal/coordinator/reads.go
+++ b/internal/coordinator/reads.go
@@ -1,28 +1,29 @@
 package coordinator
 
-// read waits until this coordinator has made sure that it leads.
+// read is called with nil once this coordinator has confirmed its leadership, or with the reason why it can't.
 type read func(err error)
 
-type confirmation struct {
+// confirmedRound holds the reads of a read-index round that a quorum has confirmed, and their read index.
+type confirmedRound struct {
 	index uint64
 	reads []read
 }
 
-// confirm calls r once this coordinator has made sure, after now, that it leads, and has applied all that was
-// committed before.
-func (n *Node) confirm(r read) {
-	if n.watch == nil {
-		r(errNotLeading)
+// confirmLeadership calls r once a quorum has confirmed, after the time of this call, that this coordinator leads, and
+// all entries committed until then are applied.
+func (n *Node) confirmLeadership(r read) {
+	if n.expiry == nil {
+		r(errNotLeader)
 		return
 	}
-	n.waiting = append(n.waiting, r)
+	n.nextReads = append(n.nextReads, r)
 }
 
-func (n *Node) answerReads() {
-	for len(n.confirmed) > 0 && n.confirmed[0].index <= n.applied {
-		for _, r := range n.confirmed[0].reads {
+func (n *Node) answerConfirmedReads() {
+	for len(n.confirmedRounds) > 0 && n.confirmedRounds[0].index <= n.applied {
+		for _, r := range n.confirmedRounds[0].reads {
 			r(nil)
 		}
-		n.confirmed = n.confirmed[1:]
+		n.confirmedRounds = n.confirmedRounds[1:]
 	}
 }
